--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -171,7 +171,7 @@
 	s.untrackIdle()
 	openElsewhere := request.Resumed || request.PreviousEndpoint != "" // such a connection keeps its client ID
 	_, known := p.findClass(request)
-	duplicate := p.sessions.byClientID[request.ID] != nil || p.restart.openAtPredecessor(request.ID)
+	duplicate := p.sessions.byClientID[request.ID] != nil || p.restart.predecessorHasClient(request.ID)
 	switch {
 	case !known && p.starting(): // the fleet's configuration, which is not known yet, may have the class
 		p.fleet.counters.RejectedNoLease++
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -28,7 +28,7 @@
 		s.reject(after, reasonPlacement)
 		return
 	}
-	if p.drainer.tooLate(p.loop.Now()) { // the answer could not come before this process exits
+	if p.drainer.tooLateToAttempt(p.loop.Now()) { // the answer could not come before this process exits
 		s.reject(0, reasonStopping)
 		return
 	}
@@ -113,7 +113,7 @@
 // respond gives a request its final answer.
 func (s *session) respond(message []byte) {
 	s.answered = true
-	s.setUsage(usesNothing)
+	s.setUsage(usageNone)
 	s.buffered = nil
 	s.closeDownstream(message)
 	s.forgetIfDone()
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -319,7 +319,7 @@
 		return
 	}
 	s.answered = true
-	s.setUsage(usesNothing)
+	s.setUsage(usageNone)
 	s.proxy.counters.Completed++
 	s.countOutcome(completed)
 	s.closeDownstream(message)
--- a/internal/proxy/config_subscriber.go
+++ b/internal/proxy/config_subscriber.go
@@ -28,8 +28,8 @@
 type subscriberHost interface {
 	placementHost
 	applyConfig(settings balancer.Settings, loadIsLatency bool, table *routing.Table)
-	// hasFormerTable reports whether a request is left that was routed by a table that is no longer active.
-	hasFormerTable() bool
+	// formerTableInUse reports whether a request is left that was routed by a table that is no longer active.
+	formerTableInUse() bool
 	heapLimit(recordMB int) uint64
 	// resumeListeners accepts clients again, unless a successor does.
 	resumeListeners()
@@ -117,7 +117,7 @@
 	}
 }
 
-func (p *Proxy) hasFormerTable() bool {
+func (p *Proxy) formerTableInUse() bool {
 	for _, s := range p.sessions.byID {
 		if s.table != nil && s.table != p.pools.table {
 			return true
@@ -224,26 +224,26 @@
 
 // switchTo makes the prepared version the active one, in one turn.
 func (cs *configSubscriber) switchTo(number uint64) {
-	prepared := cs.loader.take(number)
+	prepared := cs.loader.takePrepared(number)
 	if prepared == nil {
 		// The lease client rejects requests until the version has been prepared.
 		cs.log.Warn("fleet: active version is not prepared here", zap.Uint64("version", number))
 		return
 	}
-	settings := withNodeOf(prepared.settings, cs.host.activeSettings())
+	settings := withNodeIdentity(prepared.settings, cs.host.activeSettings())
 	cs.active = *prepared
 	cs.log.Info("fleet: version active", zap.Uint64("version", number))
 	cs.host.applyConfig(settings, prepared.loadIsLatency, prepared.table)
 	cs.estimates.schedule(number)
 }
 
-// versionInMemory is the version that the live heap can be compared with: the active one, where nothing of another one
+// soleVersionInMemory is the version that the live heap can be compared with: the active one, where nothing of another one
 // is alive.
-func (cs *configSubscriber) versionInMemory() (version *preparedVersion, ok bool) {
+func (cs *configSubscriber) soleVersionInMemory() (version *preparedVersion, ok bool) {
 	return &cs.active, cs.loader.isEmpty()
 }
 
-func (cs *configSubscriber) hasFormerTable() bool { return cs.host.hasFormerTable() }
+func (cs *configSubscriber) formerTableInUse() bool { return cs.host.formerTableInUse() }
 
 // startDrain tells the control plane that this process accepts nothing new any more.
 func (cs *configSubscriber) startDrain() { cs.handle(fleetconfig.StartDrain{}) }
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -81,11 +81,11 @@
 	case balancer.SetTimer:
 		p.loop.After(action.Delay, func() { p.events.handle(pool, balancer.Timer{Token: action.Token}) })
 	case balancer.Watch:
-		if pool == p.pools.lead {
+		if pool == p.pools.discoveryPool {
 			p.discoveryClient.Watch(action.On)
 		}
 	case balancer.Fetch:
-		if pool == p.pools.lead {
+		if pool == p.pools.discoveryPool {
 			p.discoveryClient.Fetch()
 		}
 	case balancer.Log:
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -56,14 +56,14 @@
 	p.endpoints.apply(list, announced, kind, p.loop.Now(), mark)
 }
 
-// onListFailure reports a failed call for the list to the lead pool's balancer, which alone asks again.
+// onListFailure reports a failed call for the list to the discovery pool's balancer, the only one that retries it.
 func (p *Proxy) onListFailure(err error) {
 	p.counters.ListFailures++
 	if errors.Is(err, discovery.ErrInvalidList) {
 		p.counters.MalformedLists++
 	}
 	p.warnDiscovery("discovery: call failed", err)
-	p.events.handle(p.pools.lead, balancer.EndpointUpdate{Kind: balancer.ListFailed})
+	p.events.handle(p.pools.discoveryPool, balancer.EndpointUpdate{Kind: balancer.ListFailed})
 }
 
 // warnDiscovery logs a message with the parts of a discovery.CallError as fields.
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -220,7 +220,7 @@
 		p.counters.NoRoute, p.counters.Fallbacks, p.counters.PoolTransfers = 304, 305, 306
 		p.pools.active[0].usage = routing.Usage{Open: 307, Waiting: 308}
 		if c.config == whole {
-			p.pools.usageOfRoute("first").Usage = routing.Usage{Open: 309, Waiting: 310}
+			p.pools.ensureRouteUsage("first").Usage = routing.Usage{Open: 309, Waiting: 310}
 			p.pools.retired = append(p.pools.retired, &endpointPool{name: "retired", usage: routing.Usage{Open: 311}})
 		}
 		before, loopFigures, found := bytes.Cut(p.Telemetry(), []byte("svc.loop."))
--- a/internal/proxy/hotrestart_link.go
+++ b/internal/proxy/hotrestart_link.go
@@ -19,9 +19,9 @@
 
 const (
 	heartbeatInterval = 100 * time.Millisecond
-	// processDescriptors are the descriptors of another process beside its connections: event loop, listeners, standard
+	// baseDescriptors are the descriptors of another process beside its connections: event loop, listeners, standard
 	// files.
-	processDescriptors = 14
+	baseDescriptors = 14
 )
 
 // restartHost is what a hotRestart needs of the proxy.
@@ -194,7 +194,7 @@
 	}
 	r.sendHeartbeat(heartbeat{OpenDescriptors: r.loop.ConnCount(), Serving: !r.host.starting()})
 	if r.successor != nil {
-		r.successor.checkAge()
+		r.successor.checkLiveness()
 	}
 	r.loop.After(heartbeatInterval, r.heartbeatTick)
 }
@@ -209,8 +209,8 @@
 	}
 }
 
-// sendEstablished tells the successor the endpoints of this process's connections, whose packets come to it next.
-func (r *hotRestart) sendEstablished() {
+// sendEstablishedEndpoints tells the successor the endpoints of this process's connections, whose packets come to it next.
+func (r *hotRestart) sendEstablishedEndpoints() {
 	if r.successor != nil {
 		endpoints := r.host.establishedEndpoints()
 		r.sendHeartbeat(heartbeat{OpenDescriptors: r.loop.ConnCount(), Serving: true, Established: endpoints})
@@ -224,7 +224,7 @@
 
 // successorServes reports whether a successor accepts clients from the same queues.
 func (r *hotRestart) successorServes() bool {
-	return r.successor != nil && r.successor.serving && r.successor.link.age() <= successorTimeout
+	return r.successor != nil && r.successor.serving && r.successor.link.heartbeatAge() <= successorTimeout
 }
 
 func (r *hotRestart) hasPeer() bool { return r.predecessor != nil || r.successor != nil }
@@ -245,16 +245,16 @@
 func (r *hotRestart) peerDescriptors() int {
 	n := 0
 	if r.predecessor != nil {
-		n += r.predecessor.link.openDescriptors + processDescriptors
+		n += r.predecessor.link.openDescriptors + baseDescriptors
 	}
 	if r.successor != nil {
-		n += r.successor.link.openDescriptors + processDescriptors
+		n += r.successor.link.openDescriptors + baseDescriptors
 	}
 	return n
 }
 
-// openAtPredecessor reports whether the predecessor had a session with that client ID at the handover.
-func (r *hotRestart) openAtPredecessor(clientID string) bool {
+// predecessorHasClient reports whether the predecessor had a session with that client ID at the handover.
+func (r *hotRestart) predecessorHasClient(clientID string) bool {
 	return r.predecessor != nil && r.predecessor.clientIDs[clientID]
 }
 
--- a/internal/proxy/hotrestart_peer.go
+++ b/internal/proxy/hotrestart_peer.go
@@ -42,8 +42,8 @@
 
 var _ evloop.Handler = (*peerLink)(nil)
 
-// age is how long ago the last heartbeat came.
-func (l *peerLink) age() time.Duration { return l.loop.Now() - l.lastHeartbeat }
+// heartbeatAge is how long ago the last heartbeat came.
+func (l *peerLink) heartbeatAge() time.Duration { return l.loop.Now() - l.lastHeartbeat }
 
 // send writes a heartbeat. It is dropped where too many wait: the next one has later values.
 func (l *peerLink) send(line []byte) {
--- a/internal/proxy/hotrestart_successor.go
+++ b/internal/proxy/hotrestart_successor.go
@@ -42,9 +42,9 @@
 	r.host.pauseListeners(true)
 }
 
-// checkAge accepts clients again where the successor has become unresponsive, and gives it up in the end.
-func (proc *successorProcess) checkAge() {
-	age := proc.link.age()
+// checkLiveness accepts clients again where the successor has become unresponsive, and gives it up in the end.
+func (proc *successorProcess) checkLiveness() {
+	age := proc.link.heartbeatAge()
 	switch {
 	case age > peerLostTimeout:
 		proc.link.fail(errNoHeartbeat)
--- a/internal/proxy/hotrestart_transfer.go
+++ b/internal/proxy/hotrestart_transfer.go
@@ -84,7 +84,7 @@
 		return
 	}
 	p.counters.ConnectionsTransferred++
-	s.setUsage(usesOpen)
+	s.setUsage(usageOpen)
 	p.sessions.addEstablished(s)
 	p.sessions.add(s)
 	conn.Connection.ID = s.id
@@ -118,10 +118,10 @@
 		relay:         relayState{unansweredSince: conn.UnansweredSince},
 	}
 	if s.pool == nil {
-		s.pool = p.pools.ofEndpoint(endpointID)
+		s.pool = p.pools.forEndpoint(endpointID)
 	}
 	if conn.Route != "" {
-		s.route = p.pools.usageOfRoute(conn.Route)
+		s.route = p.pools.ensureRouteUsage(conn.Route)
 	}
 	e := p.endpoints[endpointID]
 	if e == nil {
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -116,8 +116,8 @@
 	return true
 }
 
-// changeSchedule notes that the settings change. former is the schedule by those that were active until now.
-func (l *lifecycle) changeSchedule(now time.Duration, former shutdownSchedule) {
+// recordScheduleChange notes that the settings change. former is the schedule by those that were active until now.
+func (l *lifecycle) recordScheduleChange(now time.Duration, former shutdownSchedule) {
 	l.formerSchedule = l.stopSchedule(now, former)
 	l.scheduleChangedAt = now
 }
@@ -135,8 +135,8 @@
 	return current
 }
 
-// terminate reports whether a stop begins. current is the schedule by the active settings.
-func (l *lifecycle) terminate(now time.Duration, current shutdownSchedule) bool {
+// beginStop reports whether a stop begins. current is the schedule by the active settings.
+func (l *lifecycle) beginStop(now time.Duration, current shutdownSchedule) bool {
 	if l.stopping() {
 		return false
 	}
@@ -161,7 +161,7 @@
 		return 0
 	}
 	steps := max(int((schedule.migrateBy-elapsed)/drainStepInterval), 1)
-	return divideUp(n, steps)
+	return ceilDiv(n, steps)
 }
 
 // answersDue reports whether final answers must go out.
@@ -169,8 +169,8 @@
 	return l.stopping() && now-l.stopRequestedAt >= l.schedule.answerBy
 }
 
-// tooLate reports whether a request comes too late in a stop to be attempted.
-func (l *lifecycle) tooLate(now time.Duration) bool {
+// tooLateToAttempt reports whether a request comes too late in a stop to be attempted.
+func (l *lifecycle) tooLateToAttempt(now time.Duration) bool {
 	return !l.accepting() || l.stopping() && now-l.stopRequestedAt >= l.schedule.answerBy-drainStepInterval
 }
 
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -67,9 +67,9 @@
 	const now = time.Hour
 	schedule := scheduleOf(false, time.Second)
 	events := map[string]func(*lifecycle) bool{
-		"evacuate":  func(l *lifecycle) bool { return l.evacuate(now) },
-		"rejoin":    func(l *lifecycle) bool { return l.rejoin() },
-		"terminate": func(l *lifecycle) bool { return l.terminate(now, schedule) },
+		"evacuate":   func(l *lifecycle) bool { return l.evacuate(now) },
+		"rejoin":     func(l *lifecycle) bool { return l.rejoin() },
+		"begin stop": func(l *lifecycle) bool { return l.beginStop(now, schedule) },
 	}
 	for _, c := range []struct {
 		from     phase
@@ -79,16 +79,16 @@
 	}{
 		{phaseServing, false, "evacuate", result{true, phaseEvacuated, true}},
 		{phaseServing, false, "rejoin", result{false, phaseServing, false}},
-		{phaseServing, false, "terminate", result{true, phaseStopping, false}},
+		{phaseServing, false, "begin stop", result{true, phaseStopping, false}},
 		{phaseEvacuated, true, "evacuate", result{false, phaseEvacuated, true}},
 		{phaseEvacuated, true, "rejoin", result{true, phaseServing, false}},
-		{phaseEvacuated, true, "terminate", result{true, phaseStopping, true}},
+		{phaseEvacuated, true, "begin stop", result{true, phaseStopping, true}},
 		{phaseStopping, false, "evacuate", result{false, phaseStopping, true}},
 		{phaseStopping, true, "rejoin", result{false, phaseStopping, true}},
-		{phaseStopping, false, "terminate", result{false, phaseStopping, false}},
+		{phaseStopping, false, "begin stop", result{false, phaseStopping, false}},
 		{phaseClosed, true, "evacuate", result{false, phaseClosed, true}},
 		{phaseClosed, true, "rejoin", result{false, phaseClosed, true}},
-		{phaseClosed, true, "terminate", result{false, phaseClosed, true}},
+		{phaseClosed, true, "begin stop", result{false, phaseClosed, true}},
 	} {
 		l := &lifecycle{phase: c.from, notReady: c.notReady}
 		acts := events[c.event](l)
@@ -120,12 +120,12 @@
 		for i, next := range c.changes[1:] {
 			changeAt := now - time.Duration(len(c.changes)-2-i)*time.Millisecond
 			if c.stopAt < changeAt {
-				l.terminate(c.stopAt, current)
+				l.beginStop(c.stopAt, current)
 			}
-			l.changeSchedule(changeAt, current)
+			l.recordScheduleChange(changeAt, current)
 			current = next
 		}
-		l.terminate(c.stopAt, current)
+		l.beginStop(c.stopAt, current)
 		testkit.Equal(t, name, c.want, l.schedule, cmp.AllowUnexported(shutdownSchedule{}))
 	}
 }
@@ -169,12 +169,12 @@
 func TestShutdownBoundsDeadlines(t *testing.T) {
 	l := &lifecycle{}
 	testkit.Equal(t, "serving", time.Hour, l.boundDeadline(time.Hour))
-	l.terminate(time.Minute, scheduleOf(false, time.Second))
+	l.beginStop(time.Minute, scheduleOf(false, time.Second))
 	testkit.Equal(t, "stopping", time.Minute+1400*time.Millisecond, l.boundDeadline(time.Hour))
 	testkit.Equal(t, "earlier deadline", time.Minute+time.Second, l.boundDeadline(time.Minute+time.Second))
-	testkit.Equal(t, "in time", false, l.tooLate(time.Minute+1349*time.Millisecond))
-	testkit.Equal(t, "too late", true, l.tooLate(time.Minute+1350*time.Millisecond))
+	testkit.Equal(t, "in time", false, l.tooLateToAttempt(time.Minute+1349*time.Millisecond))
+	testkit.Equal(t, "too late", true, l.tooLateToAttempt(time.Minute+1350*time.Millisecond))
 	testkit.Equal(t, "no due time is passed over", 10*time.Millisecond, l.stepDelay(time.Minute+1390*time.Millisecond))
 	l = &lifecycle{phase: phaseClosed}
-	testkit.Equal(t, "closed", true, l.tooLate(0))
+	testkit.Equal(t, "closed", true, l.tooLateToAttempt(0))
 }
--- a/internal/proxy/pool_reload.go
+++ b/internal/proxy/pool_reload.go
@@ -30,11 +30,11 @@
 	}
 	now := ps.loop.Now()
 	former := ps.active
-	ps.logPools(table, pools, created)
+	ps.updatePoolNames(table, pools, created)
 	ps.table = table
 	ps.active = pools
-	if successors[slices.Index(former, ps.lead)] < 0 {
-		ps.lead = pools[0]
+	if successors[slices.Index(former, ps.discoveryPool)] < 0 {
+		ps.discoveryPool = pools[0]
 	}
 	updates := ps.owners.Reconfigure(now, &table.Set, warmUp, successors)
 	for i := range updates {
@@ -71,8 +71,8 @@
 	return pools, created, nil
 }
 
-// logPools gives the pools that are kept their names in the table, and logs what is new.
-func (ps *poolSet) logPools(table *routing.Table, pools, created []*endpointPool) {
+// updatePoolNames gives the pools that are kept their names in the table, and logs what is new.
+func (ps *poolSet) updatePoolNames(table *routing.Table, pools, created []*endpointPool) {
 	for i, pool := range pools {
 		if name := table.Set.Pools[i].Name; pool.name != name {
 			ps.log.Info("pool renamed", zap.String("from", pool.name), zap.String("to", name))
@@ -112,7 +112,7 @@
 		}
 	}
 	steps := max(int((pool.retireBy-ps.loop.Now())/retireInterval), 1)
-	for _, s := range remaining[:divideUp(len(remaining), steps)] {
+	for _, s := range remaining[:ceilDiv(len(remaining), steps)] {
 		ps.counters.MigrationsRetired++
 		s.migrate(balancer.Canceled)
 	}
@@ -124,5 +124,5 @@
 	ps.loop.After(retireInterval, func() { ps.retireStep(pool) })
 }
 
-// divideUp is n/d, rounded up.
-func divideUp(n, d int) int { return (n + d - 1) / d }
+// ceilDiv is n/d, rounded up.
+func ceilDiv(n, d int) int { return (n + d - 1) / d }
--- a/internal/proxy/pool_usage.go
+++ b/internal/proxy/pool_usage.go
@@ -10,9 +10,9 @@
 type usageKind int
 
 const (
-	usesNothing usageKind = iota
-	usesWaiting           // a request without an answer
-	usesOpen              // an established connection
+	usageNone    usageKind = iota
+	usageWaiting           // a request without an answer
+	usageOpen              // an established connection
 )
 
 // setUsage changes how a session counts.
@@ -29,9 +29,9 @@
 
 func addUsage(usage *routing.Usage, kind usageKind, n int) {
 	switch kind {
-	case usesWaiting:
+	case usageWaiting:
 		usage.Waiting += n
-	case usesOpen:
+	case usageOpen:
 		usage.Open += n
 	}
 }
@@ -39,7 +39,7 @@
 // assignPool moves a session to a pool.
 func (s *session) assignPool(pool *endpointPool) {
 	kind := s.usage
-	s.setUsage(usesNothing)
+	s.setUsage(usageNone)
 	s.pool = pool
 	s.setUsage(kind)
 }
@@ -57,8 +57,8 @@
 	}
 }
 
-// usageOfRoute is what a route has, by its name.
-func (ps *poolSet) usageOfRoute(name string) *routeUsage {
+// ensureRouteUsage is what a route has, by its name.
+func (ps *poolSet) ensureRouteUsage(name string) *routeUsage {
 	usage := ps.routeUsages[name]
 	if usage == nil {
 		usage = &routeUsage{}
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -37,14 +37,14 @@
 	counters *metrics.Counters
 	sessions *sessionTable
 
-	table       *routing.Table
-	owners      *routing.Owners
-	active      []*endpointPool // in the order of the table's
-	lead        *endpointPool   // whose balancer alone asks for the endpoint list
-	retired     []*endpointPool // dropped by the configuration, with connections left
-	routeUsages map[string]*routeUsage
-	releaseAt   time.Duration // when endpoints that are reserved are checked again; 0: none is
-	nextSeed    uint64        // for the next pool's balancer
+	table         *routing.Table
+	owners        *routing.Owners
+	active        []*endpointPool // in the order of the table's
+	discoveryPool *endpointPool   // only its balancer requests the endpoint list
+	retired       []*endpointPool // dropped by the configuration, with connections left
+	routeUsages   map[string]*routeUsage
+	releaseAt     time.Duration // when endpoints that are reserved are checked again; 0: none is
+	nextSeed      uint64        // for the next pool's balancer
 }
 
 // init creates the pools of the first table.
@@ -66,8 +66,8 @@
 // newPool creates a pool without endpoints.
 func (ps *poolSet) newPool(name string) (*endpointPool, error) {
 	pool := &endpointPool{name: name}
-	if ps.lead == nil {
-		ps.lead = pool
+	if ps.discoveryPool == nil {
+		ps.discoveryPool = pool
 	}
 	poolBalancer, err := balancer.New(ps.balancerSettings(pool), ps.nextSeed)
 	if err != nil {
@@ -78,19 +78,19 @@
 	return pool, nil
 }
 
-// balancerSettings are the settings of a pool's balancer: the lead pool's alone watches the endpoint list.
+// balancerSettings are the settings of a pool's balancer: only the discovery pool's balancer watches the endpoint list.
 func (ps *poolSet) balancerSettings(pool *endpointPool) balancer.Settings {
 	settings := *ps.settings.activeSettings()
-	settings.Subscribe = settings.Subscribe && pool == ps.lead
+	settings.Subscribe = settings.Subscribe && pool == ps.discoveryPool
 	return settings
 }
 
 // isSingle reports whether the fleet is undivided, as where the configuration names no pools.
 func (ps *poolSet) isSingle() bool { return len(ps.active) == 1 }
 
-// ofEndpoint is the pool that an endpoint belongs to now. For one that belongs to none it is the first one, whose
+// forEndpoint is the pool that an endpoint belongs to now. For one that belongs to none it is the first one, whose
 // balancer does not know it.
-func (ps *poolSet) ofEndpoint(endpointID string) *endpointPool {
+func (ps *poolSet) forEndpoint(endpointID string) *endpointPool {
 	if i := ps.owners.Pool(endpointID); i >= 0 {
 		return ps.active[i]
 	}
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -17,7 +17,7 @@
 	line := s.routingLine()
 	if decision, ok := p.pools.table.Decide(&line); ok {
 		s.table = p.pools.table
-		s.route = p.pools.usageOfRoute(p.pools.table.Set.Routes[decision.Route].Name)
+		s.route = p.pools.ensureRouteUsage(p.pools.table.Set.Routes[decision.Route].Name)
 	}
 	s.reattach()
 }
@@ -34,7 +34,7 @@
 	a := &attempt{session: s, endpoint: e, startedAt: now, deadline: now + reattachAttemptTimeout}
 	s.attempt = a
 	s.attemptCount = 1
-	s.assignPool(p.pools.ofEndpoint(e.id))
+	s.assignPool(p.pools.forEndpoint(e.id))
 	a.dial()
 }
 
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -33,7 +33,7 @@
 	s.countOutcome(completed)
 	p.sessions.addEstablished(s)
 	s.answered = true
-	s.setUsage(usesOpen)
+	s.setUsage(usageOpen)
 	if previous := s.request.PreviousEndpoint; previous != "" {
 		p.events.handle(s.pool, balancer.Adopted{Request: s.balancerRequest(), Endpoint: previous})
 	} else {
@@ -201,7 +201,7 @@
 func (s *session) close(status balancer.Status, last []byte) {
 	a := s.attempt
 	s.proxy.sessions.removeEstablished(s)
-	s.setUsage(usesNothing)
+	s.setUsage(usageNone)
 	s.closeDownstream(last)
 	// What the client sent last may still wait for an endpoint that reads slowly.
 	conn := a.conn
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -27,7 +27,7 @@
 		p.limitMemory()
 		p.reloadFleet(c)
 		if p.fleet != nil && p.fleet.hasActiveVersion() {
-			p.applyConfig(withNodeOf(p.settings, &c.Settings), p.loadIsLatency, p.pools.table)
+			p.applyConfig(withNodeIdentity(p.settings, &c.Settings), p.loadIsLatency, p.pools.table)
 			p.log.Info("settings and routes of the fleet's active version stay")
 		} else {
 			p.applyConfig(c.Settings, c.LoadIsLatency, c.Routes)
@@ -48,8 +48,8 @@
 	p.log.Warn("configuration rejected", zap.Error(err))
 }
 
-// withNodeOf returns settings with the zone and the index of own, which are this node's whatever the fleet's version.
-func withNodeOf(settings balancer.Settings, own *balancer.Settings) balancer.Settings {
+// withNodeIdentity returns settings with the zone and the index of own, which are this node's whatever the fleet's version.
+func withNodeIdentity(settings balancer.Settings, own *balancer.Settings) balancer.Settings {
 	settings.Zone = own.Zone
 	settings.Self = own.Self
 	return settings
@@ -66,7 +66,7 @@
 
 // applyConfig makes settings and routes the active ones: a file's, or those of a version of the fleet's.
 func (p *Proxy) applyConfig(settings balancer.Settings, loadIsLatency bool, table *routing.Table) {
-	p.drainer.changeSchedule(p.loop.Now(), newShutdownSchedule(p.settings))
+	p.drainer.recordScheduleChange(p.loop.Now(), newShutdownSchedule(p.settings))
 	for _, class := range p.settings.Classes {
 		p.droppedClasses[class.Name] = class
 	}
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -51,7 +51,7 @@
 		return false
 	}
 	routeName := table.Set.Routes[decision.Route].Name
-	route := p.pools.usageOfRoute(routeName)
+	route := p.pools.ensureRouteUsage(routeName)
 	var verdict routing.Verdict
 	s.policyState, verdict = table.BeginRequest(decision, route.Usage, p.pools.usageIn(table))
 	switch {
@@ -66,7 +66,7 @@
 	s.table = table
 	s.pool = p.pools.active[s.policyState.Pool]
 	s.route = route
-	s.setUsage(usesWaiting)
+	s.setUsage(usageWaiting)
 	if entry := p.log.Check(zap.DebugLevel, "routed"); entry != nil {
 		entry.Write(zap.String("id", s.clientID), zap.String("class", s.class), zap.String("route", routeName),
 			zap.String("pool", s.pool.name), zap.String("policy", s.policyState.Policy.Name))
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -15,7 +15,7 @@
 	// transferConnections hands connections to a successor; false where the clients are to be migrated instead.
 	transferConnections() bool
 	migrateClients(now time.Duration)
-	answerPending()
+	answerPendingRequests()
 	closeListeners()
 	shutdownState() shutdownState
 	exit()
@@ -45,7 +45,7 @@
 		d.host.migrateClients(now)
 	}
 	if d.answersDue(now) {
-		d.host.answerPending()
+		d.host.answerPendingRequests()
 	}
 	switch d.nextAction(now, d.host.shutdownState()) {
 	case closeListeners:
@@ -68,9 +68,9 @@
 // from any goroutine.
 func (p *Proxy) Stop() error {
 	return p.loop.Post(func() {
-		if p.drainer.terminate(p.loop.Now(), newShutdownSchedule(p.settings)) {
+		if p.drainer.beginStop(p.loop.Now(), newShutdownSchedule(p.settings)) {
 			p.log.Info("shutdown started", zap.Duration("answers_within", p.drainer.schedule.answerBy))
-			p.restart.sendEstablished()
+			p.restart.sendEstablishedEndpoints()
 			p.drainer.start()
 		}
 	})
@@ -108,8 +108,8 @@
 // answersPerTurn bounds how many requests get their final answers in one turn at the end.
 const answersPerTurn = 32
 
-// answerPending gives each request that waits its final answer, some a turn: unresponsive endpoints must not take it along.
-func (p *Proxy) answerPending() {
+// answerPendingRequests gives each request that waits its final answer, some a turn: unresponsive endpoints must not take it along.
+func (p *Proxy) answerPendingRequests() {
 	answered := 0
 	for _, id := range slices.Sorted(maps.Keys(p.sessions.byID)) {
 		s := p.sessions.byID[id]
@@ -117,7 +117,7 @@
 			continue
 		}
 		if answered++; answered > answersPerTurn {
-			p.loop.After(0, p.answerPending)
+			p.loop.After(0, p.answerPendingRequests)
 			return
 		}
 		if s.policyState.MayHaveRun() || s.attempt != nil && s.attempt.stage >= stageSent {
@@ -165,7 +165,7 @@
 
 // exit ends the event loop.
 func (p *Proxy) exit() {
-	p.restart.sendEstablished()
+	p.restart.sendEstablishedEndpoints()
 	p.writeCounters(p.log)
 	_ = p.loop.Stop() // cannot fail, see evloop.Loop.Post
 }
--- a/internal/proxy/start_times.go
+++ b/internal/proxy/start_times.go
@@ -13,8 +13,8 @@
 const (
 	// minClockStep is the least difference of the clocks that counts as a step: less comes from slewing.
 	minClockStep = 500 * time.Millisecond
-	// startTolerance is how far in the future a start may seem to be: discovery's machine has a clock of its own.
-	startTolerance = time.Second
+	// futureStartTolerance is how far in the future a start may seem to be: discovery's machine has a clock of its own.
+	futureStartTolerance = time.Second
 	// maxClockSteps is how many steps are remembered.
 	maxClockSteps = 8
 )
@@ -71,7 +71,7 @@
 	latest := int64(-1)
 	for _, offset := range s.offsets {
 		startMs := announcedMs - offset.Milliseconds()
-		if startMs <= nowMs+startTolerance.Milliseconds() {
+		if startMs <= nowMs+futureStartTolerance.Milliseconds() {
 			latest = max(latest, startMs)
 		}
 	}
--- a/internal/proxy/start_times_test.go
+++ b/internal/proxy/start_times_test.go
@@ -38,7 +38,7 @@
 			p.applyList(balancer.DeltaList, []discovery.Entry{
 				entry("after", wall-time.Second), entry("crossing", formerWall-2*time.Second), entry("before", formerWall-3*time.Second),
 			})
-			testkit.Equal(t, "age of one that started after the step", true, startOf("after") <= time.Second+10*time.Millisecond && startOf("after") >= -startTolerance)
+			testkit.Equal(t, "age of one that started after the step", true, startOf("after") <= time.Second+10*time.Millisecond && startOf("after") >= -futureStartTolerance)
 			testkit.Equal(t, "age of one that started before the step and is listed after it", true, startOf("crossing") <= 2*time.Second+10*time.Millisecond)
 			testkit.Equal(t, "age of one that was known", before, startOf("before"))
 			testkit.Equal(t, "age of one that has long been up", long, startOf("long"))
--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -23,11 +23,11 @@
 	// tooLongQuorum is how many replicas must say that a version is too long before it is rejected for that, where there
 	// are as many.
 	tooLongQuorum = 2
-	// maxTextShare is the part of the heap limit, as a divisor, that a version's text may have: decoding it takes up to
+	// maxTextHeapDivisor is the part of the heap limit, as a divisor, that a version's text may have: decoding it takes up to
 	// six times its size beside it.
-	maxTextShare = 8
-	// maxTextBesideBody is how many bytes a version's text may have beside its body.
-	maxTextBesideBody = 1 << 20
+	maxTextHeapDivisor = 8
+	// maxTextOverheadBytes is how many bytes a version's text may have beside its body.
+	maxTextOverheadBytes = 1 << 20
 )
 
 // loaderHost is what a versionLoader needs of the subscription.
@@ -78,8 +78,8 @@
 	l.startFetch(version)
 }
 
-// take returns the prepared version of that number and forgets it; nil if there is none.
-func (l *versionLoader) take(number uint64) *preparedVersion {
+// takePrepared returns the prepared version of that number and forgets it; nil if there is none.
+func (l *versionLoader) takePrepared(number uint64) *preparedVersion {
 	prepared := l.prepared
 	if prepared == nil || prepared.number != number {
 		return nil
@@ -140,9 +140,9 @@
 
 // maxTextBytes bounds the text of a version here.
 func (l *versionLoader) maxTextBytes() int64 {
-	limit := int64(fleetconfig.MaxBody + maxTextBesideBody)
+	limit := int64(fleetconfig.MaxBody + maxTextOverheadBytes)
 	if heapLimit := l.host.heapLimit(); heapLimit > 0 {
-		limit = min(limit, int64(heapLimit/maxTextShare))
+		limit = min(limit, int64(heapLimit/maxTextHeapDivisor))
 	}
 	return limit
 }
--- a/internal/proxy/version_measure.go
+++ b/internal/proxy/version_measure.go
@@ -23,10 +23,10 @@
 
 // estimateHost is what an estimateCheck needs of the subscription.
 type estimateHost interface {
-	// versionInMemory is the active version; ok is false where something of another one is alive.
-	versionInMemory() (version *preparedVersion, ok bool)
-	// hasFormerTable reports whether a request is left that was routed by a table that is no longer active.
-	hasFormerTable() bool
+	// soleVersionInMemory is the active version; ok is false where something of another one is alive.
+	soleVersionInMemory() (version *preparedVersion, ok bool)
+	// formerTableInUse reports whether a request is left that was routed by a table that is no longer active.
+	formerTableInUse() bool
 }
 
 // estimateCheck compares the estimates of versions' memory with what they take.
@@ -43,7 +43,7 @@
 		if c.measurable(number) == nil {
 			return
 		}
-		if c.host.hasFormerTable() {
+		if c.host.formerTableInUse() {
 			c.schedule(number)
 			return
 		}
@@ -57,7 +57,7 @@
 
 // measurable returns the version of that number where it is still active and nothing of another one is alive, else nil.
 func (c *estimateCheck) measurable(number uint64) *preparedVersion {
-	version, ok := c.host.versionInMemory()
+	version, ok := c.host.soleVersionInMemory()
 	if !ok || version.number != number {
 		return nil
 	}
