--- a/internal/proxy/admin_api.go
+++ b/internal/proxy/admin_api.go
@@ -2,12 +2,12 @@
 
 import "example.org/micafront/internal/metrics"
 
-// This file implements admin.Proxy.
+// The methods below implement admin.Proxy.
 
-// Ready reports whether this process accepts clients and has a configuration to act on.
+// Ready reports whether this process accepts clients and has a usable configuration.
 func (p *Proxy) Ready() bool { return p.drainer.accepting() && !p.starting() }
 
-// Telemetry returns all metrics, a name=value line each.
+// Telemetry returns all metrics, one name=value line per metric.
 func (p *Proxy) Telemetry() []byte {
 	p.loop.NameTurn(turnTelemetry)
 	out := p.counters.AppendMetrics(nil, metrics.Gauges{
@@ -23,22 +23,22 @@
 	return p.reasons.AppendMetrics(out)
 }
 
-// Evacuate migrates clients away; those that come all the same are served. It may be called again.
+// Evacuate migrates clients to other proxies. Clients that connect anyway are served. Repeated calls have no effect.
 func (p *Proxy) Evacuate() {
 	if p.drainer.evacuate(p.loop.Now()) {
 		p.drainer.start()
 	}
 }
 
-// Rejoin ends an evacuation. A stop that has begun goes on.
+// Rejoin ends an evacuation. It does not cancel a stop that has begun.
 func (p *Proxy) Rejoin() {
 	if p.drainer.rejoin() {
 		p.drainer.cancel()
 	}
 }
 
-// LogLevel returns the least severe level that is logged.
+// LogLevel returns the lowest severity that is logged.
 func (p *Proxy) LogLevel() string { return p.log.Level() }
 
-// SetLogLevel sets the least severe level that is logged: debug, info, warn or error.
+// SetLogLevel sets the lowest severity that is logged: debug, info, warn or error. Other names are an error.
 func (p *Proxy) SetLogLevel(name string) error { return p.log.SetLevel(name) }
--- a/internal/proxy/catalog_metrics.go
+++ b/internal/proxy/catalog_metrics.go
@@ -8,14 +8,14 @@
 	"example.org/micafront/internal/configbundle"
 )
 
-// Of a version's catalog a proxy keeps only the telemetry text, since the catalog itself is large.
+// A proxy keeps only the telemetry text of a version's catalog, because the catalog itself is large.
 const (
-	maxCatalogServices  = 64  // that the routes name
-	maxMetricValueBytes = 512 // of a name or value
+	maxCatalogServices  = 64  // services listed in the metrics, of those that the routes name
+	maxMetricValueBytes = 512 // per service name or metric value
 )
 
-// catalogMetrics is the telemetry text of a version's catalog: a name=value line each, nothing for a version without a
-// catalog.
+// catalogMetrics returns the telemetry text of a version's catalog, one name=value line per metric. It returns nil for a
+// version without a catalog.
 func catalogMetrics(bundle *configbundle.Bundle) (out []byte) {
 	if bundle.Catalog == nil {
 		return nil
@@ -36,7 +36,8 @@
 	return out
 }
 
-// metricText makes a text fit for a metric's line: without control characters, maxMetricValueBytes at most.
+// metricText makes text safe for a metric line: it truncates it to maxMetricValueBytes, drops invalid UTF-8 and replaces
+// control characters by spaces.
 func metricText(text string) string {
 	return apperror.OneLine(strings.ToValidUTF8(text[:min(len(text), maxMetricValueBytes)], ""))
 }
--- a/internal/proxy/catalog_metrics_test.go
+++ b/internal/proxy/catalog_metrics_test.go
@@ -9,8 +9,8 @@
 	"example.org/micafront/internal/configbundle"
 )
 
-// TestCatalogMetricsAreLines has a catalog with control characters and long texts: the metrics stay a name=value line each,
-// and bounded.
+// TestCatalogMetricsAreLines checks that a catalog with control characters and long texts still yields one name=value line
+// of bounded length per metric.
 func TestCatalogMetricsAreLines(t *testing.T) {
 	bundle := configbundle.Bundle{Catalog: &catalog.State{
 		Number:  3,
@@ -25,19 +25,19 @@
 	}
 	lines := strings.Split(strings.TrimSuffix(string(catalogMetrics(&bundle)), "\n"), "\n")
 	if len(lines) != 3+2*maxCatalogServices {
-		t.Fatalf("%d lines", len(lines))
+		t.Fatalf("got %d lines, want %d", len(lines), 3+2*maxCatalogServices)
 	}
 	for i, want := range []string{"svc.catalog.number=3", "svc.catalog.names=2", "svc.catalog.collisions=1", "svc.catalog.a%3D00 x.pools=p .q,r"} {
 		if lines[i] != want {
-			t.Errorf("line %d is %q", i, lines[i])
+			t.Errorf("line %d is %q, want %q", i, lines[i], want)
 		}
 	}
 	for _, line := range lines {
 		if name, value, ok := strings.Cut(line, "="); !ok || len(name) > 64 || len(value) > maxMetricValueBytes || strings.ContainsAny(value, "\r\n") {
-			t.Errorf("%.80q is not a metric", line)
+			t.Errorf("%.80q is not a valid metric line", line)
 		}
 	}
 	if got := catalogMetrics(&configbundle.Bundle{}); got != nil {
-		t.Errorf("without a catalog: %q", got)
+		t.Errorf("metrics without a catalog: %q", got)
 	}
 }
--- a/internal/proxy/config_subscriber.go
+++ b/internal/proxy/config_subscriber.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// headroomInterval is how often the control plane is sent this node's memory headroom.
+	// headroomInterval is how often this node reports its memory headroom to the control plane.
 	headroomInterval = 5 * time.Second
-	// headroomUnitBytes is what the memory in use is rounded down to: smaller changes are not worth an event.
+	// headroomUnitBytes is the unit to which the memory in use is rounded down, so that small changes cause no event.
 	headroomUnitBytes = 1 << 20
-	// warningInterval is how often failures of calls to the control plane are logged; the counters have each of them.
+	// warningInterval is the shortest time between logged failures of control-plane calls. The counters include every failure.
 	warningInterval = 10 * time.Second
 )
 
-// subscriberHost is what a configSubscriber needs of the proxy.
+// subscriberHost is the part of the proxy that a configSubscriber depends on.
 type subscriberHost interface {
 	placementHost
 	applyConfig(settings balancer.Settings, loadIsLatency bool, table *routing.Table)
-	// formerTableInUse reports whether a request is left that was routed by a table that is no longer active.
+	// formerTableInUse reports whether any open request was routed by a table that is no longer active.
 	formerTableInUse() bool
 	heapLimit(recordMB int) uint64
-	// resumeListeners accepts clients again, unless a successor does.
+	// resumeListeners accepts clients again unless a successor accepts them.
 	resumeListeners()
 	pauseListeners(paused bool)
 }
 
-// configSubscriber is a proxy's subscription to its fleet's configuration. The lease client decides which version is
-// active; here its renewals are sent to the control plane and its other actions are executed, by the loader where they
-// concern versions that are not active yet. A proxy without a fleet record has none.
+// configSubscriber subscribes a proxy to its fleet's configuration. The lease client decides which version is active. The
+// subscriber sends its renewals to the control plane and executes its other actions; the loader executes those for versions
+// that are not active yet. A proxy without a fleet record has no subscriber.
 type configSubscriber struct {
 	host          subscriberHost
 	loop          *evloop.Loop
@@ -47,13 +47,13 @@
 	leases        *fleetconfig.LeaseClient
 	controlPlane  *controlclient.Client
 	counters      *metrics.Fleet
-	memoryLimitMB int    // of the fleet record; 0: it names none
-	mesh          string // whose providers of services are used
+	memoryLimitMB int    // from the fleet record; 0: not set there
+	mesh          string // the service mesh whose providers are used
 
-	events             []fleetconfig.Event // for the lease client, that wait
-	handling           bool                // an event is being handled
+	events             []fleetconfig.Event // queued for the lease client
+	handling           bool                // handle is running
 	timer              *evloop.Timer       // the next tick
-	headroomReportedAt time.Duration       // 0: it is due
+	headroomReportedAt time.Duration       // 0: report at the next tick
 	warnedAt           time.Duration       // 0: never
 
 	active    preparedVersion // number 0: the configuration file's rules are active
@@ -61,10 +61,10 @@
 	placement placementAuthorizer
 	estimates estimateCheck
 
-	listenersPaused bool // accepting is left to the predecessor until there is a version to act on
+	listenersPaused bool // only the predecessor accepts clients until a version is active here
 }
 
-// joinFleet starts the subscription, where the configuration has a fleet record.
+// joinFleet starts the subscription if the configuration has a fleet record.
 func (p *Proxy) joinFleet(c *config.Config) {
 	if c.Fleet == nil {
 		return
@@ -76,7 +76,7 @@
 }
 
 func newConfigSubscriber(host subscriberHost, source *endpointListSource, record *config.Fleet, loop *evloop.Loop, log *logging.Logger) *configSubscriber {
-	incarnation := uint64(time.Now().UnixMicro()) // by the wall clock, so that a later process has a higher one
+	incarnation := uint64(time.Now().UnixMicro()) // wall clock, so that a later process has a higher value
 	counters := &metrics.Fleet{}
 	cs := &configSubscriber{
 		host:          host,
@@ -96,7 +96,7 @@
 	return cs
 }
 
-// pauseUntilReady leaves accepting to the predecessor for as long as there is no version to act on here.
+// pauseUntilReady leaves accepting to the predecessor until a version is active in this process.
 func (p *Proxy) pauseUntilReady() {
 	if p.restart.predecessor != nil && p.starting() {
 		p.fleet.listenersPaused = true
@@ -104,7 +104,7 @@
 	}
 }
 
-// starting reports whether this process has no configuration to act on yet.
+// starting reports whether this process has no usable configuration yet.
 func (p *Proxy) starting() bool { return p.fleet != nil && p.fleet.placement.starting() }
 
 func (p *Proxy) activeSettings() *balancer.Settings { return &p.settings }
@@ -126,7 +126,8 @@
 	return false
 }
 
-// handle hands an event to the lease client and executes its actions. Events that come up meanwhile are queued.
+// handle passes an event to the lease client and executes the resulting actions. Events raised by these actions are queued
+// and handled before it returns.
 func (cs *configSubscriber) handle(event fleetconfig.Event) {
 	cs.events = append(cs.events, event)
 	if cs.handling {
@@ -148,7 +149,7 @@
 	}
 }
 
-// execute executes an action of the lease client.
+// execute carries out one action of the lease client.
 func (cs *configSubscriber) execute(action fleetconfig.Action) {
 	switch action := action.(type) {
 	case fleetconfig.SendRenewal:
@@ -189,7 +190,7 @@
 	cs.controlPlane.Renew(action.Renewal, action.Attempt, action.Timeout, onAnswer)
 }
 
-// tick has the lease client see the time, and the memory headroom where it has not seen that for a while.
+// tick passes the time to the lease client, and the memory headroom every headroomInterval.
 func (cs *configSubscriber) tick() {
 	now := cs.loop.Now()
 	if cs.headroomReportedAt == 0 || now-cs.headroomReportedAt >= headroomInterval {
@@ -202,7 +203,7 @@
 	cs.handle(fleetconfig.Tick{})
 }
 
-// warn logs a failure of a call to the control plane, once in warningInterval at most.
+// warn logs a failed call to the control plane, at most once per warningInterval.
 func (cs *configSubscriber) warn(message string, fields ...zap.Field) {
 	now := cs.loop.Now()
 	if cs.warnedAt == 0 || now-cs.warnedAt >= warningInterval {
@@ -213,7 +214,7 @@
 
 func (cs *configSubscriber) heapLimit() uint64 { return cs.host.heapLimit(cs.memoryLimitMB) }
 
-// loaderInput is what the preparation of a version depends on here.
+// loaderInput returns the state of this process that the preparation of a version depends on.
 func (cs *configSubscriber) loaderInput() loaderInput {
 	return loaderInput{
 		activeTable:    cs.host.activeTable(),
@@ -222,11 +223,11 @@
 	}
 }
 
-// switchTo makes the prepared version the active one, in one turn.
+// switchTo makes the prepared version active within one turn of the event loop.
 func (cs *configSubscriber) switchTo(number uint64) {
 	prepared := cs.loader.takePrepared(number)
 	if prepared == nil {
-		// The lease client rejects requests until the version has been prepared.
+		// The lease client rejects requests until the version is prepared.
 		cs.log.Warn("fleet: active version is not prepared here", zap.Uint64("version", number))
 		return
 	}
@@ -237,18 +238,18 @@
 	cs.estimates.schedule(number)
 }
 
-// soleVersionInMemory is the version that the live heap can be compared with: the active one, where nothing of another one
-// is alive.
+// soleVersionInMemory returns the active version. ok is false while another version is also in memory, because the live heap
+// then says nothing about the active one.
 func (cs *configSubscriber) soleVersionInMemory() (version *preparedVersion, ok bool) {
 	return &cs.active, cs.loader.isEmpty()
 }
 
 func (cs *configSubscriber) formerTableInUse() bool { return cs.host.formerTableInUse() }
 
-// startDrain tells the control plane that this process accepts nothing new any more.
+// startDrain notifies the control plane that this process accepts no new requests.
 func (cs *configSubscriber) startDrain() { cs.handle(fleetconfig.StartDrain{}) }
 
-// onPredecessorExit accepts clients again, who are at least told when to retry.
+// onPredecessorExit resumes the listeners even without an active version, so that clients at least get a retry time.
 func (cs *configSubscriber) onPredecessorExit() {
 	if cs.listenersPaused {
 		cs.listenersPaused = false
@@ -256,7 +257,7 @@
 	}
 }
 
-// reload applies the fleet record of a configuration that was read again.
+// reload applies the fleet record of a reloaded configuration.
 func (cs *configSubscriber) reload(record *config.Fleet) {
 	cs.controlPlane.SetReplicas(record.ControlPlane)
 	cs.memoryLimitMB = record.MemoryMB
@@ -264,10 +265,10 @@
 	cs.headroomReportedAt = 0
 }
 
-// hasActiveVersion reports whether a version of the fleet's configuration has replaced the file's rules.
+// hasActiveVersion reports whether a version of the fleet's configuration has replaced the rules of the configuration file.
 func (cs *configSubscriber) hasActiveVersion() bool { return cs.active.number != 0 }
 
-// appendMetrics appends the telemetry text.
+// appendMetrics appends the telemetry text of the subscription, its list source and the active version's catalog.
 func (cs *configSubscriber) appendMetrics(out []byte) []byte {
 	out = cs.counters.AppendMetrics(out, cs.leases.Status(cs.loop.Now()))
 	out = cs.listSource.appendMetrics(out)
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// controlPlaneWatchTimeout is when a watch at a control-plane replica counts as lost. Replicas send an empty line
-	// every 2 s.
+	// controlPlaneWatchTimeout is how long a watch at a control-plane replica may be silent before it counts as lost.
+	// Replicas send an empty line every 2 s.
 	controlPlaneWatchTimeout = 3500 * time.Millisecond
-	// failoverDeadline is how long after a watch has become unresponsive its successor, even at service discovery, must
-	// have been asked.
+	// failoverDeadline bounds the time from the moment a watch becomes unresponsive until the next source, including service
+	// discovery, has been requested.
 	failoverDeadline = 6 * time.Second
-	// A negative value does not convert, so that the build fails where the deadline cannot be kept.
+	// A negative constant does not convert to uint64, so the build fails if the timeouts exceed the deadline.
 	_ = uint64(failoverDeadline - controlPlaneWatchTimeout - endpointlist.FailoverTimeout)
 )
 
-// controlPlaneTimes are those of calls to control-plane replicas, which leave time to ask another replica before service
-// discovery. No second watch is started beside an unresponsive one: another replica is asked, and this one in its turn.
+// controlPlaneTimes are the timeouts of calls to control-plane replicas. They leave time to try another replica before
+// service discovery. WatchProbeAfter exceeds WatchTimeout, so no standby watch is started at an unresponsive replica: the
+// replicas are requested in turn instead.
 var controlPlaneTimes = discovery.Times{
 	CallTimeout:     time.Second,
 	WatchProbeAfter: 2 * controlPlaneWatchTimeout,
@@ -35,7 +36,7 @@
 	WatchTimeout:    controlPlaneWatchTimeout,
 }
 
-// onList applies a new endpoint list, or changes of it.
+// onList applies a whole endpoint list or a delta.
 func (p *Proxy) onList(list discovery.List, kind balancer.ListKind) {
 	p.loop.NameTurn(turnEndpointList)
 	p.log.Info("endpoint list", zap.Int64("generation", list.Generation), zap.Bool("whole", kind != balancer.DeltaList),
@@ -44,7 +45,7 @@
 	p.pools.applyList(&list, kind)
 }
 
-// updateEndpoints brings the table of endpoints up to a list, and the list's start times to the loop's clock.
+// updateEndpoints applies a list to the endpoint table, and converts the list's start times to the loop's clock.
 func (p *Proxy) updateEndpoints(list *discovery.List, kind balancer.ListKind) {
 	if kind == balancer.DeltaList {
 		p.counters.DeltaLists++
@@ -86,19 +87,19 @@
 	p.log.Warn(message, fields...)
 }
 
-// listHost is what an endpointListSource needs of the proxy.
+// listHost is the part of the proxy that an endpointListSource depends on.
 type listHost interface {
 	// onList applies a list.
 	onList(list discovery.List, kind balancer.ListKind)
 	// onListFailure handles a failed call to service discovery.
 	onListFailure(err error)
-	// warnControlPlane logs a failed call to the control plane, not too often.
+	// warnControlPlane logs a failed call to the control plane, at most once per warningInterval.
 	warnControlPlane(message string, fields ...zap.Field)
 }
 
-// endpointListSource is where a proxy in a fleet has its endpoint list from: a control-plane replica or service
-// discovery. The selector decides which; here the discovery client is pointed there. What fails at a replica is asked for
-// again from here, since the balancers' backoff is meant for service discovery. A proxy without a fleet record has none.
+// endpointListSource selects where a proxy in a fleet gets its endpoint list from: a control-plane replica or service
+// discovery. The selector decides, and the endpointListSource points the discovery client there. It also retries calls that
+// fail at a replica, because the balancers' backoff is meant for service discovery. A proxy without a fleet record has none.
 type endpointListSource struct {
 	host           listHost
 	loop           *evloop.Loop
@@ -108,14 +109,15 @@
 	discoveryAddr  string
 	proxyCounters  *metrics.Counters
 	counters       metrics.EndpointListSource
-	leaseDuration  time.Duration // by the fleet record
+	leaseDuration  time.Duration // from the fleet record
 	leaseGrantedAt time.Duration
-	callFailed     bool // the last call at the current source
+	callFailed     bool // whether the last call to the current source failed
 	timer          *evloop.Timer
 }
 
-// startListSource has the proxy ask the control plane for the endpoint list, where the configuration has a fleet record.
-// Its list numbers do not compare with the generations of service discovery.
+// startListSource makes the proxy request the endpoint list from the control plane if the configuration has a fleet record.
+// The generation restarts at 0 because list numbers of the control plane and generations of service discovery are not
+// comparable.
 func (p *Proxy) startListSource(c *config.Config) {
 	if c.Fleet == nil {
 		return
@@ -139,8 +141,7 @@
 	l.update()
 }
 
-// reloadListSource applies the addresses of service discovery and of the control plane of a configuration that was read
-// again.
+// reloadListSource applies the addresses of service discovery and the control plane from a reloaded configuration.
 func (p *Proxy) reloadListSource(c *config.Config) {
 	l := p.listSource
 	if l == nil {
@@ -159,7 +160,8 @@
 	p.fleet.warn(message, fields...)
 }
 
-// update points the discovery client at the selected source, and comes back when the selection may change by time alone.
+// update points the discovery client at the selected source, and sets a timer for the next time-driven change of the
+// selection.
 func (l *endpointListSource) update() {
 	l.loop.Cancel(l.timer)
 	l.timer = nil
@@ -189,8 +191,8 @@
 	}
 }
 
-// onList applies a list. It may still come from the watch at the former address, until the new one answers; that says
-// nothing of the new source.
+// onList applies a list. Until the new source answers, the list may still come from the watch at the former address and
+// does not count as an answer of the new source.
 func (l *endpointListSource) onList(list discovery.List, kind balancer.ListKind) {
 	if l.client.Contacted() {
 		l.callFailed = false
@@ -209,14 +211,14 @@
 	if errors.Is(err, discovery.ErrInvalidList) {
 		l.proxyCounters.MalformedLists++
 	}
-	cause := errors.Unwrap(err) // without the name of service discovery
+	cause := errors.Unwrap(err) // drops the prefix that names service discovery
 	l.host.warnControlPlane("fleet: endpoint list call failed", zap.String("replica", l.client.Addr), zap.Error(cause))
 	l.callFailed = true
 	l.selector.CallFailed(l.loop.Now())
 	l.update()
 }
 
-// onLeaseGranted takes the number of the control plane's list, which each lease carries.
+// onLeaseGranted records the number of the control plane's list, which each lease carries.
 func (l *endpointListSource) onLeaseGranted(listNumber uint64) {
 	l.leaseGrantedAt = l.loop.Now()
 	l.counters.ListNumber = listNumber
@@ -224,7 +226,7 @@
 	l.update()
 }
 
-// onRenewalFailed tells the selector when the lease has expired.
+// onRenewalFailed notifies the selector if the lease has expired.
 func (l *endpointListSource) onRenewalFailed() {
 	if now := l.loop.Now(); now-l.leaseGrantedAt >= l.leaseDuration {
 		l.selector.LeaseExpired(now)
@@ -232,7 +234,7 @@
 	}
 }
 
-// appendMetrics appends the telemetry text.
+// appendMetrics appends the telemetry text of the list source.
 func (l *endpointListSource) appendMetrics(out []byte) []byte {
 	return l.counters.AppendMetrics(out, l.selector.Current())
 }
--- a/internal/proxy/hotrestart_link.go
+++ b/internal/proxy/hotrestart_link.go
@@ -14,54 +14,53 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file links a process with its predecessor and its successor. From the handover to the end of the former both
-// exchange heartbeats, so that limits and rules see one proxy.
+// A process is linked with its predecessor and its successor. From the handover until the older process exits, both exchange
+// heartbeats, so that limits apply to the two processes as one proxy.
 
 const (
 	heartbeatInterval = 100 * time.Millisecond
-	// baseDescriptors are the descriptors of another process beside its connections: event loop, listeners, standard
-	// files.
+	// baseDescriptors is the number of descriptors that another process holds besides its connections: event loop,
+	// listeners and standard files.
 	baseDescriptors = 14
 )
 
-// restartHost is what a hotRestart needs of the proxy.
+// restartHost is the part of the proxy that a hotRestart depends on.
 type restartHost interface {
-	// starting reports whether this process has no configuration to act on yet.
+	// starting reports whether this process has no usable configuration yet.
 	starting() bool
 	isStopping() bool
 	pauseListeners(paused bool)
 	listenerDescriptors() []int
 	captureState() *capturedState
-	// establishedEndpoints are the endpoints of established connections by client.
+	// establishedEndpoints maps clients to the endpoints of their established connections.
 	establishedEndpoints() map[uint64]string
 	restoreEstablished(endpoints map[uint64]string)
-	// adoptConnection goes on with a connection of the predecessor's.
+	// adoptConnection continues a connection of the predecessor.
 	adoptConnection(conn *transferredConn, downstreamFD, upstreamFD int)
 	onPeersChanged()
 	onPredecessorExit()
 }
 
-// hotRestart is the place of this process between a predecessor, which has handed over to it, and a successor, to which
-// it hands over its listeners, state and connections.
+// hotRestart takes over from a predecessor, and hands its listeners, state and connections over to a successor.
 type hotRestart struct {
 	host   restartHost
 	loop   *evloop.Loop
 	log    *logging.Logger
 	socket handoverSocket
 
-	predecessor      *predecessorProcess // nil: there is none
-	successor        *successorProcess   // nil: there is none
+	predecessor      *predecessorProcess // nil: no predecessor
+	successor        *successorProcess   // nil: no successor
 	heartbeatRunning bool
 }
 
-// receivedHandover is what a predecessor has handed over, if there is one.
+// receivedHandover holds the listeners, state and link received from a predecessor. It is empty without one.
 type receivedHandover struct {
 	listeners map[string]int // descriptors by name
-	state     *handoverState // nil where it cannot be read
-	link      int            // the connected socket; -1: there is no predecessor
+	state     *handoverState // nil: none, or unreadable
+	link      int            // the connected socket; -1: no predecessor
 }
 
-// continueClock has the loop go on with the predecessor's clock, so that its times keep their meaning.
+// continueClock makes the loop continue the predecessor's clock, so that the times in the handover keep their meaning.
 func (h *receivedHandover) continueClock(loop *evloop.Loop) error {
 	if h.state == nil || h.state.Clock == nil {
 		return nil
@@ -69,8 +68,8 @@
 	return loop.ContinueClock(*h.state.Clock)
 }
 
-// requestHandover asks a process that serves as the same name at the same address for its listeners and state. Without
-// one, this process starts by itself.
+// requestHandover requests the listeners and state of the process that serves under the same name at the same address. If
+// none does or the handover fails, this process starts without one.
 func (r *hotRestart) requestHandover(c *config.Config) receivedHandover {
 	none := receivedHandover{link: -1}
 	r.socket.path = hotrestart.SocketPath(c.TempDir, c.Name, c.Listen)
@@ -92,7 +91,7 @@
 	listeners := map[string]int{routing.MainListener: handover.Listeners[0]}
 	for i, fd := range handover.Listeners[1:] {
 		if state == nil || i >= len(state.Listeners) {
-			_ = unix.Close(fd) // nobody knows its name
+			_ = unix.Close(fd) // its listener name is unknown
 			continue
 		}
 		listeners[state.Listeners[i]] = fd
@@ -100,7 +99,7 @@
 	return receivedHandover{listeners: listeners, state: state, link: handover.Link}
 }
 
-// linkPredecessor links this process with the one that has handed over.
+// linkPredecessor starts the heartbeats with the process that handed over.
 func (r *hotRestart) linkPredecessor(handover receivedHandover) {
 	if handover.link < 0 {
 		return
@@ -114,7 +113,7 @@
 	}
 	conn, err := r.loop.Adopt(handover.link, &predecessor.link)
 	if err != nil {
-		r.warn("hot restart: no link to the predecessor", err)
+		r.warn("hot restart: failed to adopt the link to the predecessor", err)
 		return
 	}
 	conn.AcceptDescriptors()
@@ -124,20 +123,21 @@
 	r.startHeartbeats()
 }
 
-// offerHandover waits for a successor at the socket.
+// offerHandover opens the socket at which a successor connects.
 func (r *hotRestart) offerHandover() {
 	if err := r.socket.open(r.loop, r.handOver); err != nil {
-		r.warn("hot restart: no socket for a successor", err)
+		r.warn("hot restart: failed to open the socket for a successor", err)
 	}
 }
 
-// withdrawOffer ends the wait for a successor, as there are no listeners to hand over any more.
+// withdrawOffer closes the socket for successors because no listeners are left to hand over.
 func (r *hotRestart) withdrawOffer() {
 	r.socket.removeFile()
 	r.socket.close()
 }
 
-// handOver hands everything to a process that connects. A newer one replaces a successor that does not serve yet.
+// handOver hands listeners and state over to a process that connects. A newer process replaces a successor that does not
+// serve yet.
 func (r *hotRestart) handOver(conn *evloop.Conn) evloop.Handler {
 	successor := &successorProcess{restart: r}
 	successor.link = peerLink{loop: r.loop, conn: conn, process: successor, lastHeartbeat: r.loop.Now()}
@@ -147,14 +147,14 @@
 	}
 	r.loop.NameTurn(turnHandover)
 	state := r.host.captureState()
-	go func() { // ends with the text, which shares nothing with the loop
+	go func() { // ends after encoding; the captured state shares nothing with the loop
 		text, err := state.encode()
 		_ = r.loop.Post(func() { r.sendHandover(successor, text, err) }) // cannot fail, see evloop.Loop.Post
 	}()
 	return &successor.link
 }
 
-// sendHandover sends a process that has connected the listeners and the encoded state.
+// sendHandover sends the listeners and the encoded state to a process that has connected.
 func (r *hotRestart) sendHandover(successor *successorProcess, text []byte, err error) {
 	conn := successor.link.conn
 	if r.successor != nil && r.successor.serving {
@@ -165,7 +165,7 @@
 		err = conn.WriteWithDescriptors(append(text, '\n'), r.host.listenerDescriptors()...)
 	}
 	if err != nil {
-		r.warn("hot restart: handover not sent", err)
+		r.warn("hot restart: failed to send the handover", err)
 		conn.Close()
 		return
 	}
@@ -179,7 +179,7 @@
 	r.startHeartbeats()
 }
 
-// startHeartbeats sends heartbeats for as long as there are other processes.
+// startHeartbeats sends heartbeats while a predecessor or successor is linked.
 func (r *hotRestart) startHeartbeats() {
 	if !r.heartbeatRunning {
 		r.heartbeatRunning = true
@@ -202,14 +202,15 @@
 func (r *hotRestart) sendHeartbeat(h heartbeat) {
 	text, err := json.Marshal(h)
 	if err != nil {
-		return // cannot be: it has neither cycles nor channels
+		return // impossible: a heartbeat holds neither cycles nor channels
 	}
 	for _, link := range r.links() {
 		link.send(append(text, '\n'))
 	}
 }
 
-// sendEstablishedEndpoints tells the successor the endpoints of this process's connections, whose packets come to it next.
+// sendEstablishedEndpoints sends the successor the endpoints of this process's connections, because it receives their packets
+// next.
 func (r *hotRestart) sendEstablishedEndpoints() {
 	if r.successor != nil {
 		endpoints := r.host.establishedEndpoints()
@@ -217,19 +218,19 @@
 	}
 }
 
-// canTransfer reports whether the successor takes connections over.
+// canTransfer reports whether the successor takes over connections.
 func (r *hotRestart) canTransfer() bool {
 	return r.successorServes() && !r.successor.refusesTransfers
 }
 
-// successorServes reports whether a successor accepts clients from the same queues.
+// successorServes reports whether a successor accepts clients from the same accept queues.
 func (r *hotRestart) successorServes() bool {
 	return r.successor != nil && r.successor.serving && r.successor.link.heartbeatAge() <= successorTimeout
 }
 
 func (r *hotRestart) hasPeer() bool { return r.predecessor != nil || r.successor != nil }
 
-// links are those to the other processes, the predecessor's first.
+// links returns the links to the other processes, the predecessor's first.
 func (r *hotRestart) links() []*peerLink {
 	var links []*peerLink
 	if r.predecessor != nil {
@@ -241,7 +242,7 @@
 	return links
 }
 
-// peerDescriptors is how many descriptors the other processes have open.
+// peerDescriptors returns the number of descriptors that the other processes have open.
 func (r *hotRestart) peerDescriptors() int {
 	n := 0
 	if r.predecessor != nil {
@@ -253,10 +254,10 @@
 	return n
 }
 
-// predecessorHasClient reports whether the predecessor had a session with that client ID at the handover.
+// predecessorHasClient reports whether the predecessor still runs and had a session with clientID at the handover.
 func (r *hotRestart) predecessorHasClient(clientID string) bool {
 	return r.predecessor != nil && r.predecessor.clientIDs[clientID]
 }
 
-// warn logs what failed and why.
+// warn logs a failure with its cause.
 func (r *hotRestart) warn(message string, err error) { r.log.Warn(message, zap.Error(err)) }
--- a/internal/proxy/hotrestart_peer.go
+++ b/internal/proxy/hotrestart_peer.go
@@ -8,25 +8,25 @@
 	"example.org/micafront/internal/evloop"
 )
 
-// maxHeartbeatBytes bounds a heartbeat, and the heartbeats that wait for a slow process.
+// maxHeartbeatBytes bounds a received heartbeat, and the heartbeats queued for a slow process.
 const maxHeartbeatBytes = 1 << 20
 
-var errHeartbeatTooLong = errors.New("heartbeat too long")
+var errHeartbeatTooLong = errors.New("heartbeat exceeds 1 MiB")
 
-// heartbeat is what the processes send each other, a line each. Processes of different releases exchange it: the names of
-// its JSON members stay.
+// heartbeat is the message that the processes send each other, one JSON object per line. Processes of different releases
+// exchange it, so the names of its JSON members must not change.
 type heartbeat struct {
-	OpenDescriptors int               `json:"open"` // of connections
+	OpenDescriptors int               `json:"open"` // descriptors of connections
 	Serving         bool              `json:"serving"`
-	Established     map[uint64]string `json:"stood,omitempty"` // at a stop: endpoints of established connections by client
-	Transfer        *transferredConn  `json:"relay,omitempty"` // at a stop: a connection, its two descriptors along with it
+	Established     map[uint64]string `json:"stood,omitempty"` // during a stop: endpoints of established connections, by client
+	Transfer        *transferredConn  `json:"relay,omitempty"` // during a stop: a connection; its two descriptors accompany the message
 }
 
 // linkedProcess is the process at the other end of a peerLink.
 type linkedProcess interface {
-	// onHeartbeat handles a heartbeat that came.
+	// onHeartbeat handles a received heartbeat.
 	onHeartbeat(h heartbeat)
-	// onLinkClosed is called once, when the connection has been closed. cause is nil where the process has exited.
+	// onLinkClosed is called once, after the connection has closed. cause is nil if the other process closed it.
 	onLinkClosed(cause error)
 }
 
@@ -35,24 +35,24 @@
 	loop            *evloop.Loop
 	conn            *evloop.Conn
 	process         linkedProcess
-	buffer          []byte        // the start of a heartbeat whose rest has not come
-	lastHeartbeat   time.Duration // when it came; at first when the link was made
-	openDescriptors int           // of the other process's connections
+	buffer          []byte        // an incomplete heartbeat
+	lastHeartbeat   time.Duration // arrival of the last heartbeat; initially the creation of the link
+	openDescriptors int           // descriptors of the other process's connections
 }
 
 var _ evloop.Handler = (*peerLink)(nil)
 
-// heartbeatAge is how long ago the last heartbeat came.
+// heartbeatAge returns the time since the last heartbeat arrived.
 func (l *peerLink) heartbeatAge() time.Duration { return l.loop.Now() - l.lastHeartbeat }
 
-// send writes a heartbeat. It is dropped where too many wait: the next one has later values.
+// send writes a heartbeat. It drops the heartbeat if too much output is pending, because the next one carries newer values.
 func (l *peerLink) send(line []byte) {
 	if l.conn.Pending() < maxHeartbeatBytes {
 		l.conn.Write(line)
 	}
 }
 
-// fail closes a link that is of no use any more.
+// fail closes the link because of cause.
 func (l *peerLink) fail(cause error) {
 	l.conn.Close()
 	l.process.onLinkClosed(cause)
--- a/internal/proxy/hotrestart_predecessor.go
+++ b/internal/proxy/hotrestart_predecessor.go
@@ -2,15 +2,15 @@
 
 import "go.uber.org/zap"
 
-// descriptorsPerTransfer are the descriptors that come along with a transferred connection: the client's and the
+// descriptorsPerTransfer is the number of descriptors that accompany a transferred connection: the client's and the
 // endpoint's.
 const descriptorsPerTransfer = 2
 
-// predecessorProcess is the process that has handed over to this one and still has connections.
+// predecessorProcess is the process that handed over to this one and still holds connections.
 type predecessorProcess struct {
 	restart   *hotRestart
 	link      peerLink
-	clientIDs map[string]bool // of its sessions at the handover
+	clientIDs map[string]bool // clients with a session there at the handover
 }
 
 // onHeartbeat is part of linkedProcess.
@@ -21,7 +21,7 @@
 	}
 }
 
-// receiveConnection takes over a connection. One whose descriptors have not come along is lost.
+// receiveConnection takes over a connection. A connection whose descriptors did not arrive is lost.
 func (proc *predecessorProcess) receiveConnection(conn *transferredConn) {
 	fds := proc.link.conn.ReceivedDescriptors(descriptorsPerTransfer)
 	if fds == nil {
@@ -30,7 +30,7 @@
 	proc.restart.host.adoptConnection(conn, fds[0], fds[1])
 }
 
-// onLinkClosed is part of linkedProcess. Whatever the cause, this process has what was handed over and goes on.
+// onLinkClosed is part of linkedProcess. This process continues whatever the cause, because it holds the whole handover.
 func (proc *predecessorProcess) onLinkClosed(cause error) {
 	r := proc.restart
 	r.log.Debug("hot restart: link to the predecessor closed", zap.Error(cause))
--- a/internal/proxy/hotrestart_state.go
+++ b/internal/proxy/hotrestart_state.go
@@ -15,29 +15,28 @@
 	"go.uber.org/zap"
 )
 
-// This file encodes the state that a process hands to its successor, and restores it there.
-
-// json writes and reads the texts that processes exchange, in the same manner as encoding/json.
+// json encodes and decodes the messages between processes, compatibly with encoding/json.
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// handoverState is what a process hands to its successor beside the listening sockets. Processes of different releases
-// exchange it: the names of its JSON members stay.
+// handoverState is the state that a process hands to its successor together with the listening sockets. Processes of
+// different releases exchange it, so the names of its JSON members must not change.
 type handoverState struct {
-	Discovery      string                    // the address that the endpoint list is from
-	EndpointList   jsoniter.RawMessage       `json:"List"`   // in the form of service discovery
-	Balancer       balancer.State            `json:"Module"` // of an undivided fleet's pool
-	Pools          map[string]balancer.State // of each pool, where the fleet is divided
-	Reserved       map[string]time.Duration  `json:"Held"` // endpoints that belong to no pool until then
-	Listeners      []string                  // the names of the extra listeners, in the order of their descriptors
+	Discovery      string                    // the address that supplied the endpoint list
+	EndpointList   jsoniter.RawMessage       `json:"List"`   // encoded as by service discovery
+	Balancer       balancer.State            `json:"Module"` // state of the only pool, if the configuration names no pools
+	Pools          map[string]balancer.State // state of each pool by name, if the configuration names pools
+	Reserved       map[string]time.Duration  `json:"Held"` // by endpoint, the time until which it belongs to no pool
+	Listeners      []string                  // names of the extra listeners, in the order of their descriptors
 	DroppedClasses map[string]balancer.Class `json:"Dropped"`
-	ClientIDs      []string                  `json:"Open"` // of all sessions
+	ClientIDs      []string                  `json:"Open"` // client IDs of all sessions
 
-	// Clock is that of the process, by which all times here are. Older releases have none: theirs began with the wall clock.
+	// Clock is the process's clock, to which all times in the state refer. Older releases send none: their clock started at
+	// wall-clock time.
 	Clock *evloop.ClockReading `json:",omitempty"`
 }
 
-// poolState is the state of a pool, by its name or a former one; ok is false where there is none. single is set where the
-// fleet is undivided here.
+// poolState returns the state of a pool, looked up by its current name and then its former ones. ok is false if there is none.
+// single reports whether the pool is the only one in this process.
 func (h *handoverState) poolState(pool *routing.Pool, single bool) (state balancer.State, ok bool) {
 	if len(h.Pools) == 0 {
 		return h.Balancer, single
@@ -50,13 +49,14 @@
 	return balancer.State{}, false
 }
 
-// capturedState is a handoverState whose endpoint list has yet to be encoded. It shares nothing that changes.
+// capturedState is a handoverState whose endpoint list is not encoded yet. It shares no mutable data with the event loop.
 type capturedState struct {
 	handoverState
 	list discovery.List
 }
 
-// encode returns the text for a successor. With thousands of endpoints that takes tens of milliseconds.
+// encode returns the JSON text for a successor. With thousands of endpoints it takes tens of milliseconds, so it runs outside
+// the event loop.
 func (c *capturedState) encode() ([]byte, error) {
 	slices.SortFunc(c.list.Instances, func(a, b discovery.Entry) int { return cmp.Compare(a.ID, b.ID) })
 	c.Balancer.FindOwners()
@@ -72,7 +72,7 @@
 	return json.Marshal(c.handoverState)
 }
 
-// captureState takes the state for a successor.
+// captureState copies the state for a successor.
 func (p *Proxy) captureState() *capturedState {
 	list := discovery.List{
 		Generation: p.discoveryClient.Generation,
@@ -81,7 +81,7 @@
 	}
 	for _, e := range p.endpoints {
 		entry := e.entry
-		entry.StartedAtMs = e.announcedStartMs // the successor converts it by its own clock
+		entry.StartedAtMs = e.announcedStartMs // the successor converts it to its own clock
 		list.Instances = append(list.Instances, entry)
 	}
 	state := handoverState{
@@ -98,7 +98,7 @@
 			state.Pools[pool.name] = pool.balancer.CaptureState()
 		}
 	}
-	if clock, err := p.loop.ReadClock(); err == nil { // else the successor begins with the wall clock
+	if clock, err := p.loop.ReadClock(); err == nil { // on an error the successor's clock starts at wall-clock time
 		state.Clock = &clock
 	}
 	for id := range p.sessions.byClientID {
@@ -107,7 +107,7 @@
 	return &capturedState{state, list}
 }
 
-// startBalancers starts the pools' balancers: from the predecessor's state, else with the endpoint list of the
+// startBalancers starts the pools' balancers from the predecessor's state, or else with the endpoint list of the
 // configuration.
 func (p *Proxy) startBalancers(c *config.Config, state *handoverState) {
 	if state == nil || !p.restoreState(state) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// restoreState restores a predecessor's state. It returns false where no balancer goes on with it.
+// restoreState restores a predecessor's state. It returns false if no balancer could resume from it.
 func (p *Proxy) restoreState(state *handoverState) bool {
 	p.droppedClasses = map[string]balancer.Class{}
 	maps.Copy(p.droppedClasses, state.DroppedClasses)
@@ -132,12 +132,12 @@
 	p.discoveryClient.SeenEndpoints = len(list.Instances) > 0
 	p.discoveryClient.Generation = list.Generation
 	if state.Discovery != p.discoveryClient.Addr {
-		p.discoveryClient.Generation = 0 // generations of different sources do not compare
+		p.discoveryClient.Generation = 0 // generations of different sources are not comparable
 	}
 	p.updateEndpoints(&list, balancer.CachedList)
 	p.pools.owners.RestoreReservations(state.Reserved)
 	updates := p.pools.owners.ApplyList(p.loop.Now(), balancer.CachedList, list.Generation, list.Entries())
-	divided := len(state.Pools) > 0 // else the only pool's state has the whole list already
+	divided := len(state.Pools) > 0 // otherwise the only pool's state already holds the whole list
 	for i, pool := range p.pools.active {
 		if restored[i].ok {
 			p.events.executeAll(pool, restored[i].actions)
@@ -147,7 +147,7 @@
 			p.events.handle(pool, updates[i].Members)
 		}
 	}
-	p.pools.distribute(nil) // logs changes of owners, and sets the timer for endpoints that are reserved
+	p.pools.distribute(nil) // logs ownership changes and sets the timer for reserved endpoints
 	return true
 }
 
@@ -157,8 +157,8 @@
 	ok      bool
 }
 
-// resumeBalancers has the balancers of all pools that have a state go on with it. The result is in the order of the
-// pools; anyRestored is false where none does.
+// resumeBalancers resumes the balancer of each pool that has a state. The results are in the order of the pools. anyRestored
+// reports whether any balancer resumed.
 func (p *Proxy) resumeBalancers(state *handoverState) (restored []restoredBalancer, anyRestored bool) {
 	for i, pool := range p.pools.active {
 		var result restoredBalancer
--- a/internal/proxy/hotrestart_successor.go
+++ b/internal/proxy/hotrestart_successor.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// successorTimeout is how long after its last heartbeat a successor is taken to serve. Then this process accepts
-	// again.
+	// successorTimeout is how long after its last heartbeat a successor still counts as serving. After that this process
+	// accepts clients again.
 	successorTimeout = time.Second
-	// peerLostTimeout is when a successor without heartbeats is given up.
+	// peerLostTimeout is how long after its last heartbeat the link to a successor is closed.
 	peerLostTimeout = 10 * time.Second
-	// maxFailedTransfers is for how many steps in a row a successor may be too busy for another connection.
+	// maxFailedTransfers is the number of consecutive drain steps in which a successor may fail to take a connection.
 	maxFailedTransfers = 10
 )
 
-var errNoHeartbeat = errors.New("no heartbeat")
+var errNoHeartbeat = errors.New("no heartbeat within 10s")
 
 // successorProcess is the process to which this one has handed over.
 type successorProcess struct {
 	restart          *hotRestart
 	link             peerLink
 	serving          bool
-	failedTransfers  int  // in a row
-	refusesTransfers bool // after too many that failed
+	failedTransfers  int  // consecutive
+	refusesTransfers bool // set after more than maxFailedTransfers consecutive failures
 }
 
-// onHeartbeat is part of linkedProcess. Once the successor serves, the accept queues are left to it.
+// onHeartbeat is part of linkedProcess. Once the successor serves, only the successor accepts clients.
 func (proc *successorProcess) onHeartbeat(h heartbeat) {
 	r := proc.restart
 	if !h.Serving {
@@ -36,13 +36,13 @@
 	}
 	if !proc.serving {
 		proc.serving = true
-		r.socket.close() // the next successor connects to this one
+		r.socket.close() // a later process connects to this successor instead
 		r.log.Info("hot restart: successor serves")
 	}
 	r.host.pauseListeners(true)
 }
 
-// checkLiveness accepts clients again where the successor has become unresponsive, and gives it up in the end.
+// checkLiveness resumes the listeners after successorTimeout without a heartbeat, and closes the link after peerLostTimeout.
 func (proc *successorProcess) checkLiveness() {
 	age := proc.link.heartbeatAge()
 	switch {
@@ -53,8 +53,8 @@
 	}
 }
 
-// transfer hands a connection and copies of its descriptors to the successor. Where that is busy, which the error is most
-// likely due to, it may be tried again in a later step for as long as hotRestart.canTransfer.
+// transfer sends a connection and copies of its descriptors to the successor. An error most likely means that the successor is
+// busy; the caller may retry in a later step while hotRestart.canTransfer returns true.
 func (proc *successorProcess) transfer(conn *transferredConn, downstreamFD, upstreamFD int) error {
 	text, err := json.Marshal(heartbeat{OpenDescriptors: proc.link.loop.ConnCount(), Serving: true, Transfer: conn})
 	if err == nil {
@@ -69,12 +69,12 @@
 	return nil
 }
 
-// onLinkClosed is part of linkedProcess: this process serves on and waits for another successor.
+// onLinkClosed is part of linkedProcess. This process accepts clients again and waits for another successor.
 func (proc *successorProcess) onLinkClosed(cause error) {
 	r := proc.restart
 	r.log.Debug("hot restart: link to the successor closed", zap.Error(cause))
 	if r.successor != proc {
-		return // it has gone before it got anything
+		return // the process exited before it received the handover, or was replaced
 	}
 	r.successor = nil
 	r.log.Info("hot restart: successor exited, this process serves")
--- a/internal/proxy/hotrestart_transfer.go
+++ b/internal/proxy/hotrestart_transfer.go
@@ -11,25 +11,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file transfers established connections from a process that stops to its successor.
-
-// transferredConn is an established connection as a successor needs it. Processes of different releases exchange it: the
-// names of its JSON members stay.
+// transferredConn describes an established connection to the successor that continues it. Processes of different releases
+// exchange it, so the names of its JSON members must not change.
 type transferredConn struct {
 	ClientID          string
 	Route             string
 	Pool              string
 	Connection        balancer.Adopted `json:"Open"`
 	EndpointAddr      string           `json:"Addr"`
-	PartialMessage    []byte           `json:"Tail"`     // the start of a message of the endpoint's
-	PendingDownstream []byte           `json:"ToClient"` // not written yet
-	PendingUpstream   []byte           `json:"ToHop"`    // not written yet
+	PartialMessage    []byte           `json:"Tail"`     // an incomplete message from the endpoint
+	PendingDownstream []byte           `json:"ToClient"` // output not yet written to the client
+	PendingUpstream   []byte           `json:"ToHop"`    // output not yet written to the endpoint
 	UnansweredSince   time.Duration    `json:"Asked"`
 	LastMessage       MessageKind      `json:"Last"`
 }
 
-// transferConnections hands the established connections to the successor. It returns false where there is none that takes
-// them over, so that the clients are to be migrated.
+// transferConnections transfers the established connections to the successor. It returns false if no successor takes them
+// over; the caller then migrates the clients.
 func (p *Proxy) transferConnections() bool {
 	if !p.restart.canTransfer() {
 		return false
@@ -51,7 +49,7 @@
 	return true
 }
 
-// describeConnection is an established connection as the successor needs it.
+// describeConnection returns the description of an established connection for the successor.
 func (p *Proxy) describeConnection(s *session) *transferredConn {
 	a := s.attempt
 	conn := &transferredConn{
@@ -68,14 +66,14 @@
 		conn.Route = p.pools.routeName(s.route)
 	}
 	connection, known := s.pool.balancer.Connection(s.id)
-	if !known { // its endpoint has never been in the list
+	if !known { // the endpoint was never in the list
 		connection = balancer.Adopted{Request: balancer.Request{Class: s.class}, Endpoint: a.endpoint.id}
 	}
 	conn.Connection = connection
 	return conn
 }
 
-// adoptConnection goes on with a connection of the predecessor's.
+// adoptConnection continues a connection of the predecessor.
 func (p *Proxy) adoptConnection(conn *transferredConn, downstreamFD, upstreamFD int) {
 	s := p.transferredSession(conn)
 	a := s.attempt
@@ -90,7 +88,7 @@
 	conn.Connection.ID = s.id
 	p.events.handle(s.pool, conn.Connection)
 	if s.downstreamState() != stateRelaying {
-		return // it was migrated at once, off an endpoint that drains
+		return // the balancer migrated it at once because its endpoint drains
 	}
 	a.conn.Write(conn.PendingUpstream)
 	if a.conn.Pending() > maxPendingOutput {
@@ -102,7 +100,7 @@
 	}
 }
 
-// transferredSession is the session of a predecessor's connection, without its two connections.
+// transferredSession returns the session for a predecessor's connection, without its downstream and upstream.
 func (p *Proxy) transferredSession(conn *transferredConn) *session {
 	className := conn.Connection.Class
 	endpointID := conn.Connection.Endpoint
@@ -138,8 +136,8 @@
 	return s
 }
 
-// adoptDescriptors makes the two descriptors the session's connections. It fails where the kernel has no memory for one
-// more in the poller; both are closed then.
+// adoptDescriptors adopts the two descriptors as the session's downstream and the attempt's upstream. It fails if the kernel
+// has no memory to poll one more descriptor; it then closes both.
 func adoptDescriptors(loop *evloop.Loop, s *session, a *attempt, downstreamFD, upstreamFD int) error {
 	downstream, err := loop.Adopt(downstreamFD, downstreamHandler{s})
 	if err != nil {
@@ -156,7 +154,7 @@
 	return nil
 }
 
-// establishedEndpoints are the endpoints of this process's connections by client.
+// establishedEndpoints maps clients to the endpoints of this process's established connections.
 func (p *Proxy) establishedEndpoints() map[uint64]string {
 	endpoints := map[uint64]string{}
 	for _, pool := range slices.Concat(p.pools.retired, p.pools.active) {
@@ -165,7 +163,7 @@
 	return endpoints
 }
 
-// restoreEstablished tells the balancers the endpoints of a predecessor's connections by client.
+// restoreEstablished passes the endpoints of a predecessor's connections, by client, to the balancers.
 func (p *Proxy) restoreEstablished(endpoints map[uint64]string) {
 	for _, pool := range p.pools.active {
 		pool.balancer.RestoreEstablished(endpoints)
--- a/internal/proxy/hotrestart_transfer_test.go
+++ b/internal/proxy/hotrestart_transfer_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestAdoptDescriptorsFails has either descriptor of a transferred connection fail: the other one is closed.
+// TestAdoptDescriptorsFails checks that the other descriptor is closed when one of a transferred connection cannot be adopted.
 func TestAdoptDescriptorsFails(t *testing.T) {
 	loop, err := evloop.New()
 	if err != nil {
@@ -25,14 +25,14 @@
 		s, a := &session{}, &attempt{}
 		downstreamFD, upstreamFD := descriptors(pair[0])
 		if err := adoptDescriptors(loop, s, a, downstreamFD, upstreamFD); err == nil {
-			t.Errorf("%s: adopted", name)
+			t.Errorf("%s: invalid descriptor was adopted", name)
 		}
 		if n, err := unix.Write(pair[1], []byte("x")); err == nil {
-			t.Errorf("%s: the other descriptor is left open, it takes %d bytes", name, n)
+			t.Errorf("%s: the other descriptor is still open, %d bytes were written to it", name, n)
 		}
 		if s.downstream != nil || a.conn != nil {
-			t.Errorf("%s: a connection is set", name)
+			t.Errorf("%s: a connection is set after the failure", name)
 		}
-		_ = unix.Close(pair[1]) // the test ends its use
+		_ = unix.Close(pair[1]) // only this test uses it
 	}
 }
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -6,48 +6,48 @@
 	"example.org/micafront/balancer"
 )
 
-// This file decides what is due in the life of a process: evacuation, rejoining, a stop. It does no I/O; the time is
-// passed in.
+// The lifecycle decides when a process migrates clients, closes its listeners and exits. It does no I/O; callers pass in the
+// time.
 
 const (
-	// arrivalWindow is how long after the signal new connections come.
+	// arrivalWindow is how long after the signal new connections still arrive.
 	arrivalWindow = 400 * time.Millisecond
-	// idleBeforeClose is how long none must have come before the listeners are closed.
+	// idleBeforeClose is how long no request must have arrived before the listeners close.
 	idleBeforeClose = 300 * time.Millisecond
-	// drainStepInterval is that of the steps of an evacuation or a stop.
+	// drainStepInterval is the time between the steps of an evacuation or a stop.
 	drainStepInterval = 50 * time.Millisecond
-	// maxCountedTimeout is what a longer timeout counts as.
+	// maxCountedTimeout caps a class's timeout in the schedule.
 	maxCountedTimeout = 3 * time.Second
-	// killDelay is how long after the longest timeout the process would be killed.
+	// killDelay is the time from the longest timeout, counted from the signal, to the kill of the process.
 	killDelay = 700 * time.Millisecond
-	// answersBeforeKill is how long before that all final answers are out.
+	// answersBeforeKill is how long before the kill all final answers have been sent.
 	answersBeforeKill = 300 * time.Millisecond
-	// exitBeforeKill is how long before that the process has ended.
+	// exitBeforeKill is how long before the kill the process exits.
 	exitBeforeKill = 100 * time.Millisecond
-	// maxMigrationTime is how long after the signal the last clients are migrated, however long the timeouts are.
+	// maxMigrationTime is how long after the signal the last clients are migrated at the latest, whatever the timeouts.
 	maxMigrationTime = 2300 * time.Millisecond
-	// passThroughMargin is how long after the latest kill a process ends by itself where packets pass through.
+	// passThroughMargin is how long after the latest kill a process with pass-through of packets exits by itself.
 	passThroughMargin = time.Second
-	// signalOrderWindow is how long after a change of the settings a stop may arrive that was requested before it.
+	// signalOrderWindow is how long after a change of the settings a stop that was requested before the change may arrive.
 	signalOrderWindow = 500 * time.Millisecond
 )
 
-// shutdownSchedule is when the parts of a stop are due, counted from the signal.
+// shutdownSchedule holds the due times of the parts of a stop, counted from the signal.
 type shutdownSchedule struct {
-	migrateFrom time.Duration // clients are migrated from then on
-	migrateBy   time.Duration // until then at an even pace, then each in the next step
-	closeFrom   time.Duration // the listeners are closed from then on, if no answer is pending
-	answerBy    time.Duration // every request has its final answer, and the listeners are closed in any case
-	exitBy      time.Duration // the process has ended
+	migrateFrom time.Duration // migration of clients starts
+	migrateBy   time.Duration // end of migration at an even pace; later each step migrates all remaining clients
+	closeFrom   time.Duration // the listeners close from here on, once the process is idle
+	answerBy    time.Duration // every request gets its final answer, and the listeners close in any case
+	exitBy      time.Duration // the process exits
 	killAt      time.Duration // the process would be killed
-	// exitByEstablished is when the process ends though connections are established. Where packets pass through,
-	// connections that are open at the kill go on at another proxy, and those that this process closes do not: it then
-	// lies after the latest kill.
+	// exitByEstablished is when the process exits although connections are established. With pass-through it lies after the
+	// latest kill, because connections that are open at the kill continue at another proxy, and connections that this process
+	// closes do not.
 	exitByEstablished time.Duration
 }
 
-// newShutdownSchedule follows from the settings alone. A request that comes at the end of the arrivals still has its
-// whole timeout until answers are due, unless that is longer than the one that the kill goes by.
+// newShutdownSchedule computes the schedule from the settings alone. A request that arrives at the end of arrivalWindow still
+// has its whole timeout until answers are due, unless that timeout exceeds maxCountedTimeout.
 func newShutdownSchedule(settings balancer.Settings) shutdownSchedule {
 	longest := time.Duration(0)
 	for _, class := range settings.Classes {
@@ -68,34 +68,34 @@
 	return s
 }
 
-// phase is a phase in the life of a process.
+// phase is the current phase of a process's lifecycle.
 type phase int
 
 const (
 	phaseServing   phase = iota
-	phaseEvacuated       // operators have clients migrated away; those that come all the same are served
+	phaseEvacuated       // clients are migrated away; clients that connect anyway are served
 	phaseStopping        // a stop has begun: clients are accepted, answered and migrated
 	phaseClosed          // the listeners are closed
-	phaseExited          // the event loop ends
+	phaseExited          // the event loop stops
 )
 
-// lifecycle is the state of a process. Its zero value serves.
+// lifecycle is the state machine of a process. Its zero value is phaseServing.
 type lifecycle struct {
 	phase             phase
-	notReady          bool          // readiness checks are denied
-	migratingSince    time.Duration // at an evacuation or a stop
+	notReady          bool          // readiness checks fail
+	migratingSince    time.Duration // start of the evacuation or the stop
 	stopRequestedAt   time.Duration
 	listenersClosedAt time.Duration
-	schedule          shutdownSchedule // of the stop that has begun: later settings do not put off the kill
+	schedule          shutdownSchedule // of the current stop; later settings do not postpone the kill
 
-	formerSchedule    shutdownSchedule // by the settings before they changed last
+	formerSchedule    shutdownSchedule // from the settings before their last change
 	scheduleChangedAt time.Duration
 }
 
 func (l *lifecycle) stopping() bool  { return l.phase >= phaseStopping }
 func (l *lifecycle) accepting() bool { return l.phase < phaseClosed }
 
-// evacuate reports whether clients are to be migrated from now on.
+// evacuate begins an evacuation. It reports whether the caller must start migrating clients.
 func (l *lifecycle) evacuate(now time.Duration) bool {
 	l.notReady = true
 	if l.phase != phaseServing {
@@ -106,7 +106,8 @@
 	return true
 }
 
-// rejoin reports whether clients are no longer to be migrated. A stop is not taken back, nor readiness in its course.
+// rejoin ends an evacuation. It reports whether the caller must cease to migrate clients. It neither cancels a stop nor makes
+// a stopping process ready.
 func (l *lifecycle) rejoin() bool {
 	if l.phase != phaseEvacuated {
 		return false
@@ -116,17 +117,17 @@
 	return true
 }
 
-// recordScheduleChange notes that the settings change. former is the schedule by those that were active until now.
+// recordScheduleChange records a change of the settings. former is the schedule of the settings that were active until now.
 func (l *lifecycle) recordScheduleChange(now time.Duration, former shutdownSchedule) {
 	l.formerSchedule = l.stopSchedule(now, former)
 	l.scheduleChangedAt = now
 }
 
-// stopSchedule is the schedule of a stop whose signal arrives now. current is the one by the active settings.
+// stopSchedule returns the schedule of a stop whose signal arrives now. current is the schedule of the active settings.
 //
-// Of a stop and a reload that are requested together the order is lost: the kernel and the Go runtime deliver pending
-// signals by number, SIGHUP before SIGTERM. The kill may follow from the settings before the reload or after it, so that
-// the schedule with the earlier one holds.
+// The order of a stop and a reload that are requested together is lost, because the kernel and the Go runtime deliver pending
+// signals by number, SIGHUP before SIGTERM. The kill may follow the settings before or after the reload, so the schedule with
+// the earlier kill applies.
 func (l *lifecycle) stopSchedule(now time.Duration, current shutdownSchedule) shutdownSchedule {
 	changedJustNow := now-l.scheduleChangedAt < signalOrderWindow
 	if changedJustNow && l.formerSchedule.killAt < current.killAt {
@@ -135,7 +136,7 @@
 	return current
 }
 
-// beginStop reports whether a stop begins. current is the schedule by the active settings.
+// beginStop begins a stop. It returns false if one has begun already. current is the schedule of the active settings.
 func (l *lifecycle) beginStop(now time.Duration, current shutdownSchedule) bool {
 	if l.stopping() {
 		return false
@@ -149,8 +150,8 @@
 	return true
 }
 
-// migrationQuota is how many of n clients a step migrates. current is the schedule by the active settings, which holds
-// until a stop begins.
+// migrationQuota returns how many of n clients this step migrates. current is the schedule of the active settings, which
+// applies until a stop begins.
 func (l *lifecycle) migrationQuota(now time.Duration, current shutdownSchedule, n int) int {
 	schedule := current
 	if l.stopping() {
@@ -164,17 +165,17 @@
 	return ceilDiv(n, steps)
 }
 
-// answersDue reports whether final answers must go out.
+// answersDue reports whether all final answers must be sent now.
 func (l *lifecycle) answersDue(now time.Duration) bool {
 	return l.stopping() && now-l.stopRequestedAt >= l.schedule.answerBy
 }
 
-// tooLateToAttempt reports whether a request comes too late in a stop to be attempted.
+// tooLateToAttempt reports whether too little of a stop is left to attempt a request that arrives now.
 func (l *lifecycle) tooLateToAttempt(now time.Duration) bool {
 	return !l.accepting() || l.stopping() && now-l.stopRequestedAt >= l.schedule.answerBy-drainStepInterval
 }
 
-// boundDeadline is a request's deadline, within a stop.
+// boundDeadline returns a request's deadline, limited to the time when a stop's answers are due.
 func (l *lifecycle) boundDeadline(deadline time.Duration) time.Duration {
 	if l.stopping() {
 		return min(deadline, l.stopRequestedAt+l.schedule.answerBy)
@@ -182,14 +183,14 @@
 	return deadline
 }
 
-// shutdownState is what a step of a stop depends on.
+// shutdownState is the state of the proxy that a step of a stop depends on.
 type shutdownState struct {
-	answersPending bool          // somebody waits for an answer of this process
+	answersPending bool          // a client waits for an answer of this process
 	established    bool          // connections are established
-	idleFor        time.Duration // since the last request came
+	idleFor        time.Duration // time since the last request arrived
 }
 
-// shutdownAction is what a step of a stop does.
+// shutdownAction is the action of one step of a stop.
 type shutdownAction int
 
 const (
@@ -198,7 +199,7 @@
 	exitProcess
 )
 
-// nextAction decides what is due now.
+// nextAction returns the action that is due now, and moves to the phase after it.
 func (l *lifecycle) nextAction(now time.Duration, state shutdownState) shutdownAction {
 	elapsed := now - l.stopRequestedAt
 	busy := state.answersPending || state.established
@@ -215,7 +216,7 @@
 		if state.established {
 			exitBy = l.schedule.exitByEstablished
 		}
-		// What was accepted last is read at least once: closed over unread bytes its connection would be reset.
+		// Connections accepted last are read at least once: closing one with unread bytes would reset it.
 		readOnce := now-l.listenersClosedAt >= drainStepInterval
 		if readOnce && (elapsed >= exitBy || !busy) {
 			l.phase = phaseExited
@@ -225,7 +226,7 @@
 	return keepWaiting
 }
 
-// stepDelay is how long until the next step: no due time is passed over.
+// stepDelay returns the time until the next step, which is no later than the next due time of the schedule.
 func (l *lifecycle) stepDelay(now time.Duration) time.Duration {
 	delay := drainStepInterval
 	if !l.stopping() {
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// scheduleOf is the schedule of settings with classes of these timeouts.
+// scheduleOf returns the schedule of settings whose classes have these timeouts.
 func scheduleOf(passThrough bool, timeouts ...time.Duration) shutdownSchedule {
 	settings := balancer.Settings{PassThrough: passThrough}
 	for _, timeout := range timeouts {
@@ -18,8 +18,8 @@
 	return newShutdownSchedule(settings)
 }
 
-// TestShutdownSchedule pins the schedule by the longest timeout: the kill comes 0.7 s after it, where it counts as 3 s at
-// most, and everything else is in time for that.
+// TestShutdownSchedule checks the schedule for several longest timeouts: the kill comes 0.7 s after the longest timeout, capped
+// at 3 s, and all other due times precede the kill.
 func TestShutdownSchedule(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
@@ -49,15 +49,15 @@
 		}
 		testkit.Equal(t, c.timeout.String(), want, scheduleOf(false, 50*ms, c.timeout), cmp.AllowUnexported(shutdownSchedule{}))
 		want.exitByEstablished = 4700 * ms // past the latest kill
-		testkit.Equal(t, c.timeout.String()+", packets pass through", want, scheduleOf(true, c.timeout), cmp.AllowUnexported(shutdownSchedule{}))
+		testkit.Equal(t, c.timeout.String()+", pass-through", want, scheduleOf(true, c.timeout), cmp.AllowUnexported(shutdownSchedule{}))
 		arrivals := 400 * ms
 		if c.answerBy < arrivals+min(c.timeout, 3*time.Second) || c.closeFrom <= arrivals {
-			t.Errorf("%v: the last request to arrive has no time", c.timeout)
+			t.Errorf("%v: the last request to arrive lacks time for its answer", c.timeout)
 		}
 	}
 }
 
-// TestLifecycleEvents has each event in each phase.
+// TestLifecycleEvents checks each event in each phase.
 func TestLifecycleEvents(t *testing.T) {
 	type result struct {
 		acts     bool
@@ -96,9 +96,10 @@
 	}
 }
 
-// TestStopBesideReload has a stop just before and after a change of the settings. One that arrives together with the change
-// may have been requested before it, so that the earlier kill holds; later on the new settings alone count.
-func TestStopBesideReload(t *testing.T) {
+// TestStopNearReload checks the schedule of a stop just before and after a change of the settings. A stop that arrives together
+// with the change may have been requested before it, so the schedule with the earlier kill applies. After signalOrderWindow
+// only the new settings count.
+func TestStopNearReload(t *testing.T) {
 	const now = time.Hour
 	short, long := scheduleOf(false, time.Second), scheduleOf(true, time.Minute)
 	for name, c := range map[string]struct {
@@ -130,29 +131,29 @@
 	}
 }
 
-// TestShutdownSteps has the steps of a stop by what is left to do.
+// TestShutdownSteps checks the action of a step by phase, time and open work.
 func TestShutdownSteps(t *testing.T) {
 	const ms = time.Millisecond
 	const long = time.Minute
 	for name, c := range map[string]struct {
 		passThrough bool
 		from        phase
-		elapsed     time.Duration // since the signal; the listeners were closed a step ago
+		elapsed     time.Duration // since the signal; the listeners closed one step ago
 		state       shutdownState
 		want        shutdownAction
 	}{
-		"clients arrive":              {elapsed: 699 * ms, from: phaseStopping, state: shutdownState{idleFor: long}, want: keepWaiting},
+		"clients still arrive":        {elapsed: 699 * ms, from: phaseStopping, state: shutdownState{idleFor: long}, want: keepWaiting},
 		"idle":                        {elapsed: 700 * ms, from: phaseStopping, state: shutdownState{idleFor: long}, want: closeListeners},
-		"a request came just now":     {elapsed: 700 * ms, from: phaseStopping, state: shutdownState{idleFor: 299 * ms}, want: keepWaiting},
+		"a request just arrived":      {elapsed: 700 * ms, from: phaseStopping, state: shutdownState{idleFor: 299 * ms}, want: keepWaiting},
 		"an answer is pending":        {elapsed: 1399 * ms, from: phaseStopping, state: shutdownState{idleFor: long, answersPending: true}, want: keepWaiting},
 		"connections are established": {elapsed: 1399 * ms, from: phaseStopping, state: shutdownState{idleFor: long, established: true}, want: keepWaiting},
 		"answers are due":             {elapsed: 1400 * ms, from: phaseStopping, state: shutdownState{answersPending: true, established: true}, want: closeListeners},
 		"nothing is left":             {elapsed: 800 * ms, from: phaseClosed, state: shutdownState{}, want: exitProcess},
 		"an answer is being read":     {elapsed: 1599 * ms, from: phaseClosed, state: shutdownState{answersPending: true}, want: keepWaiting},
-		"the kill is near":            {elapsed: 1600 * ms, from: phaseClosed, state: shutdownState{answersPending: true, established: true}, want: exitProcess},
-		"held until the kill":         {passThrough: true, elapsed: 4699 * ms, from: phaseClosed, state: shutdownState{established: true}, want: keepWaiting},
-		"no kill has come":            {passThrough: true, elapsed: 4700 * ms, from: phaseClosed, state: shutdownState{established: true}, want: exitProcess},
-		"nothing to hold":             {passThrough: true, elapsed: 1600 * ms, from: phaseClosed, state: shutdownState{answersPending: true}, want: exitProcess},
+		"the exit is due":             {elapsed: 1600 * ms, from: phaseClosed, state: shutdownState{answersPending: true, established: true}, want: exitProcess},
+		"kept open until the kill":    {passThrough: true, elapsed: 4699 * ms, from: phaseClosed, state: shutdownState{established: true}, want: keepWaiting},
+		"not killed in time":          {passThrough: true, elapsed: 4700 * ms, from: phaseClosed, state: shutdownState{established: true}, want: exitProcess},
+		"no established connections":  {passThrough: true, elapsed: 1600 * ms, from: phaseClosed, state: shutdownState{answersPending: true}, want: exitProcess},
 		"serving":                     {elapsed: long, from: phaseServing, state: shutdownState{idleFor: long}, want: keepWaiting},
 		"evacuated":                   {elapsed: long, from: phaseEvacuated, state: shutdownState{idleFor: long}, want: keepWaiting},
 	} {
@@ -161,11 +162,11 @@
 		testkit.Equal(t, name, c.want, l.nextAction(l.stopRequestedAt+c.elapsed, c.state))
 	}
 	l := &lifecycle{phase: phaseClosed, listenersClosedAt: time.Hour}
-	testkit.Equal(t, "what was accepted last has not been read", keepWaiting, l.nextAction(time.Hour+drainStepInterval-1, shutdownState{}))
+	testkit.Equal(t, "connections accepted last are not read yet", keepWaiting, l.nextAction(time.Hour+drainStepInterval-1, shutdownState{}))
 }
 
-// TestShutdownBoundsDeadlines has requests during a stop: their deadlines end with it, and one for which too little time
-// is left is not attempted.
+// TestShutdownBoundsDeadlines checks that a stop limits the deadlines of requests, and that a request with too little time
+// left is not attempted.
 func TestShutdownBoundsDeadlines(t *testing.T) {
 	l := &lifecycle{}
 	testkit.Equal(t, "serving", time.Hour, l.boundDeadline(time.Hour))
@@ -174,7 +175,7 @@
 	testkit.Equal(t, "earlier deadline", time.Minute+time.Second, l.boundDeadline(time.Minute+time.Second))
 	testkit.Equal(t, "in time", false, l.tooLateToAttempt(time.Minute+1349*time.Millisecond))
 	testkit.Equal(t, "too late", true, l.tooLateToAttempt(time.Minute+1350*time.Millisecond))
-	testkit.Equal(t, "no due time is passed over", 10*time.Millisecond, l.stepDelay(time.Minute+1390*time.Millisecond))
+	testkit.Equal(t, "the step is not later than the due time", 10*time.Millisecond, l.stepDelay(time.Minute+1390*time.Millisecond))
 	l = &lifecycle{phase: phaseClosed}
 	testkit.Equal(t, "closed", true, l.tooLateToAttempt(0))
 }
