--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,9 +1,9 @@
-// Package hotrestart passes listening sockets and an opaque state from a running process to the next one, over a Unix
-// socket that stays open afterwards so that both can go on talking. Request is the new process's side, Listen the
-// running one's. Package proxy decides what the state says and what is exchanged later.
+// Package hotrestart passes listening sockets and an opaque state from a running process to a new one over a Unix socket. The
+// connection stays open for further messages. The new process calls Request, the running one Listen. Package proxy defines
+// the state and the later messages.
 //
-// Whatever fails, the new process can start by itself and the running one goes on: no descriptor is leaked, and every
-// error names the socket and what an operator can do.
+// After any failure the new process can start without a handover and the running one continues. No descriptor is leaked, and
+// every error names the socket and a resolution for the operator.
 package hotrestart
 
 import (
@@ -23,19 +23,19 @@
 const (
 	// maxStateBytes bounds the state that a process accepts.
 	maxStateBytes = 16 << 20
-	// maxListeners is how many listening sockets may be handed over.
+	// maxListeners is the largest number of listening sockets in a handover.
 	maxListeners = 64
-	// requestTimeout is how long the new process waits for the whole handover. The running process answers from its
-	// event loop within milliseconds; without an answer the new one starts by itself, and has seconds left for that.
+	// requestTimeout is how long the new process waits for the whole handover. The running process answers from its event loop
+	// within milliseconds. Without an answer the new process starts without a handover, for which seconds remain.
 	requestTimeout = 2 * time.Second
-	// maxSocketPath is the longest path that is used as a socket address as it is. The kernel's limit is 108 bytes.
+	// maxSocketPath is the path length in bytes from which a socket is addressed via its directory. The kernel's limit is 108.
 	maxSocketPath = 100
 
 	readBufferBytes = 64 << 10
 	listenBacklog   = 8
 )
 
-// What keeps a handover from happening. In each case the new process serves by itself and the running one goes on.
+// Failures of a handover. In each case the new process starts without it and the running process continues.
 var (
 	errUnanswered   = apperror.NewKind("handover/unanswered", "see whether the old process still runs and is not stopped (SIGCONT), then end the new one and start it again; or let both run and send the old one SIGTERM")
 	errOtherUser    = apperror.NewKind("handover/other-user", "run the old and the new process as one user, or give each a TMPDIR of its own")
@@ -43,7 +43,7 @@
 	errNotOffered   = apperror.NewKind("handover/not-offered", "make TMPDIR a folder in which this user may make sockets; until then the process cannot be upgraded in place, only restarted")
 )
 
-// SocketPath returns the path of the socket of the process that serves as name at addr, or "" if dir is "".
+// SocketPath returns the path of the handover socket in dir of the process that serves under name at addr, or "" if dir is "".
 func SocketPath(dir, name, addr string) string {
 	if dir == "" {
 		return ""
@@ -53,8 +53,8 @@
 	return filepath.Join(dir, fmt.Sprintf("micafront-%016x.sock", h.Sum64()))
 }
 
-// socketAddr returns an address for the socket at path. A path that is too long for an address is reached by a
-// descriptor of its directory, which release closes.
+// socketAddr returns an address for the socket at path. For a path that is too long for an address it opens the directory and
+// returns an address via that descriptor. The caller must call release after use, which closes the descriptor.
 func socketAddr(path string) (addr *unix.SockaddrUnix, release func(), err error) {
 	if len(path) < maxSocketPath {
 		return &unix.SockaddrUnix{Name: path}, func() {}, nil
@@ -73,14 +73,14 @@
 	return err == nil && int(peer.Uid) == os.Getuid()
 }
 
-// Handover is what the running process has given. The caller owns its descriptors.
+// Handover holds the sockets and the state received from the running process. The caller owns its descriptors.
 type Handover struct {
-	Link      int    // the connected socket, over which both processes go on talking
+	Link      int    // the connected socket, for further messages between the processes
 	Listeners []int  // the listening sockets, the main one first; at least one
-	State     []byte // with the newline that ends it
+	State     []byte // includes the terminating newline
 }
 
-// close releases all descriptors.
+// close closes all descriptors.
 func (h *Handover) close() {
 	_ = unix.Close(h.Link)
 	for _, fd := range h.Listeners {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Request asks the process behind path for its listening sockets and its state. On an error, for which errors.Is still
-// finds the cause such as os.ErrNotExist, nothing has been handed over and the caller starts by itself.
+// Request requests the listening sockets and the state of the process that listens at path. On an error nothing has been handed
+// over and the caller starts without a handover. The error wraps its cause, such as os.ErrNotExist, for errors.Is.
 func Request(path string) (*Handover, error) {
 	h := &Handover{Link: -1}
 	if err := h.request(path); err != nil {
@@ -98,7 +98,7 @@
 	return h, nil
 }
 
-// request fills h. On an error all descriptors that came have been closed.
+// request fills h. On an error it closes all received descriptors.
 func (h *Handover) request(path string) error {
 	deadline := time.Now().Add(requestTimeout)
 	err := h.connect(path)
@@ -131,34 +131,34 @@
 		return os.NewSyscallError("connect", err)
 	}
 	if !SameUser(h.Link) {
-		return errOtherUser.New(path, "the socket is another user's")
+		return errOtherUser.New(path, "the socket belongs to another user")
 	}
 	return nil
 }
 
-// receive reads the state up to its newline, and the descriptors that come with it. What follows, such as a heartbeat that the
-// running process sends at once, stays in the socket for the link.
+// receive reads the state up to its newline, and the descriptors that accompany it. Later data, such as the heartbeat that the
+// running process sends right away, stays in the socket for the link.
 func (h *Handover) receive(path string, deadline time.Time) error {
 	buf := make([]byte, readBufferBytes)
 	control := make([]byte, evloop.ControlBytes(maxListeners))
 	for !bytes.HasSuffix(h.State, []byte("\n")) {
 		remaining := time.Until(deadline)
 		if remaining <= 0 {
-			return errUnanswered.New(path, "not handed over in time")
+			return errUnanswered.New(path, "timed out waiting for the handover")
 		}
 		if len(h.State) > maxStateBytes {
-			return errUnanswered.New(path, "the state that is handed over has more than %d bytes", maxStateBytes)
+			return errUnanswered.New(path, "the state of the old process exceeds %d bytes", maxStateBytes)
 		}
 		timeout := unix.NsecToTimeval(int64(max(remaining, time.Millisecond)))
 		_ = unix.SetsockoptTimeval(h.Link, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &timeout)
-		ahead, _, err := unix.Recvfrom(h.Link, buf, unix.MSG_PEEK)
+		peeked, _, err := unix.Recvfrom(h.Link, buf, unix.MSG_PEEK)
 		if errors.Is(err, unix.EINTR) {
 			continue
 		}
 		if err != nil {
 			return os.NewSyscallError("recvfrom", err)
 		}
-		wanted := buf[:max(ahead, 1)]
+		wanted := buf[:max(peeked, 1)]
 		if end := bytes.IndexByte(wanted, '\n'); end >= 0 {
 			wanted = wanted[:end+1]
 		}
@@ -170,7 +170,7 @@
 			return os.NewSyscallError("recvmsg", err)
 		}
 		if n == 0 {
-			return errUnanswered.New(path, "the old process went away")
+			return errUnanswered.New(path, "the old process closed the connection")
 		}
 		h.Listeners = append(h.Listeners, evloop.ParseDescriptors(control[:controlBytes])...)
 		h.State = append(h.State, buf[:n]...)
@@ -182,17 +182,17 @@
 	for _, fd := range h.Listeners {
 		listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 		if err != nil || listening != 1 {
-			return errIncompatible.New(path, "a descriptor came that does not listen")
+			return errIncompatible.New(path, "a received descriptor is not a listening socket")
 		}
 	}
 	if len(h.Listeners) == 0 {
-		return errIncompatible.New(path, "no listening descriptor came")
+		return errIncompatible.New(path, "no listening socket was received")
 	}
 	return nil
 }
 
-// Listen waits at path for a new process and calls onAccept for each that connects. A socket that an earlier process left
-// there is removed.
+// Listen opens a socket at path for new processes and calls onAccept for each one that connects. It replaces a socket file left
+// there by an earlier process.
 func Listen(loop *evloop.Loop, path string, onAccept func(*evloop.Conn) evloop.Handler) (*evloop.Listener, error) {
 	listener, err := listen(loop, path, onAccept)
 	if err != nil {
@@ -219,7 +219,7 @@
 		_ = unix.Close(fd)
 		return nil, err
 	}
-	ignoreAcceptErrors := func(error) {} // the new process starts by itself then
+	ignoreAcceptErrors := func(error) {} // the new process then starts without a handover
 	listener, err := loop.ListenFD(fd, onAccept, ignoreAcceptErrors)
 	if err != nil {
 		_ = unix.Close(fd)
@@ -232,6 +232,6 @@
 	if err := unix.Bind(fd, addr); err != nil {
 		return os.NewSyscallError("bind", err)
 	}
-	_ = os.Chmod(path, 0o600) // SameUser checks who connects in any case
+	_ = os.Chmod(path, 0o600) // on an error SameUser still rejects other users
 	return os.NewSyscallError("listen", unix.Listen(fd, listenBacklog))
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestRequestFailures has peers that hand nothing over. The error names the socket, its kind and, where nobody listens,
-// the cause; no descriptor that came is left open.
+// TestRequestFailures checks requests to peers that hand nothing over. The error must name the socket and its kind and, if no
+// process listens, the cause. No received descriptor may stay open.
 func TestRequestFailures(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(*net.UnixConn)
@@ -26,7 +26,7 @@
 		"nobody listens": {func(*net.UnixConn) {}, errUnanswered, unix.ECONNREFUSED},
 		"peer closes":    {func(c *net.UnixConn) { c.Close() }, errUnanswered, nil},
 		"peer speaks HTTP": {func(c *net.UnixConn) {
-			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n")) // a failure shows as another kind of error
+			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n")) // a failed write yields another kind of error
 			c.Close()
 		}, errIncompatible, nil},
 		"descriptor not listening": {func(c *net.UnixConn) {
@@ -60,18 +60,18 @@
 			err := h.request(path)
 			var typed *apperror.Error
 			if !errors.As(err, &typed) || typed.Kind != c.kind || typed.Place != path || c.cause != nil && !errors.Is(err, c.cause) {
-				t.Errorf("%v", err)
+				t.Errorf("got error %v, want kind %s, place %s, cause %v", err, c.kind.Name, path, c.cause)
 			}
 			for _, fd := range append(h.Listeners, h.Link) {
 				if _, err := unix.FcntlInt(uintptr(fd), unix.F_GETFD, 0); err == nil {
-					t.Errorf("descriptor %d is left open", fd)
+					t.Errorf("descriptor %d is still open", fd)
 				}
 			}
 		})
 	}
 }
 
-// TestListenWithoutDirectory pins the error for a directory in which no socket can be made.
+// TestListenWithoutDirectory checks the error of Listen for a directory that does not exist.
 func TestListenWithoutDirectory(t *testing.T) {
 	loop, err := evloop.New()
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "none", "s.sock")
 	_, err = Listen(loop, path, nil)
-	testkit.Equal(t, "refused with its remedy", []any{true, []string{errNotOffered.Resolution}}, []any{errors.Is(err, os.ErrNotExist), apperror.Resolutions(err)})
+	testkit.Equal(t, "error has its cause and resolution", []any{true, []string{errNotOffered.Resolution}}, []any{errors.Is(err, os.ErrNotExist), apperror.Resolutions(err)})
 	var typed *apperror.Error
 	if !errors.As(err, &typed) {
 		t.Fatalf("untyped error %v", err)
@@ -87,9 +87,9 @@
 	testkit.Equal(t, "place", path, typed.Place)
 }
 
-// TestMessagesBehindTheStateStayInTheSocket sends the state in pieces, with the first heartbeats at once behind it: the state ends
-// with its newline, and the heartbeats are left to whoever reads the link.
-func TestMessagesBehindTheStateStayInTheSocket(t *testing.T) {
+// TestMessagesAfterStateStayInSocket sends the state in pieces, directly followed by the first heartbeats. Request must read the
+// state up to its newline and leave the heartbeats for the reader of the link.
+func TestMessagesAfterStateStayInSocket(t *testing.T) {
 	const state, heartbeats = `{"Discovery":"127.0.0.1:1"}` + "\n", `{"open":1}` + "\n" + `{"open":2}` + "\n"
 	for _, pieces := range [][]string{
 		{state + heartbeats},
@@ -135,7 +135,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		testkit.Equal(t, "what the link reads", heartbeats, string(rest))
+		testkit.Equal(t, "data left for the link", heartbeats, string(rest))
 		_ = link.Close()
 		_ = unix.Close(handover.Listeners[0])
 		_ = file.Close()
--- a/internal/proxy/listeners.go
+++ b/internal/proxy/listeners.go
@@ -10,15 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// connAcceptor is what listeners need of the proxy.
+// connAcceptor is the part of the proxy that listeners depend on.
 type connAcceptor interface {
-	// canAccept reports whether one more connection may be accepted now; else it waits in the kernel's queue.
+	// canAccept reports whether one more connection may be accepted now. Otherwise it waits in the kernel's accept queue.
 	canAccept() bool
 	acceptClient(conn *evloop.Conn, listener string) evloop.Handler
 	onAcceptError(error)
 }
 
-// listenerSet are the listening sockets for clients. They stay the same for the life of the process.
+// listenerSet holds the listening sockets for clients. They do not change while the process runs.
 type listenerSet struct {
 	main  *evloop.Listener
 	extra []namedListener // in the order of their names
@@ -29,8 +29,8 @@
 	name string
 }
 
-// open opens the listeners of a configuration. A listener whose socket a predecessor has handed over, by its name, goes
-// on with that; the other sockets that were handed over are closed.
+// open opens the listeners of a configuration. inherited maps listener names to the sockets that a predecessor handed over.
+// Listeners use their inherited sockets; the remaining ones are closed.
 func (l *listenerSet) open(loop *evloop.Loop, acceptor connAcceptor, c *config.Config, inherited map[string]int) error {
 	main, err := openListener(loop, acceptor, routing.MainListener, c.Listen, inherited)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// openListener opens one listener and takes its socket off inherited, if it is there.
+// openListener opens one listener. If inherited has a socket for it, the listener uses that one and removes it from inherited.
 func openListener(loop *evloop.Loop, acceptor connAcceptor, name, addr string, inherited map[string]int) (*evloop.Listener, error) {
 	accept := func(conn *evloop.Conn) evloop.Handler { return acceptor.acceptClient(conn, name) }
 	var listener *evloop.Listener
@@ -68,7 +68,7 @@
 	return listener, nil
 }
 
-// all are all listeners, the main one first.
+// all returns all listeners, the main one first.
 func (l *listenerSet) all() []*evloop.Listener {
 	listeners := []*evloop.Listener{l.main}
 	for _, extra := range l.extra {
@@ -77,7 +77,7 @@
 	return listeners
 }
 
-// descriptors are those of all, the main one's first.
+// descriptors returns the descriptors of all listeners, the main one's first.
 func (l *listenerSet) descriptors() []int {
 	var fds []int
 	for _, listener := range l.all() {
@@ -86,7 +86,7 @@
 	return fds
 }
 
-// extraNames are the names of the extra listeners, in the order of descriptors.
+// extraNames returns the names of the extra listeners, in the order of descriptors.
 func (l *listenerSet) extraNames() []string {
 	var names []string
 	for _, extra := range l.extra {
@@ -95,7 +95,7 @@
 	return names
 }
 
-// extraAddrs are the addresses of the extra listeners by name.
+// extraAddrs returns the addresses of the extra listeners by name.
 func (l *listenerSet) extraAddrs() map[string]string {
 	addrs := map[string]string{}
 	for _, extra := range l.extra {
@@ -104,14 +104,14 @@
 	return addrs
 }
 
-// pause leaves the accept queues to another process, or accepts again.
+// pause stops accepting, so that another process serves the accept queues, or resumes it.
 func (l *listenerSet) pause(paused bool) {
 	for _, listener := range l.all() {
 		listener.Pause(paused)
 	}
 }
 
-// close ends accepting. Where another process accepts from the same queues, they stay open.
+// close stops accepting. If the accept queues are shared with another process, they stay open.
 func (l *listenerSet) close(shared bool) {
 	for _, listener := range l.all() {
 		if shared {
--- a/internal/proxy/pool_list.go
+++ b/internal/proxy/pool_list.go
@@ -10,14 +10,12 @@
 	"go.uber.org/zap"
 )
 
-// This file distributes the endpoint list among the pools.
-
-// applyList distributes a list, or changes of it.
+// applyList distributes a whole endpoint list or a delta among the pools.
 func (ps *poolSet) applyList(list *discovery.List, kind balancer.ListKind) {
 	ps.distribute(ps.owners.ApplyList(ps.loop.Now(), kind, list.Generation, list.Entries()))
 }
 
-// distribute hands pools their endpoints, and connections to the pools that have their endpoints now.
+// distribute passes the pools their endpoint updates, and reassigns connections whose endpoints moved to another pool.
 func (ps *poolSet) distribute(updates []routing.PoolUpdate) {
 	for _, update := range updates {
 		ps.events.handle(ps.active[update.Pool], update.Members)
@@ -30,10 +28,11 @@
 	ps.releaseReserved()
 }
 
-// maxLoggedNotes is up to how many notes of one turn are logged a line each: a swap of pools may move thousands of endpoints.
+// maxLoggedNotes is how many notes of one turn get a log line each. The rest are counted by event, because a swap of pools may
+// move thousands of endpoints.
 const maxLoggedNotes = 32
 
-// logNotes logs what happened to endpoints.
+// logNotes logs ownership changes of endpoints.
 func (ps *poolSet) logNotes(notes []routing.Note) {
 	for _, note := range notes[:min(len(notes), maxLoggedNotes)] {
 		ps.log.Info(string(note.Event), zap.String("endpoint", note.Endpoint), zap.String("from", note.From),
@@ -51,7 +50,7 @@
 	}
 }
 
-// releaseReserved hands pools the endpoints that were reserved for them, once these have warmed up.
+// releaseReserved adds reserved endpoints to their pools once they have warmed up, and sets a timer for the next ones.
 func (ps *poolSet) releaseReserved() {
 	now := ps.loop.Now()
 	updates, next := ps.owners.ReleaseDue(now)
@@ -71,8 +70,8 @@
 	})
 }
 
-// reassignConnections hands each connection whose endpoint is another pool's now to that pool, whose balancer is the one
-// that will see when the endpoint drains. The connections themselves are not touched.
+// reassignConnections moves each connection whose endpoint now belongs to another pool to that pool, because only that pool's
+// balancer is notified when the endpoint drains. The connections themselves are unaffected.
 func (ps *poolSet) reassignConnections() {
 	for _, s := range slices.Clone(ps.sessions.established) {
 		if s.downstreamState() != stateRelaying || s.pool.retireBy != 0 {
--- a/internal/proxy/pool_reload.go
+++ b/internal/proxy/pool_reload.go
@@ -10,13 +10,11 @@
 	"go.uber.org/zap"
 )
 
-// This file switches the pools to another routing table and retires those that it drops.
-
-// retireInterval is that of the steps in which a dropped pool's connections are migrated.
+// retireInterval is the time between the steps that migrate a removed pool's connections.
 const retireInterval = 100 * time.Millisecond
 
-// applyTable switches to another table, in one turn. Pools that it keeps, by their name or a former one, go on with all
-// that their balancers know. On an error nothing has changed.
+// applyTable switches to another routing table within one turn of the event loop. Pools that the table keeps, under their name
+// or a former one, retain their balancers' state. On an error nothing changes.
 func (ps *poolSet) applyTable(table *routing.Table) error {
 	warmUp := ps.settings.activeSettings().Rules.WarmUp
 	if reflect.DeepEqual(ps.table.Set, table.Set) {
@@ -52,8 +50,8 @@
 	return nil
 }
 
-// poolsFor are the pools of a table: active ones by successors, which has the index there for each of them, else created
-// ones.
+// poolsFor returns the pools of a table: active pools that the table keeps, and created ones for the rest. successors holds
+// each active pool's index in the table, -1 for a removed pool.
 func (ps *poolSet) poolsFor(table *routing.Table, successors []int) (pools, created []*endpointPool, err error) {
 	pools = make([]*endpointPool, len(table.Set.Pools))
 	for i := range pools {
@@ -71,7 +69,7 @@
 	return pools, created, nil
 }
 
-// updatePoolNames gives the pools that are kept their names in the table, and logs what is new.
+// updatePoolNames sets the names of kept pools from the table, and logs renamed and created pools.
 func (ps *poolSet) updatePoolNames(table *routing.Table, pools, created []*endpointPool) {
 	for i, pool := range pools {
 		if name := table.Set.Pools[i].Name; pool.name != name {
@@ -92,8 +90,8 @@
 	}
 }
 
-// retire migrates a dropped pool's connections at an even pace. Its balancer has no endpoints from now on, so that
-// nothing new is placed: requests that wait are rejected, or go on to their policy's next pool.
+// retire migrates a removed pool's connections at an even pace until deadline. It empties the balancer's endpoint list, so that
+// nothing new is placed: waiting requests are rejected, or proceed to their policy's next pool.
 func (ps *poolSet) retire(pool *endpointPool, deadline time.Duration) {
 	ps.log.Info("pool removed", zap.String("pool", pool.name), zap.Int("connections", pool.usage.Open),
 		zap.Duration("drain_time", deadline-ps.loop.Now()))
@@ -103,7 +101,8 @@
 	ps.retireStep(pool)
 }
 
-// retireStep migrates this step's connections of a retired pool, and drops it once it has none.
+// retireStep migrates this step's share of a retired pool's connections, and drops the pool once no connections or waiting
+// requests remain.
 func (ps *poolSet) retireStep(pool *endpointPool) {
 	var remaining []*session
 	for _, s := range ps.sessions.established {
@@ -124,5 +123,5 @@
 	ps.loop.After(retireInterval, func() { ps.retireStep(pool) })
 }
 
-// ceilDiv is n/d, rounded up.
+// ceilDiv returns n/d, rounded up.
 func ceilDiv(n, d int) int { return (n + d - 1) / d }
--- a/internal/proxy/pool_usage.go
+++ b/internal/proxy/pool_usage.go
@@ -15,7 +15,7 @@
 	usageOpen              // an established connection
 )
 
-// setUsage changes how a session counts.
+// setUsage changes how a session counts towards the limits of its pool and route.
 func (s *session) setUsage(kind usageKind) {
 	if s.pool == nil || s.route == nil {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// assignPool moves a session to a pool.
+// assignPool moves a session and its usage to a pool.
 func (s *session) assignPool(pool *endpointPool) {
 	kind := s.usage
 	s.setUsage(usageNone)
@@ -44,10 +44,11 @@
 	s.setUsage(kind)
 }
 
-// fullUsage is that of a pool which takes nothing more, whatever its limits.
+// fullUsage is the usage of a pool that accepts nothing more, whatever its limits.
 var fullUsage = routing.Usage{Open: math.MaxInt32, Waiting: math.MaxInt32}
 
-// usageIn returns what a table's pools have now, by their index there. A pool that is no longer active is full.
+// usageIn returns a function that maps the index of a pool in table to its current usage. A pool that is no longer active
+// has fullUsage.
 func (ps *poolSet) usageIn(table *routing.Table) func(int) routing.Usage {
 	return func(i int) routing.Usage {
 		if pool := ps.byName(table.Set.Pools[i].Name); pool != nil {
@@ -57,7 +58,7 @@
 	}
 }
 
-// ensureRouteUsage is what a route has, by its name.
+// ensureRouteUsage returns the usage of the named route, creating it if necessary.
 func (ps *poolSet) ensureRouteUsage(name string) *routeUsage {
 	usage := ps.routeUsages[name]
 	if usage == nil {
@@ -67,7 +68,7 @@
 	return usage
 }
 
-// routeName is the name of a route with that usage; "" if there is none.
+// routeName returns the name of the route that has this usage, or "" if there is none.
 func (ps *poolSet) routeName(usage *routeUsage) string {
 	for name, u := range ps.routeUsages {
 		if u == usage {
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -16,19 +16,19 @@
 	name     string
 	balancer *balancer.Balancer
 	usage    routing.Usage
-	retireBy time.Duration // until when the connections of a pool that the configuration has dropped leave; 0: it is active
+	retireBy time.Duration // when the last connections of a removed pool are migrated; 0: the pool is active
 }
 
-// routeUsage is how many requests and connections a route has. It outlives the table, by the route's name.
+// routeUsage counts the requests and connections of a route. It is kept by the route's name across routing tables.
 type routeUsage struct{ routing.Usage }
 
-// settingsSource has the active settings, which change at a reload and with the fleet's version.
+// settingsSource returns the active settings, which change on a reload and on a switch of the fleet's version.
 type settingsSource interface {
 	activeSettings() *balancer.Settings
 }
 
-// poolSet are the pools of the active routing table, and of the former ones while they have connections left. Package
-// routing decides which pool a request goes to and which one an endpoint belongs to; that is carried out here.
+// poolSet holds the pools of the active routing table, and removed pools while they have connections left. Package routing
+// decides which pool serves a request and which pool owns an endpoint; poolSet executes these decisions.
 type poolSet struct {
 	settings settingsSource
 	events   *eventQueue
@@ -39,11 +39,11 @@
 
 	table         *routing.Table
 	owners        *routing.Owners
-	active        []*endpointPool // in the order of the table's
+	active        []*endpointPool // in the order of the table's pools
 	discoveryPool *endpointPool   // only its balancer requests the endpoint list
-	retired       []*endpointPool // dropped by the configuration, with connections left
+	retired       []*endpointPool // removed by the configuration, with connections left
 	routeUsages   map[string]*routeUsage
-	releaseAt     time.Duration // when endpoints that are reserved are checked again; 0: none is
+	releaseAt     time.Duration // next check of reserved endpoints; 0: none are reserved
 	nextSeed      uint64        // for the next pool's balancer
 }
 
@@ -78,18 +78,18 @@
 	return pool, nil
 }
 
-// balancerSettings are the settings of a pool's balancer: only the discovery pool's balancer watches the endpoint list.
+// balancerSettings returns the settings of a pool's balancer. Only the discovery pool's balancer watches the endpoint list.
 func (ps *poolSet) balancerSettings(pool *endpointPool) balancer.Settings {
 	settings := *ps.settings.activeSettings()
 	settings.Subscribe = settings.Subscribe && pool == ps.discoveryPool
 	return settings
 }
 
-// isSingle reports whether the fleet is undivided, as where the configuration names no pools.
+// isSingle reports whether all endpoints belong to one pool, as they do if the configuration names no pools.
 func (ps *poolSet) isSingle() bool { return len(ps.active) == 1 }
 
-// forEndpoint is the pool that an endpoint belongs to now. For one that belongs to none it is the first one, whose
-// balancer does not know it.
+// forEndpoint returns the pool that owns an endpoint. For an endpoint without an owner it returns the first pool, whose
+// balancer does not know the endpoint.
 func (ps *poolSet) forEndpoint(endpointID string) *endpointPool {
 	if i := ps.owners.Pool(endpointID); i >= 0 {
 		return ps.active[i]
@@ -97,7 +97,7 @@
 	return ps.active[0]
 }
 
-// byName is the active pool of a name; nil if there is none.
+// byName returns the active pool with that name, or nil if there is none.
 func (ps *poolSet) byName(name string) *endpointPool {
 	if i := ps.table.Pool(name); i >= 0 {
 		return ps.active[i]
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// unavailableEndpoints is how many endpoints of active pools get no new requests now.
+// unavailableEndpoints returns the number of endpoints of active pools that get no new requests now.
 func (ps *poolSet) unavailableEndpoints() int {
 	n := 0
 	for _, pool := range ps.active {
@@ -114,7 +114,7 @@
 	return n
 }
 
-// appendMetrics appends the telemetry text of each pool and each route, where there are several pools.
+// appendMetrics appends the telemetry text of each pool and each route. It appends nothing if there is only one pool.
 func (ps *poolSet) appendMetrics(out []byte, endpoints endpointTable) []byte {
 	if ps.isSingle() && len(ps.retired) == 0 {
 		return out
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,18 +1,18 @@
 // Package proxy relays clients' long-lived connections to upstream endpoints. Command micafront runs one Proxy.
 //
-// One event loop owns all state, the load balancers of package balancer included: there are no locks, nothing blocks,
-// and the clock is read once a turn. Functions run on the loop unless they say otherwise.
+// One event loop owns all state, including the load balancers of package balancer. There are no locks, nothing blocks, and
+// the clock is read once per turn. Functions run on the loop unless their comments say otherwise.
 //
-// A request passes these stages, each in a file: accept.go reads it, admission.go checks the limits, route.go picks a
+// A request passes through these stages, each in its own file: accept.go reads it, admission.go checks the limits, route.go picks a
 // pool, dispatch.go hands events to the pool's balancer and executes its actions, attempt.go sends the request to an
 // endpoint, relay.go passes messages once the connection is established, and accounting.go records the outcomes.
 //
-// Beside the requests, pool_*.go keep the pools by the routing table, endpoint_list.go and endpoint.go the endpoints;
-// lifecycle.go decides when a stop does what and shutdown.go does it; hotrestart_*.go are the handover between two
-// processes; config_subscriber.go, version_*.go and placement.go are a proxy's part in a fleet.
+// The other files maintain the state that requests depend on: pool_*.go the pools of the routing table, endpoint_list.go and
+// endpoint.go the endpoints. lifecycle.go schedules the steps of a stop and shutdown.go executes them. hotrestart_*.go hand
+// over from one process to the next. config_subscriber.go, version_*.go and placement.go implement membership in a fleet.
 //
-// Each request is answered at most once. A client is told to retry only where a repeat cannot execute the request twice
-// (retry.go), and an attempt whose first message has not been written in full counts as never executed.
+// Each request is answered at most once. The answer asks the client to retry only if a repeat cannot execute the request twice
+// (retry.go). An attempt whose first message has not been written in full counts as never executed.
 package proxy
 
 import (
@@ -28,8 +28,8 @@
 	"example.org/micafront/internal/metrics"
 )
 
-// Proxy is one running proxy. Its parts are types of their own; one that needs more of the proxy than the loop, the log and
-// the counters says what by an interface (drainHost, restartHost and so on) that Proxy implements.
+// Proxy is one running proxy. It consists of components with separate types. A component that depends on more of the proxy than
+// the loop, the log and the counters declares an interface for it (drainHost, restartHost and so on), which Proxy implements.
 type Proxy struct {
 	loop     *evloop.Loop
 	log      *logging.Logger
@@ -39,20 +39,20 @@
 	reasons  metrics.Reasons
 
 	settings       balancer.Settings
-	droppedClasses map[string]balancer.Class // no longer in the settings, but of connections that are still open
-	loadIsLatency  bool                      // endpoints' load messages hold milliseconds a message
+	droppedClasses map[string]balancer.Class // removed from the settings, but used by open connections
+	loadIsLatency  bool                      // endpoints' load messages report milliseconds per message
 	memoryLimitMB  int                       // 0: no limit
 
 	listeners   listenerSet
-	adminServer *admin.Server // nil: the configuration names no address for it
+	adminServer *admin.Server // nil: the configuration has no admin address
 	limits      descriptorLimit
 	idle        idleConns
 
 	pools           poolSet
 	events          eventQueue // of the pools' balancers
 	discoveryClient *discovery.Client
-	fleet           *configSubscriber   // nil: the configuration file alone applies
-	listSource      *endpointListSource // nil: the endpoint list is service discovery's alone
+	fleet           *configSubscriber   // nil: not in a fleet; only the configuration file applies
+	listSource      *endpointListSource // nil: only service discovery supplies the endpoint list
 
 	sessions   sessionTable
 	endpoints  endpointTable
@@ -65,8 +65,8 @@
 	drainer drainer
 }
 
-// New makes a proxy that listens but does not run yet. Where a process of the same name serves at the same address, its
-// listeners and state are taken over.
+// New returns a proxy that listens but does not run yet. If a process with the same name serves at the same address, New takes
+// over its listeners and state. It fails if the event loop, a balancer or a socket cannot be set up.
 func New(c *config.Config, log *logging.Logger) (*Proxy, error) {
 	loop, err := evloop.New()
 	if err != nil {
@@ -94,14 +94,14 @@
 	p.registerOutcomes()
 	p.startBalancers(c, handover.state)
 	p.sweep()
-	p.joinFleet(c) // before the predecessor hears that this process serves
+	p.joinFleet(c) // before the predecessor is notified that this process serves
 	p.restart.linkPredecessor(handover)
 	p.pauseUntilReady()
 	p.restart.offerHandover()
 	return p, nil
 }
 
-// newProxy makes the state that needs neither sockets nor peers.
+// newProxy creates the part of the proxy that needs neither sockets nor peers.
 func newProxy(c *config.Config, loop *evloop.Loop, log *logging.Logger) *Proxy {
 	p := &Proxy{
 		loop:           loop,
@@ -149,13 +149,13 @@
 	}
 }
 
-// Addr is the address of the main listener.
+// Addr returns the address of the main listener.
 func (p *Proxy) Addr() string { return p.listeners.main.Addr() }
 
-// ExtraListenerAddrs are the addresses of the extra listeners by name.
+// ExtraListenerAddrs returns the addresses of the extra listeners by name.
 func (p *Proxy) ExtraListenerAddrs() map[string]string { return p.listeners.extraAddrs() }
 
-// AdminAddr is the address of the admin server, or "" if there is none.
+// AdminAddr returns the address of the admin server, or "" if there is none.
 func (p *Proxy) AdminAddr() string {
 	if p.adminServer == nil {
 		return ""
@@ -163,10 +163,11 @@
 	return p.adminServer.Addr()
 }
 
-// Run serves until the proxy has stopped.
+// Run serves until the proxy has stopped. It returns the error of the event loop, if any.
 func (p *Proxy) Run() error { return p.loop.Run() }
 
-// WriteCounters writes the counters to w. It may be called from any goroutine while the proxy runs.
+// WriteCounters writes the counters to w in a later turn of the event loop. It may be called from any goroutine while the proxy
+// runs; its error is that of evloop.Loop.Post.
 func (p *Proxy) WriteCounters(w io.Writer) error { return p.loop.Post(func() { p.writeCounters(w) }) }
 
 func (p *Proxy) writeCounters(w io.Writer) {
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// A connection that was established before this process started comes back to the endpoint that its client names.
+// A connection that was established before this process started is reattached to the endpoint that its client names.
 const (
-	// reattachTimeout is how long it is tried: a connection counts as lost after 40 s.
+	// reattachTimeout bounds the attempts to reattach. It is below the 40 s after which a connection counts as lost.
 	reattachTimeout        = 35 * time.Second
 	reattachInterval       = 250 * time.Millisecond
 	reattachAttemptTimeout = 5 * time.Second
 )
 
-// startReattach counts the session towards the limits of its route, if it has one, and begins to reattach.
+// startReattach assigns the session to its route, if any, so that the route's limits count it, and begins to reattach.
 func (s *session) startReattach() {
 	p := s.proxy
 	p.counters.Reattached++
@@ -22,7 +22,7 @@
 	s.reattach()
 }
 
-// reattach attempts to establish a connection at the endpoint where it was established before.
+// reattach attempts to establish the connection again at its previous endpoint.
 func (s *session) reattach() {
 	p := s.proxy
 	now := p.loop.Now()
@@ -38,7 +38,7 @@
 	a.dial()
 }
 
-// retryReattach attempts it again after an attempt that failed, until reattachTimeout has passed.
+// retryReattach schedules the next attempt to reattach after a failed one, until reattachTimeout has passed.
 func (s *session) retryReattach(a *attempt) {
 	p := s.proxy
 	if s.answered {
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -10,14 +10,14 @@
 	"go.uber.org/zap"
 )
 
-// Reload applies a configuration file that was read again, in one turn: settings and routes, the addresses of service
-// discovery and of the control plane, memory and descriptor limits. Everything else stays until a restart or an upgrade.
-// Once a version of the fleet's configuration is active, that version's settings and routes stay. It may be called from
-// any goroutine while the proxy runs.
+// Reload applies a reloaded configuration file within one turn of the event loop: settings and routes, the addresses of service
+// discovery and the control plane, memory and descriptor limits. All other changes need a restart or an upgrade. Once a version
+// of the fleet's configuration is active, that version's settings and routes stay in effect. Reload may be called from any
+// goroutine while the proxy runs; its error is that of evloop.Loop.Post.
 func (p *Proxy) Reload(c *config.Config) error {
 	return p.loop.Post(func() {
 		p.loop.NameTurn(turnReload)
-		if err := c.Settings.Check(); err != nil { // the caller has checked the file
+		if err := c.Settings.Check(); err != nil { // unexpected, since the caller has checked the file
 			p.rejectReload(err)
 			return
 		}
@@ -37,8 +37,8 @@
 	})
 }
 
-// RejectConfig records a configuration file that cannot be used; the old configuration stays. It may be called from any
-// goroutine while the proxy runs.
+// RejectConfig counts and logs an invalid configuration file; the current configuration stays in effect. It may be called from
+// any goroutine while the proxy runs; its error is that of evloop.Loop.Post.
 func (p *Proxy) RejectConfig(err error) error {
 	return p.loop.Post(func() { p.rejectReload(err) })
 }
@@ -48,7 +48,8 @@
 	p.log.Warn("configuration rejected", zap.Error(err))
 }
 
-// withNodeIdentity returns settings with the zone and the index of own, which are this node's whatever the fleet's version.
+// withNodeIdentity returns settings with the zone and the node number of own, which belong to this node and not to the fleet's
+// version.
 func withNodeIdentity(settings balancer.Settings, own *balancer.Settings) balancer.Settings {
 	settings.Zone = own.Zone
 	settings.Self = own.Self
@@ -64,7 +65,7 @@
 	}
 }
 
-// applyConfig makes settings and routes the active ones: a file's, or those of a version of the fleet's.
+// applyConfig activates settings and routes, either of the configuration file or of a version of the fleet's configuration.
 func (p *Proxy) applyConfig(settings balancer.Settings, loadIsLatency bool, table *routing.Table) {
 	p.drainer.recordScheduleChange(p.loop.Now(), newShutdownSchedule(p.settings))
 	for _, class := range p.settings.Classes {
@@ -76,7 +77,7 @@
 	p.discoveryClient.PollInterval = settings.Rules.DiscoveryInterval
 	p.registerOutcomes()
 	if !maps.Equal(table.Set.Listeners, p.pools.table.Set.Listeners) {
-		p.log.Info("extra listeners not changed: they change at a restart or an upgrade")
+		p.log.Info("extra listeners not changed: changing them needs a restart or an upgrade")
 	}
 	p.reconfigureBalancers(table)
 }
@@ -87,7 +88,7 @@
 	}
 }
 
-// reconfigureBalancers hands the routes and the active settings to the pools.
+// reconfigureBalancers applies the routes and the active settings to the pools.
 func (p *Proxy) reconfigureBalancers(table *routing.Table) {
 	now := p.loop.Now()
 	if err := p.pools.applyTable(table); err != nil {
@@ -96,7 +97,7 @@
 	for _, pool := range slices.Concat(p.pools.active, p.pools.retired) {
 		actions, err := pool.balancer.Reconfigure(now, p.pools.balancerSettings(pool))
 		if err != nil {
-			continue // cannot be: the settings have been checked by the same rules
+			continue // impossible: the settings have passed the same checks
 		}
 		p.events.executeAll(pool, actions)
 	}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -10,9 +10,9 @@
 	"go.uber.org/zap"
 )
 
-// drainHost is what a drainer needs of the proxy.
+// drainHost is the part of the proxy that a drainer depends on.
 type drainHost interface {
-	// transferConnections hands connections to a successor; false where the clients are to be migrated instead.
+	// transferConnections transfers connections to a successor. It returns false if the clients must be migrated instead.
 	transferConnections() bool
 	migrateClients(now time.Duration)
 	answerPendingRequests()
@@ -21,17 +21,16 @@
 	exit()
 }
 
-// drainer migrates clients away, at a stop or while operators have the proxy evacuated. Its lifecycle decides what each
-// step does.
+// drainer migrates clients to other proxies during a stop or an evacuation. Its lifecycle decides the action of each step.
 type drainer struct {
 	lifecycle
 	host          drainHost
 	loop          *evloop.Loop
-	timer         *evloop.Timer // the next step; nil: there is none
+	timer         *evloop.Timer // for the next step; nil: no steps scheduled
 	lastRequestAt time.Duration
 }
 
-// start starts the steps, unless they are under way.
+// start starts the periodic steps unless they are running.
 func (d *drainer) start() {
 	if d.timer == nil {
 		d.step()
@@ -57,15 +56,15 @@
 	d.timer = d.loop.After(d.stepDelay(now), d.step)
 }
 
-// cancel ends the steps.
+// cancel stops the periodic steps.
 func (d *drainer) cancel() {
 	d.loop.Cancel(d.timer)
 	d.timer = nil
 }
 
-// Stop ends the proxy gracefully: clients that still come are accepted and answered, requests under way are answered, and
-// the clients of established connections are migrated at an even pace, or transferred to a successor. It may be called
-// from any goroutine.
+// Stop shuts the proxy down gracefully. It accepts and answers clients that still arrive, answers pending requests, and either
+// migrates the clients of established connections at an even pace or transfers the connections to a successor. It may be called
+// from any goroutine; its error is that of evloop.Loop.Post.
 func (p *Proxy) Stop() error {
 	return p.loop.Post(func() {
 		if p.drainer.beginStop(p.loop.Now(), newShutdownSchedule(p.settings)) {
@@ -79,7 +78,7 @@
 // isStopping reports whether a stop has begun.
 func (p *Proxy) isStopping() bool { return p.drainer.stopping() }
 
-// migrateClients migrates this step's part of the established connections.
+// migrateClients migrates this step's share of the established connections.
 func (p *Proxy) migrateClients(now time.Duration) {
 	sessions := p.sessions.established
 	if p.settings.PassThrough {
@@ -92,9 +91,9 @@
 	}
 }
 
-// misplacedSessions are the established connections that would not survive this process where packets pass through. The
-// front then sends the packets of open connections to another proxy, and a connection goes on unbroken where that one
-// looks for it at the right endpoint: a migration would only cost it the way back. Others would be reset.
+// misplacedSessions returns the established connections that would not survive the exit of this process under pass-through.
+// The load balancer in front then sends the packets of open connections to another proxy. A connection continues unbroken if
+// that proxy places it on the same endpoint, so a migration would only cost it a reconnect. The returned ones would be reset.
 func (p *Proxy) misplacedSessions() []*session {
 	var misplaced []*session
 	for _, s := range p.sessions.established {
@@ -105,10 +104,11 @@
 	return misplaced
 }
 
-// answersPerTurn bounds how many requests get their final answers in one turn at the end.
+// answersPerTurn bounds how many requests get their final answers in one turn of the event loop.
 const answersPerTurn = 32
 
-// answerPendingRequests gives each request that waits its final answer, some a turn: unresponsive endpoints must not take it along.
+// answerPendingRequests sends each pending request its final answer, so that requests at unresponsive endpoints get one too. It
+// sends at most answersPerTurn in a turn and continues in the next one.
 func (p *Proxy) answerPendingRequests() {
 	answered := 0
 	for _, id := range slices.Sorted(maps.Keys(p.sessions.byID)) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// closeListeners ends accepting. What the queues still held has been accepted by then; it is rejected, as are all clients
-// without a request. Their connections linger, so that a request on its way meets its answer and not a reset.
+// closeListeners stops accepting. All connections in the accept queues have been accepted by then; those without a request are
+// rejected. Their connections linger, so that a request in transit gets its answer instead of a reset.
 func (p *Proxy) closeListeners() {
 	p.listeners.close(p.restart.successorServes())
 	p.restart.withdrawOffer()
@@ -144,7 +144,7 @@
 	}
 }
 
-// shutdownState is what the next step of a stop depends on.
+// shutdownState returns the state that the next step of a stop depends on.
 func (p *Proxy) shutdownState() shutdownState {
 	now := p.loop.Now()
 	return shutdownState{
@@ -163,7 +163,7 @@
 	return false
 }
 
-// exit ends the event loop.
+// exit stops the event loop after sending the successor its last update and logging the counters.
 func (p *Proxy) exit() {
 	p.restart.sendEstablishedEndpoints()
 	p.writeCounters(p.log)
--- a/internal/proxy/start_times.go
+++ b/internal/proxy/start_times.go
@@ -7,22 +7,22 @@
 	"example.org/micafront/internal/discovery"
 )
 
-// This file brings the start times of endpoints, which service discovery gives by the wall clock, to the loop's clock. That began
-// with the wall clock and goes on evenly, so both differ once the wall clock has been set.
+// Service discovery announces the start times of endpoints by the wall clock, and the proxy converts them to the loop's clock.
+// The loop's clock starts at wall-clock time and runs monotonically, so the two differ once the wall clock is set.
 
 const (
-	// minClockStep is the least difference of the clocks that counts as a step: less comes from slewing.
+	// minClockStep is the smallest change of the offset between the clocks that counts as a step. Slewing causes smaller ones.
 	minClockStep = 500 * time.Millisecond
-	// futureStartTolerance is how far in the future a start may seem to be: discovery's machine has a clock of its own.
+	// futureStartTolerance is how far in the future a start time may lie, because the clock of discovery's machine may be ahead.
 	futureStartTolerance = time.Second
-	// maxClockSteps is how many steps are remembered.
+	// maxClockSteps is the number of clock offsets that are remembered.
 	maxClockSteps = 8
 )
 
-// startTimes converts start times. Its wall clock is read when a list comes.
+// startTimes converts start times to the loop's clock. It reads the wall clock when a list arrives.
 type startTimes struct {
 	wallClock func() time.Time
-	// offsets are what the wall clock has been ahead of the loop's, the latest last; 0 is the first.
+	// offsets holds how far the wall clock was ahead of the loop's clock after each step, starting with 0; the latest is last.
 	offsets []time.Duration
 }
 
@@ -30,7 +30,7 @@
 	return startTimes{wallClock: wallClock, offsets: []time.Duration{0}}
 }
 
-// observe notes whether the wall clock has been set.
+// observe records a new offset if the wall clock has been set.
 func (s *startTimes) observe(now time.Duration) {
 	offset := time.Duration(s.wallClock().UnixNano()) - now
 	if (offset - s.offsets[len(s.offsets)-1]).Abs() < minClockStep {
@@ -41,11 +41,11 @@
 	}
 }
 
-// announcedStarts are the start times of a list's entries as discovery gave them, in milliseconds of Unix time.
+// announcedStarts holds the start times of a list's entries as announced by discovery, in milliseconds of Unix time.
 type announcedStarts []int64
 
-// convert replaces the start times of a list by those of the loop's clock, and returns what was announced. An endpoint that is known
-// by the same announced time keeps the one that was found for it, so that a step of the clock restarts no endpoint.
+// convert converts the start times of a list in place to the loop's clock, and returns the announced ones. A known endpoint with
+// an unchanged announced time keeps its converted time, so that a clock step does not make it look restarted.
 func (s *startTimes) convert(list *discovery.List, known endpointTable, now time.Duration) announcedStarts {
 	s.observe(now)
 	announced := make(announcedStarts, len(list.Instances))
@@ -61,11 +61,11 @@
 	return announced
 }
 
-// startedAt converts an announced start. Whether the endpoint has started before a step or after it is not known, so the latest time
-// counts that is not in the future: taking an endpoint to be warm that is not would overload it.
+// startedAt converts an announced start time to the loop's clock. Whether the endpoint started before or after a clock step is
+// unknown, so the result is the latest candidate that is not in the future: treating a cold endpoint as warm would overload it.
 func (s *startTimes) startedAt(announcedMs int64, now time.Duration) int64 {
 	if announcedMs == 0 {
-		return 0 // long ago
+		return 0 // no start time announced: treated as long ago
 	}
 	nowMs := now.Milliseconds()
 	latest := int64(-1)
@@ -75,7 +75,7 @@
 			latest = max(latest, startMs)
 		}
 	}
-	if latest < 0 { // in the future by any clock: it has started just now as far as can be known
+	if latest < 0 { // in the future by every offset: assume that the endpoint has just started
 		return nowMs
 	}
 	return latest
--- a/internal/proxy/start_times_test.go
+++ b/internal/proxy/start_times_test.go
@@ -10,16 +10,17 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestClockStepsKeepSlowStart sets the wall clock by an hour either way, and by seconds, while endpoints start: one that has just
-// started is in its slow start and no longer than that, one that has been up stays warm, and none is taken to have restarted.
+// TestClockStepsKeepSlowStart sets the wall clock forward and back, by an hour and by seconds, while endpoints start. An endpoint
+// that has just started must be in its slow start and no longer than that, an endpoint that has long been up must stay warm, and
+// no known endpoint must look restarted.
 func TestClockStepsKeepSlowStart(t *testing.T) {
 	for name, step := range map[string]time.Duration{
-		"an hour on": time.Hour, "an hour back": -time.Hour, "seconds on": 7 * time.Second, "seconds back": -7 * time.Second,
+		"an hour forward": time.Hour, "an hour back": -time.Hour, "seconds forward": 7 * time.Second, "seconds back": -7 * time.Second,
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newScaledProxy(t, false)
 			now := p.loop.Now()
-			wall := now // as the loop's clock began
+			wall := now // the loop's clock starts at wall-clock time
 			p.startTimes.wallClock = func() time.Time { return time.Unix(0, int64(wall)) }
 			entry := func(id string, startedAt time.Duration) discovery.Entry {
 				return discovery.Entry{ID: id, HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: discovery.InService, StartedAtMs: startedAt.Milliseconds()}
@@ -38,20 +39,21 @@
 			p.applyList(balancer.DeltaList, []discovery.Entry{
 				entry("after", wall-time.Second), entry("crossing", formerWall-2*time.Second), entry("before", formerWall-3*time.Second),
 			})
-			testkit.Equal(t, "age of one that started after the step", true, startOf("after") <= time.Second+10*time.Millisecond && startOf("after") >= -futureStartTolerance)
-			testkit.Equal(t, "age of one that started before the step and is listed after it", true, startOf("crossing") <= 2*time.Second+10*time.Millisecond)
-			testkit.Equal(t, "age of one that was known", before, startOf("before"))
-			testkit.Equal(t, "age of one that has long been up", long, startOf("long"))
-			testkit.Equal(t, "start of one that says none", int64(0), p.endpoints["unknown"].entry.StartedAtMs)
+			testkit.Equal(t, "age of an endpoint that started after the step", true, startOf("after") <= time.Second+10*time.Millisecond && startOf("after") >= -futureStartTolerance)
+			testkit.Equal(t, "age of an endpoint that started before the step and is listed after it", true, startOf("crossing") <= 2*time.Second+10*time.Millisecond)
+			testkit.Equal(t, "age of a known endpoint", before, startOf("before"))
+			testkit.Equal(t, "age of an endpoint that has long been up", long, startOf("long"))
+			testkit.Equal(t, "start of an endpoint that announces none", int64(0), p.endpoints["unknown"].entry.StartedAtMs)
 
-			p.applyList(balancer.DeltaList, []discovery.Entry{entry("long", wall)}) // it restarts, maybe by a lower clock
-			testkit.Equal(t, "age of one that has restarted", true, startOf("long") <= 10*time.Millisecond)
+			p.applyList(balancer.DeltaList, []discovery.Entry{entry("long", wall)}) // it restarts, possibly under a lower wall clock
+			testkit.Equal(t, "age of a restarted endpoint", true, startOf("long") <= 10*time.Millisecond)
 		})
 	}
 }
 
-// TestSuccessorContinuesTheClock hands a state over after the wall clock has been set: the times in it keep their meaning.
-func TestSuccessorContinuesTheClock(t *testing.T) {
+// TestSuccessorContinuesClock checks that the times of a handed-over state keep their meaning if the wall clock was set between
+// the starts of the two processes.
+func TestSuccessorContinuesClock(t *testing.T) {
 	predecessor, successor := newTestLoop(t), newTestLoop(t)
 	const step = -time.Hour
 	reading, err := predecessor.ReadClock()
@@ -72,7 +74,7 @@
 	none := receivedHandover{}
 	before := successor.Now()
 	if err := none.continueClock(successor); err != nil || successor.Now() != before {
-		t.Errorf("without a predecessor the clock went from %v to %v, %v", before, successor.Now(), err)
+		t.Errorf("without a predecessor the clock moved from %v to %v, error %v", before, successor.Now(), err)
 	}
 }
 
--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	// Between failed fetches, doubled each time.
+	// The backoff between failed fetches doubles each time.
 	minFetchBackoff     = 50 * time.Millisecond
 	maxFetchBackoff     = 2 * time.Second
-	maxBackoffDoublings = 8 // reaches maxFetchBackoff, and does not overflow
-	// tooLongQuorum is how many replicas must say that a version is too long before it is rejected for that, where there
-	// are as many.
+	maxBackoffDoublings = 8 // enough to reach maxFetchBackoff without overflow
+	// tooLongQuorum is how many replicas must report a version as too long before it is rejected. With fewer replicas, all
+	// must report it.
 	tooLongQuorum = 2
-	// maxTextHeapDivisor is the part of the heap limit, as a divisor, that a version's text may have: decoding it takes up to
-	// six times its size beside it.
+	// maxTextHeapDivisor limits a version's text to the heap limit divided by it, because decoding takes up to six times the
+	// text's size in addition to the text.
 	maxTextHeapDivisor = 8
-	// maxTextOverheadBytes is how many bytes a version's text may have beside its body.
+	// maxTextOverheadBytes is how many bytes a version's text may hold in addition to its body.
 	maxTextOverheadBytes = 1 << 20
 )
 
-// loaderHost is what a versionLoader needs of the subscription.
+// loaderHost is the part of the subscription that a versionLoader depends on.
 type loaderHost interface {
-	// handle hands the lease client the end of a preparation.
+	// handle passes the result of a preparation to the lease client.
 	handle(event fleetconfig.Event)
-	// warn logs a failed call to the control plane, not too often.
+	// warn logs a failed call to the control plane, at most once per warningInterval.
 	warn(message string, fields ...zap.Field)
-	// heapLimit is the most that the heap may hold, in bytes; 0: there is no limit.
+	// heapLimit returns the heap limit in bytes, 0 for no limit.
 	heapLimit() uint64
 	loaderInput() loaderInput
 }
 
-// loaderInput is what the preparation of a version depends on beside the version.
+// loaderInput is the state of the proxy that the preparation of a version depends on.
 type loaderInput struct {
 	activeTable    *routing.Table
-	activeEstimate memestimate.Estimate // of that table; Live 0: not estimated yet
+	activeEstimate memestimate.Estimate // of activeTable; Live 0: not estimated yet
 	place          configbundle.Place
 }
 
-// versionLoader fetches versions of the fleet's configuration from the control plane and has them prepared, one at a
-// time: the latest that the lease client wants.
+// versionLoader fetches versions of the fleet's configuration from the control plane and prepares them, one at a time. It
+// loads the latest version that the lease client requests.
 type versionLoader struct {
 	host         loaderHost
 	loop         *evloop.Loop
@@ -57,15 +57,15 @@
 	controlPlane *controlclient.Client
 	counters     *metrics.Fleet
 
-	wanted         fleetconfig.Prepare // that is being fetched or prepared; number 0: none is
-	failedAttempts int                 // to fetch it
-	tooLongAnswers int                 // replicas' that it is too long
-	preparing      bool                // a goroutine prepares a version, maybe one that is no longer wanted
+	wanted         fleetconfig.Prepare // being fetched or prepared; number 0: none
+	failedAttempts int                 // failed fetches of wanted
+	tooLongAnswers int                 // answers of replicas that wanted is too long
+	preparing      bool                // a goroutine prepares a version, possibly one that is no longer wanted
 
-	prepared *preparedVersion // nil: none is
+	prepared *preparedVersion // nil: none
 }
 
-// prepare executes the lease client's Prepare.
+// prepare executes the lease client's Prepare action.
 func (l *versionLoader) prepare(version fleetconfig.Prepare) {
 	if l.prepared != nil && l.prepared.number == version.Number && l.prepared.digest == version.Digest {
 		l.host.handle(fleetconfig.PrepareDone{Number: version.Number})
@@ -78,7 +78,7 @@
 	l.startFetch(version)
 }
 
-// takePrepared returns the prepared version of that number and forgets it; nil if there is none.
+// takePrepared removes and returns the prepared version with that number, or nil if there is none.
 func (l *versionLoader) takePrepared(number uint64) *preparedVersion {
 	prepared := l.prepared
 	if prepared == nil || prepared.number != number {
@@ -91,7 +91,8 @@
 // isEmpty reports whether no version is prepared or being prepared.
 func (l *versionLoader) isEmpty() bool { return !l.preparing && l.prepared == nil }
 
-// discard drops a version that will not become active. A goroutine that prepares it goes on to its end, for nothing.
+// discard drops a version that will not become active. A goroutine that is preparing it runs to completion, and its result is
+// ignored.
 func (l *versionLoader) discard(number uint64) {
 	if l.prepared != nil && l.prepared.number == number {
 		l.prepared = nil
@@ -101,8 +102,8 @@
 	}
 }
 
-// startFetch fetches a version, if it is still wanted. While another one is being prepared it waits for the end of that:
-// two would hold twice the memory.
+// startFetch fetches a version if it is still wanted. While another version is being prepared it does nothing, because two would
+// need twice the memory; onPrepared calls it again.
 func (l *versionLoader) startFetch(version fleetconfig.Prepare) {
 	if l.wanted != version || l.preparing {
 		return
@@ -120,7 +121,7 @@
 	l.controlPlane.Fetch(version.Number, l.failedAttempts, l.maxTextBytes(), onText)
 }
 
-// startPreparation prepares a version in a goroutine that ends with it.
+// startPreparation prepares a version in a goroutine that ends with the preparation.
 func (l *versionLoader) startPreparation(version fleetconfig.Prepare, text []byte) {
 	l.preparing = true
 	input := l.host.loaderInput()
@@ -138,7 +139,7 @@
 	}()
 }
 
-// maxTextBytes bounds the text of a version here.
+// maxTextBytes returns the largest size of a version's text that this process accepts.
 func (l *versionLoader) maxTextBytes() int64 {
 	limit := int64(fleetconfig.MaxBody + maxTextOverheadBytes)
 	if heapLimit := l.host.heapLimit(); heapLimit > 0 {
@@ -147,8 +148,8 @@
 	return limit
 }
 
-// onFetchFailure tries the next replica after a while. A version that cannot be fetched is not rejected for that; one
-// that is too long is, once two replicas say so, or the only one.
+// onFetchFailure retries at the next replica after a backoff. A failed fetch does not reject the version, except that a version
+// is rejected as too long once tooLongQuorum replicas, or all if there are fewer, report so.
 func (l *versionLoader) onFetchFailure(version fleetconfig.Prepare, err error) {
 	l.counters.FetchFailures++
 	l.host.warn("fleet: version cannot be fetched yet", zap.Uint64("version", version.Number), zap.Error(err))
@@ -159,7 +160,7 @@
 			l.rejectVersion(version, &fleetconfig.Rejection{
 				Kind:       controlclient.TooLong.Name,
 				LimitBytes: uint64(maxBytes),
-				Cause:      fmt.Sprintf("%v; this node takes %d bytes of text", err, maxBytes),
+				Cause:      fmt.Sprintf("%v; this node accepts at most %d bytes of text", err, maxBytes),
 			})
 			return
 		}
@@ -169,7 +170,7 @@
 	l.loop.After(backoff, func() { l.startFetch(version) })
 }
 
-// rejectVersion reports that this node cannot hold a version.
+// rejectVersion reports to the lease client that this node rejects a version.
 func (l *versionLoader) rejectVersion(version fleetconfig.Prepare, rejection *fleetconfig.Rejection) {
 	l.wanted = fleetconfig.Prepare{}
 	l.counters.PrepareRejected++
@@ -178,7 +179,7 @@
 	l.host.handle(fleetconfig.PrepareDone{Number: version.Number, Rejection: rejection})
 }
 
-// onPrepared takes the result of a preparation.
+// onPrepared handles the result of a preparation.
 func (l *versionLoader) onPrepared(version fleetconfig.Prepare, prepared *preparedVersion, err error) {
 	l.preparing = false
 	var rejection rejectionError
@@ -189,7 +190,7 @@
 		}
 	case asRejection(err, &rejection):
 		l.rejectVersion(version, &rejection.Rejection)
-	case err != nil: // the text is not the version's; another replica may have that
+	case err != nil: // the text is not that of the version; another replica may have the right one
 		l.onFetchFailure(version, err)
 	default:
 		l.wanted = fleetconfig.Prepare{}
--- a/internal/proxy/version_measure.go
+++ b/internal/proxy/version_measure.go
@@ -10,9 +10,9 @@
 	"go.uber.org/zap"
 )
 
-// After a switch the estimate of the version's memory is compared with what is alive then: the latter should be at most
-// 1.05 times the estimate, and the estimate at most 1.15 times the latter. There is slack for what the connections'
-// memory has changed meanwhile.
+// After a switch the estimate of the version's memory is compared with the measured live heap. The measured size should be at
+// most 1.05 times the estimate, and the estimate at most 1.15 times the measured size. measureSlackBytes allows for changes of
+// the connections' memory in the meantime.
 const (
 	measureDelay           = 5 * time.Second
 	measureSlackBytes      = 4 << 20
@@ -21,15 +21,15 @@
 	overestimateNumerator  = 3
 )
 
-// estimateHost is what an estimateCheck needs of the subscription.
+// estimateHost is the part of the subscription that an estimateCheck depends on.
 type estimateHost interface {
-	// soleVersionInMemory is the active version; ok is false where something of another one is alive.
+	// soleVersionInMemory returns the active version. ok is false while another version is also in memory.
 	soleVersionInMemory() (version *preparedVersion, ok bool)
-	// formerTableInUse reports whether a request is left that was routed by a table that is no longer active.
+	// formerTableInUse reports whether any open request was routed by a table that is no longer active.
 	formerTableInUse() bool
 }
 
-// estimateCheck compares the estimates of versions' memory with what they take.
+// estimateCheck compares the estimates of versions' memory with the memory that they occupy.
 type estimateCheck struct {
 	host     estimateHost
 	loop     *evloop.Loop
@@ -37,7 +37,7 @@
 	counters *metrics.Fleet
 }
 
-// schedule measures a version once no request is left that was routed by the former table.
+// schedule measures a version after measureDelay, and again later while requests routed by a former table are open.
 func (c *estimateCheck) schedule(number uint64) {
 	c.loop.After(measureDelay, func() {
 		if c.measurable(number) == nil {
@@ -47,7 +47,7 @@
 			c.schedule(number)
 			return
 		}
-		go func() { // ends with the collection
+		go func() { // ends after the garbage collection
 			runtime.GC()
 			live := heapLive()
 			_ = c.loop.Post(func() { c.record(number, live) }) // cannot fail, see evloop.Loop.Post
@@ -55,7 +55,7 @@
 	})
 }
 
-// measurable returns the version of that number where it is still active and nothing of another one is alive, else nil.
+// measurable returns the version with that number if it is still active and no other version is in memory, else nil.
 func (c *estimateCheck) measurable(number uint64) *preparedVersion {
 	version, ok := c.host.soleVersionInMemory()
 	if !ok || version.number != number {
@@ -64,7 +64,7 @@
 	return version
 }
 
-// record compares the estimate with the live heap in bytes.
+// record compares the estimate of a version with live, the live heap in bytes, and logs a deviation beyond the tolerances.
 func (c *estimateCheck) record(number, live uint64) {
 	version := c.measurable(number)
 	if version == nil {
@@ -78,7 +78,7 @@
 	overestimated := estimated > measured+measured*overestimateNumerator/toleranceDenominator+measureSlackBytes
 	if underestimated || overestimated {
 		c.counters.EstimateErrors++
-		c.log.Warn("fleet: memory estimate of the version is off", zap.Uint64("version", number),
+		c.log.Warn("fleet: memory estimate of the version is outside its tolerance", zap.Uint64("version", number),
 			zap.Uint64("estimated_bytes", estimated), zap.Uint64("measured_bytes", measured),
 			zap.Uint64("baseline_bytes", version.baselineBytes))
 	}
--- a/internal/proxy/version_prepare.go
+++ b/internal/proxy/version_prepare.go
@@ -14,8 +14,8 @@
 	"example.org/micafront/internal/routing"
 )
 
-// This file prepares a version of the fleet's configuration, in a goroutine of its own. What is estimated not to fit into
-// the memory is never compiled.
+// A version of the fleet's configuration is prepared in a separate goroutine. A version whose estimated memory exceeds the limit
+// is never compiled.
 
 var (
 	errInvalidVersion = apperror.NewKind("proxy/broken-version",
@@ -26,7 +26,7 @@
 		"compare the replicas' data folders: one of them keeps a text that is not the version's; stop it, empty its folder, start it")
 )
 
-// preparedVersion is a version of the fleet's configuration that can be switched to.
+// preparedVersion is a version of the fleet's configuration that is ready to become active.
 type preparedVersion struct {
 	number         uint64
 	digest         string
@@ -35,10 +35,10 @@
 	table          *routing.Table
 	estimate       memestimate.Estimate
 	catalogMetrics []byte // telemetry text
-	baselineBytes  uint64 // live heap without any table or text, when it was prepared
+	baselineBytes  uint64 // live heap without any table or text at the time of preparation
 }
 
-// rejectionError is why this node cannot hold a version.
+// rejectionError is the reason why this node rejects a version.
 type rejectionError struct{ fleetconfig.Rejection }
 
 func (e rejectionError) Error() string { return e.Kind + ": " + e.Cause }
@@ -50,24 +50,23 @@
 	return rejectionError{fleetconfig.Rejection{Kind: errInvalidVersion.Name, Cause: wrapped.Error()}}
 }
 
-// preparation is the input of the goroutine, which shares nothing that changes.
+// preparation is the input of the goroutine. It shares no mutable data with the event loop.
 type preparation struct {
 	version        fleetconfig.Prepare
 	text           []byte
 	table          *routing.Table       // the active one
-	activeEstimate memestimate.Estimate // of that table; Live 0: not estimated yet
+	activeEstimate memestimate.Estimate // of table; Live 0: not estimated yet
 	place          configbundle.Place
-	limitBytes     uint64 // of heap; 0: there is no limit
+	limitBytes     uint64 // heap limit; 0: none
 }
 
-// run returns the prepared version. Its error is a rejectionError, or errVersionMismatch where the text is not the
-// version's.
+// run returns the prepared version. Its error is a rejectionError, or errVersionMismatch if the text is not that of the version.
 func (j *preparation) run() (prepared *preparedVersion, err error) {
 	defer func() {
-		// All nodes prepare a version at the same time: one that makes the program panic must not end them all.
+		// All nodes prepare a version at the same time, so a panic in the preparation must not end the processes.
 		if fault := recover(); fault != nil {
 			prepared = nil
-			err = invalidVersion(j.version.Number, fmt.Errorf("the program fails on it: %v", fault))
+			err = invalidVersion(j.version.Number, fmt.Errorf("panic while preparing it: %v", fault))
 		}
 	}()
 	runtime.GC() // so that garbage does not count against the version
@@ -76,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The text is what the fleet agreed on: every other fault is the same at all replicas.
+	// The digest matches the version that the fleet agreed on, so any further fault is the same at all replicas and is a rejection.
 	bundle, err := configbundle.Decode(version.Body, j.place)
 	if err != nil {
 		return nil, invalidVersion(version.Number, err)
@@ -92,7 +91,7 @@
 		return nil, err
 	}
 	routes := bundle.Routing
-	version = fleetconfig.Version{} // dropped, as are the next two, so that the compilation has their memory
+	version = fleetconfig.Version{} // released, like the next two, to free their memory for the compilation
 	bundle = configbundle.Bundle{}
 	j.text = nil
 	if prepared.table, err = routing.New(routes); err != nil {
@@ -101,7 +100,7 @@
 	return prepared, nil
 }
 
-// decode decodes the text and checks that it is the version's.
+// decode decodes the text and checks that its number and digest are those of the version.
 func (j *preparation) decode() (fleetconfig.Version, error) {
 	place := fmt.Sprintf("version %d", j.version.Number)
 	var version fleetconfig.Version
@@ -116,8 +115,8 @@
 	return version, nil
 }
 
-// checkMemory estimates the memory of a version and of the switch to it, and rejects a version for which the limit is too
-// low. live is the live heap in bytes.
+// checkMemory estimates the memory of a version and of the switch to it, and rejects the version if the limit is too low. live
+// is the live heap in bytes.
 func (j *preparation) checkMemory(prepared *preparedVersion, bundle *configbundle.Bundle, live uint64) error {
 	var estimator memestimate.Estimator = memestimate.New()
 	textBytes := len(j.text)
--- a/internal/proxy/version_prepare_test.go
+++ b/internal/proxy/version_prepare_test.go
@@ -15,8 +15,8 @@
 	"Limits":{"AttemptsCap":1,"ConnectTimeout":1,"MaxOpen":1,"MaxRetryAfter":1},
 	"Invariants":{"AnswerSlack":0,"AskEvery":1,"Cold":1,"ColdFrom":1,"DrainGrace":1,"Fall":1,"OverloadFactor":1}}`
 
-// TestVersionMemoryLimit prepares a version under several limits: it is rejected unless the limit leaves a quarter of the
-// peak free, and a limit that does is enough.
+// TestVersionMemoryLimit prepares a version under several memory limits. It must be rejected unless the limit leaves a quarter of
+// the peak free, and a limit that does so must suffice.
 func TestVersionMemoryLimit(t *testing.T) {
 	var routes []string
 	for i := range 20_000 {
@@ -50,18 +50,18 @@
 	}
 	prepared, _ := prepare(0)
 	if prepared == nil {
-		t.Fatal("rejected without a limit")
+		t.Fatal("version rejected without a limit")
 	}
 	estimator := memestimate.New()
 	peak := estimator.Switch(estimator.Table(&table.Set), prepared.estimate, len(text))
-	prepared = nil // so that it is not alive beside the next one
+	prepared = nil // so that it is not in memory together with the next one
 	_, rejection := prepare(1)
 	want := memestimate.RequiredBytes(rejection.EstimatedBytes-peak-peak/4, peak)
 	cause := fmt.Sprintf("%d bytes of heap, it is 1", rejection.EstimatedBytes)
 	if rejection.Kind != errVersionTooLarge.Name || rejection.EstimatedBytes != want || !strings.Contains(rejection.Cause, cause) {
 		t.Fatalf("rejection %+v for a peak of %d", rejection, peak)
 	}
-	// What is alive beside it differs from run to run by far less than an eighth of this peak.
+	// The rest of the live heap differs between runs by far less than an eighth of this peak.
 	_, tooLow := prepare(rejection.EstimatedBytes - peak/8)
 	if tooLow.Kind != errVersionTooLarge.Name || tooLow.EstimatedBytes <= tooLow.LimitBytes {
 		t.Errorf("a limit of 1.125 times the peak: rejection %+v", tooLow)
