--- a/internal/proxy/hotrestart_link.go
+++ b/internal/proxy/hotrestart_link.go
@@ -53,7 +53,7 @@
 	heartbeatRunning bool
 }
 
-// receivedHandover holds the listeners, state and link received from a predecessor. It is empty without one.
+// receivedHandover holds the listeners, state and link received from a predecessor, if there is one.
 type receivedHandover struct {
 	listeners map[string]int // descriptors by name
 	state     *handoverState // nil: none, or unreadable
@@ -71,17 +71,17 @@
 // requestHandover requests the listeners and state of the process that serves under the same name at the same address. If
 // none does or the handover fails, this process starts without one.
 func (r *hotRestart) requestHandover(c *config.Config) receivedHandover {
-	none := receivedHandover{link: -1}
+	noHandover := receivedHandover{link: -1}
 	r.socket.path = hotrestart.SocketPath(c.TempDir, c.Name, c.Listen)
 	if r.socket.path == "" {
-		return none
+		return noHandover
 	}
 	handover, err := hotrestart.Request(r.socket.path)
 	if err != nil {
 		if !errors.Is(err, os.ErrNotExist) && !errors.Is(err, unix.ECONNREFUSED) {
 			r.warn("hot restart: no handover, starting without it", err)
 		}
-		return none
+		return noHandover
 	}
 	state := &handoverState{}
 	if err := json.Unmarshal(handover.State, state); err != nil {
--- a/internal/proxy/hotrestart_state.go
+++ b/internal/proxy/hotrestart_state.go
@@ -137,13 +137,13 @@
 	p.updateEndpoints(&list, balancer.CachedList)
 	p.pools.owners.RestoreReservations(state.Reserved)
 	updates := p.pools.owners.ApplyList(p.loop.Now(), balancer.CachedList, list.Generation, list.Entries())
-	divided := len(state.Pools) > 0 // otherwise the only pool's state already holds the whole list
+	hasPoolStates := len(state.Pools) > 0 // otherwise the only pool's state already holds the whole list
 	for i, pool := range p.pools.active {
 		if restored[i].ok {
 			p.events.executeAll(pool, restored[i].actions)
 			updates[i].Members.Kind = balancer.FullList // the pool may have had other endpoints before
 		}
-		if !restored[i].ok || divided {
+		if !restored[i].ok || hasPoolStates {
 			p.events.handle(pool, updates[i].Members)
 		}
 	}
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -114,7 +114,8 @@
 	return n
 }
 
-// appendMetrics appends the telemetry text of each pool and each route. It appends nothing if there is only one pool.
+// appendMetrics appends the telemetry text of each pool and each route. It appends nothing while there is only one
+// pool, counting retired ones.
 func (ps *poolSet) appendMetrics(out []byte, endpoints endpointTable) []byte {
 	if ps.isSingle() && len(ps.retired) == 0 {
 		return out
--- a/internal/proxy/version_prepare.go
+++ b/internal/proxy/version_prepare.go
@@ -63,7 +63,7 @@
 // run returns the prepared version. Its error is a rejectionError, or errVersionMismatch if the text is not that of the version.
 func (j *preparation) run() (prepared *preparedVersion, err error) {
 	defer func() {
-		// All nodes prepare a version at the same time, so a panic in the preparation must not end the processes.
+		// All nodes prepare a version at the same time, so an unrecovered panic could end every proxy of the fleet.
 		if fault := recover(); fault != nil {
 			prepared = nil
 			err = invalidVersion(j.version.Number, fmt.Errorf("panic while preparing it: %v", fault))
@@ -141,7 +141,7 @@
 		Kind:           errVersionTooLarge.Name,
 		EstimatedBytes: requiredBytes,
 		LimitBytes:     j.limitBytes,
-		Cause: fmt.Sprintf("the switch to version %d needs a limit of %d bytes of heap, it is %d",
+		Cause: fmt.Sprintf("the switch to version %d needs a heap limit of %d bytes; the limit is %d",
 			j.version.Number, requiredBytes, j.limitBytes),
 	}
 	for _, size := range largest {
--- a/internal/proxy/version_prepare_test.go
+++ b/internal/proxy/version_prepare_test.go
@@ -57,7 +57,7 @@
 	prepared = nil // so that it is not in memory together with the next one
 	_, rejection := prepare(1)
 	want := memestimate.RequiredBytes(rejection.EstimatedBytes-peak-peak/4, peak)
-	cause := fmt.Sprintf("%d bytes of heap, it is 1", rejection.EstimatedBytes)
+	cause := fmt.Sprintf("needs a heap limit of %d bytes; the limit is 1", rejection.EstimatedBytes)
 	if rejection.Kind != errVersionTooLarge.Name || rejection.EstimatedBytes != want || !strings.Contains(rejection.Cause, cause) {
 		t.Fatalf("rejection %+v for a peak of %d", rejection, peak)
 	}
