--- a/balancer/handover_state.go
+++ b/balancer/handover_state.go
@@ -154,13 +154,13 @@
 // FindOwners replaces the members of tables by the owners of their slots, but in tables that are too large for that. It uses nothing
 // but the state, so it may run beside the Balancer.
 func (s *State) FindOwners() {
-	claims := make([]claim, len(s.Endpoints))
+	weightedEndpoints := make([]weightedMember, len(s.Endpoints))
 	for i := range s.Endpoints {
-		claims[i] = claim{salt: hashing.NewSalt(hashing.String(s.Endpoints[i].ID)), size: s.Endpoints[i].Size}
+		weightedEndpoints[i] = weightedMember{salt: hashing.NewSalt(hashing.String(s.Endpoints[i].ID)), size: s.Endpoints[i].Size}
 	}
-	compact := s.Table.findOwners(claims)
+	compact := s.Table.findOwners(weightedEndpoints)
 	for zone, table := range s.ZoneTables {
-		compact = table.findOwners(claims) || compact
+		compact = table.findOwners(weightedEndpoints) || compact
 		s.ZoneTables[zone] = table
 	}
 	if compact {
@@ -168,11 +168,11 @@
 	}
 }
 
-// findOwners replaces the members of a table and of its earlier forms, and reports whether any has kept them. claims are those of
-// the state's endpoints, by index.
-func (t *TableState) findOwners(claims []claim) (compact bool) {
+// findOwners replaces the members of a table and of its earlier forms, and reports whether any has kept them. weightedEndpoints
+// holds the state's endpoints, by index.
+func (t *TableState) findOwners(weightedEndpoints []weightedMember) (compact bool) {
 	if t.Previous != nil {
-		compact = t.Previous.findOwners(claims)
+		compact = t.Previous.findOwners(weightedEndpoints)
 	}
 	if len(t.Members) == 0 {
 		return compact
@@ -181,13 +181,13 @@
 	if slots > maxEncodedOwners {
 		return true
 	}
-	memberClaims := make([]claim, len(t.Members))
+	weightedMembers := make([]weightedMember, len(t.Members))
 	for i, member := range t.Members {
-		memberClaims[i] = claims[member]
+		weightedMembers[i] = weightedEndpoints[member]
 	}
 	t.Owners = make([]int, slots)
 	for slot := range t.Owners {
-		t.Owners[slot] = t.Members[strongestClaim(slot, memberClaims)]
+		t.Owners[slot] = t.Members[rendezvousOwner(slot, weightedMembers)]
 	}
 	t.Members = nil
 	return compact
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -198,9 +198,9 @@
 // parts as endpoints' worths of traffic it has, each with a hash of its own. The client's part is found by plastic
 // hashing too, so that it rarely changes while the number of parts grows.
 func (b *Balancer) splitGroupHash(group, clientHash uint64) uint64 {
-	owners := b.localTable.ownerCount
+	owners := b.localTable.expectedOwnerCount
 	if owners == 0 {
-		owners = b.fleetTable.ownerCount
+		owners = b.fleetTable.expectedOwnerCount
 	}
 	endpoints := float64(max(owners, 1))
 	endpointsWorth := min(b.groupFrequency.Share(group, endpoints), 1) * endpoints
--- a/balancer/ready_list.go
+++ b/balancer/ready_list.go
@@ -14,8 +14,8 @@
 	changed   []*endpointState // whose phase has changed since, some repeatedly
 }
 
-// noteChange takes in that an endpoint's phase has changed.
-func (l *readyList) noteChange(endpoint *endpointState) { l.changed = append(l.changed, endpoint) }
+// markChanged records that an endpoint's phase has changed.
+func (l *readyList) markChanged(endpoint *endpointState) { l.changed = append(l.changed, endpoint) }
 
 // reset replaces the list by the ready ones among others.
 func (l *readyList) reset(endpoints map[string]*endpointState) {
@@ -24,12 +24,12 @@
 	}
 	*l = readyList{}
 	for _, endpoint := range endpoints {
-		l.noteChange(endpoint)
+		l.markChanged(endpoint)
 	}
 }
 
-// read returns the endpoints. The slice is never changed afterwards: tables keep it.
-func (l *readyList) read() []*endpointState {
+// current returns the endpoints. The slice is never changed afterwards: tables keep it.
+func (l *readyList) current() []*endpointState {
 	if len(l.changed) == 0 {
 		return l.endpoints
 	}
@@ -73,11 +73,11 @@
 }
 
 // readyEndpoints lists the endpoints that may own slots, by ID.
-func (b *Balancer) readyEndpoints() []*endpointState { return b.ready.read() }
+func (b *Balancer) readyEndpoints() []*endpointState { return b.ready.current() }
 
 // setPhase changes an endpoint's phase.
 func (b *Balancer) setPhase(endpoint *endpointState, phase Phase) {
 	endpoint.phase = phase
 	b.listDirty = true
-	b.ready.noteChange(endpoint)
+	b.ready.markChanged(endpoint)
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -24,7 +24,7 @@
 	}
 	b.Handle(4*sec+ms, Timer{})
 	if !slices.Equal(owners, b.fleetTable.allOwners()) || !slices.Contains(owners, b.endpoints["s999"]) || b.endpoints["s999"].slowStartTokens != tokens {
-		t.Errorf("table of %v, tokens %v: changed", b.fleetTable.counts, b.endpoints["s999"].slowStartTokens)
+		t.Errorf("table of %v, tokens %v: changed", b.fleetTable.slotCountHistory, b.endpoints["s999"].slowStartTokens)
 	}
 	// The old request keeps its class, safe, and is retried; the limit on attempts is the new one.
 	actions := b.Handle(4*sec+ms, AttemptEnded{ID: req.ID, Endpoint: first, Status: Timeout})
--- a/balancer/slot_assignment.go
+++ b/balancer/slot_assignment.go
@@ -17,8 +17,8 @@
 	minSlots            = 2048
 )
 
-// update brings the table up to a list, by ID, and tells whether that changed it. A slot belongs to the endpoint with the
-// strongest claim on it, so the owners follow from the list alone: a joining endpoint takes slots from all others evenly
+// update brings the table up to a list, by ID, and tells whether that changed it. The owner of a slot is the endpoint
+// that wins its rendezvous, so the owners follow from the list alone: a joining endpoint takes slots from all others evenly
 // and keeps them; a leaving one's slots go to all others evenly; and nodes with the same list agree, whatever came before.
 // The list must not be changed afterwards.
 func (t *slotTable) update(ready []*endpointState) bool {
@@ -30,39 +30,39 @@
 	for _, endpoint := range ready {
 		totalSize += endpoint.size
 	}
-	count := slotCount(len(ready))
-	t.slotSize = max(totalSize/float64(max(count, 1)), epsilon)
-	t.countOwners()
-	t.recordCount(count)
+	count := slotCountFor(len(ready))
+	t.sizePerSlot = max(totalSize/float64(max(count, 1)), epsilon)
+	t.updateExpectedOwnerCount()
+	t.recordSlotCount(count)
 	return true
 }
 
-// slotCount is the number of slots for so many endpoints.
-func slotCount(endpoints int) int {
-	if endpoints == 0 {
+// slotCountFor returns the number of slots of a table with endpointCount endpoints.
+func slotCountFor(endpointCount int) int {
+	if endpointCount == 0 {
 		return 0
 	}
 	count := minSlots
-	for count < minSlotsPerEndpoint*endpoints {
+	for count < minSlotsPerEndpoint*endpointCount {
 		count *= 2
 	}
 	return count
 }
 
-// strongestClaim returns the index of the strongest claim on a slot, by weighted rendezvous hashing (Schindelhauer,
-// Schomaker 2005): an exponential draw by size, the least of which wins.
-func strongestClaim(slot int, claims []claim) int {
-	strongest, least := 0, math.Inf(1)
+// rendezvousOwner returns the index of the member that owns a slot, by weighted rendezvous hashing (Schindelhauer, Schomaker
+// 2005): each member has an exponentially distributed draw whose rate is its size, and the least draw wins.
+func rendezvousOwner(slot int, members []weightedMember) int {
+	owner, leastDraw := 0, math.Inf(1)
 	slotHash := hashing.Mix64(uint64(slot) + 1)
-	for i := range claims {
-		uniform := claims[i].salt.Uniform(slotHash)
-		size := claims[i].size
-		if uniform/size >= least {
+	for i := range members {
+		uniform := members[i].salt.Uniform(slotHash)
+		size := members[i].size
+		if uniform/size >= leastDraw {
 			continue // the draw is no less than that: most are skipped without a logarithm
 		}
-		if draw := -math.Log1p(-uniform) / size; draw < least {
-			strongest, least = i, draw
+		if draw := -math.Log1p(-uniform) / size; draw < leastDraw {
+			owner, leastDraw = i, draw
 		}
 	}
-	return strongest
+	return owner
 }
--- a/balancer/slot_table_test.go
+++ b/balancer/slot_table_test.go
@@ -77,7 +77,7 @@
 func TestManyStepGrowthStaysEven(t *testing.T) {
 	counts := []int{352}
 	for n := 400; n <= 864; n += 58 {
-		counts = appendCount(counts, n)
+		counts = appendSlotCount(counts, n)
 	}
 	final := counts[len(counts)-1]
 	stayed := 0
@@ -91,7 +91,7 @@
 	if got := float64(stayed) / count; got < want*0.95 || got > want*1.05 {
 		t.Errorf("old slots keep %.3f of the keys after growth to %d, want %.3f", got, final, want)
 	}
-	if c := appendCount(counts, 352); len(c) != 1 {
+	if c := appendSlotCount(counts, 352); len(c) != 1 {
 		t.Errorf("a return to the base count leaves history %v", c)
 	}
 }
@@ -251,7 +251,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.fleetTable.ownerCount != 7 || restored.fleetTable.ownerCount != b.fleetTable.ownerCount {
-		t.Errorf("%d endpoints own slots, %d once restored, want 7", b.fleetTable.ownerCount, restored.fleetTable.ownerCount)
+	if b.fleetTable.expectedOwnerCount != 7 || restored.fleetTable.expectedOwnerCount != b.fleetTable.expectedOwnerCount {
+		t.Errorf("%d endpoints own slots, %d once restored, want 7", b.fleetTable.expectedOwnerCount, restored.fleetTable.expectedOwnerCount)
 	}
 }
--- a/balancer/table_history.go
+++ b/balancer/table_history.go
@@ -109,10 +109,10 @@
 	return int(slot)
 }
 
-// appendCount appends a count in place of all entries after the first, as the paper suggests. A key that did not move
+// appendSlotCount appends a count in place of all entries after the first, as the paper suggests. A key that did not move
 // keeps its old count, and each further entry would draw it afresh against that: old endpoints would lose nearly all
 // keys as a fleet grows in steps. With the first and the last count alone shares are even.
-func appendCount(counts []int, count int) []int {
+func appendSlotCount(counts []int, count int) []int {
 	base := counts[:1:1]
 	if count == base[0] {
 		return base
--- a/balancer/table_state.go
+++ b/balancer/table_state.go
@@ -32,7 +32,7 @@
 	if table.slotCount() > maxEncodedOwners {
 		return encodeMembers(table, endpointIndex)
 	}
-	encoded := TableState{Counts: slices.Clone(table.counts), Owners: []int{}, SlotSize: table.slotSize}
+	encoded := TableState{Counts: slices.Clone(table.slotCountHistory), Owners: []int{}, SlotSize: table.sizePerSlot}
 	for slot := range table.slotCount() {
 		encoded.Owners = append(encoded.Owners, endpointIndex(table.owner(slot)))
 	}
@@ -45,7 +45,7 @@
 
 // encodeMembers encodes a table and its previous forms by their members.
 func encodeMembers(table *slotTable, endpointIndex func(*endpointState) int) TableState {
-	encoded := TableState{Counts: slices.Clone(table.counts), Owners: []int{}, SlotSize: table.slotSize}
+	encoded := TableState{Counts: slices.Clone(table.slotCountHistory), Owners: []int{}, SlotSize: table.sizePerSlot}
 	if len(table.members) > 0 {
 		encoded.Members = make([]int, 0, len(table.members))
 	}
@@ -73,7 +73,7 @@
 		table.previous = previous
 	}
 	if len(t.Owners)+len(t.Members) == 0 {
-		table.slotSize = t.SlotSize
+		table.sizePerSlot = t.SlotSize
 		return table, nil
 	}
 	if err := table.decodeMembers(t, endpointAt); err != nil {
@@ -83,9 +83,9 @@
 		return nil, fmt.Errorf("a table's history %v does not end with its %d slots of %d members, or its slot size %v is out of range",
 			t.Counts, len(t.Owners), len(t.Members), t.SlotSize)
 	}
-	table.counts = slices.Clone(t.Counts)
-	table.slotSize = t.SlotSize
-	table.countOwners()
+	table.slotCountHistory = slices.Clone(t.Counts)
+	table.sizePerSlot = t.SlotSize
+	table.updateExpectedOwnerCount()
 	return table, nil
 }
 
@@ -103,7 +103,7 @@
 			t.members = append(t.members, endpoint)
 		}
 		if len(encoded.Members) == 0 && len(encoded.Owners) <= maxEncodedOwners {
-			t.rememberOwner(i, endpoint)
+			t.cacheOwner(i, endpoint)
 		}
 	}
 	slices.SortStableFunc(t.members, compareIDs)
