--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -12,7 +12,7 @@
 // trials that follow them, as in a circuit breaker.
 type outlierState struct {
 	failures      int
-	retryAt       Instant // ejected until then
+	ejectedUntil  Instant // 0: no failure since the last success
 	trialInFlight bool    // the one request that probes for a recovery is out
 }
 
@@ -22,8 +22,8 @@
 	hash  uint64 // of the id
 	phase Phase  // setPhase changes it
 
-	inReadyList bool   // it is one of the ready list's as that was last read
-	listedBy    uint64 // which of the updates named it last
+	inReadyList      bool   // it is one of the ready list's as that was last read
+	lastListedUpdate uint64 // which of the updates named it last
 
 	size      float64 // relative capacity
 	zone      string
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -101,7 +101,7 @@
 		GroupCounts:        map[uint64]float64{2024: 2.025}, GroupTotal: 2.026, GroupSumOfSquares: 2.027,
 		Started: true, ListDirty: true, HistoryReset: true, StartedAt: 2028, LastEpoch: 2029, LastChangeEpoch: 2030,
 		WatchFailures: 2031, WatchRetryPending: true, AdmissionRate: 0.2032, Stress: 0.2033, AdmissionUpdatedAt: 2034, LastAttemptAt: 2035,
-		LoadReports: map[string]loadreport.Evidence{
+		LoadReports: map[string]loadreport.LoadRecord{
 			"s001": {Size: 2.036, ReportedLoad: 2.037, SentLoad: 2.038, ConnectionLoad: 2.039, ReportedAt: 2040, RequestedAt: 2041},
 		},
 	}
--- a/balancer/handover_resume.go
+++ b/balancer/handover_resume.go
@@ -43,7 +43,7 @@
 		b.localTable = table
 	}
 	for zone, outlier := range state.ZoneOutliers {
-		b.zoneOutliers[zone] = &outlierState{failures: max(outlier.Failures, 0), retryAt: min(outlier.RetryAt, decoder.latest)}
+		b.zoneOutliers[zone] = &outlierState{failures: max(outlier.Failures, 0), ejectedUntil: min(outlier.RetryAt, decoder.latest)}
 	}
 	b.admissionRate = min(state.AdmissionRate, 1)
 	b.admissionUpdatedAt = b.now
@@ -175,7 +175,7 @@
 		zone:               encoded.Zone,
 		cell:               encoded.Cell,
 		startedAt:          encoded.StartedAt,
-		outlierState:       outlierState{failures: encoded.Outlier.Failures, retryAt: encoded.Outlier.RetryAt},
+		outlierState:       outlierState{failures: encoded.Outlier.Failures, ejectedUntil: encoded.Outlier.RetryAt},
 		crashSuspected:     encoded.CrashSuspected,
 		lastResetAt:        encoded.LastResetAt,
 		messageLatency:     encoded.MessageLatency,
--- a/balancer/handover_state.go
+++ b/balancer/handover_state.go
@@ -108,7 +108,7 @@
 		state.ZoneTables[zone] = encodeMembers(table, endpointIndex)
 	}
 	for zone, outlier := range b.zoneOutliers {
-		state.ZoneOutliers[zone] = OutlierRecord{Failures: outlier.failures, RetryAt: outlier.retryAt}
+		state.ZoneOutliers[zone] = OutlierRecord{Failures: outlier.failures, RetryAt: outlier.ejectedUntil}
 	}
 	for _, generation := range []map[uint64]*endpointState{b.clientEndpoints[1], b.clientEndpoints[0]} {
 		for client, endpoint := range generation {
@@ -138,7 +138,7 @@
 		Cell:               e.cell,
 		Phase:              e.phase,
 		Size:               e.size,
-		Outlier:            OutlierRecord{Failures: e.failures, RetryAt: e.retryAt},
+		Outlier:            OutlierRecord{Failures: e.failures, RetryAt: e.ejectedUntil},
 		StartedAt:          e.startedAt,
 		LastResetAt:        e.lastResetAt,
 		CrashSuspected:     e.crashSuspected,
--- a/balancer/load_learning.go
+++ b/balancer/load_learning.go
@@ -53,7 +53,7 @@
 	}
 	interval := loadreport.ReportInterval(b.now-b.startedAt, b.settings.Rules.OverloadWindow, b.loadReports.FleetLoad(b.now))
 	for _, endpoint := range b.reportingEndpoints() {
-		if !b.isEjected(endpoint) && b.loadReports.ReportDue(endpoint.id, endpoint.size, b.now, interval) {
+		if !b.isEjected(endpoint) && b.loadReports.MarkRequestedIfDue(endpoint.id, endpoint.size, b.now, interval) {
 			b.emit(HealthCheck{Endpoint: endpoint.id})
 		}
 	}
--- a/balancer/loadreport/tracker.go
+++ b/balancer/loadreport/tracker.go
@@ -21,8 +21,8 @@
 // quotaHeadroom is the capacity of the fleet over the connections that tenants' quotas promise: the rest pays for groups.
 const quotaHeadroom = 1.5
 
-// Evidence is what is known of one endpoint's load.
-type Evidence struct {
+// LoadRecord is what is known of one endpoint's load.
+type LoadRecord struct {
 	Size           float64       // relative capacity
 	ReportedLoad   float64       `json:"Told"`    // by the last report
 	SentLoad       float64       `json:"Sent"`    // what this node has added since
@@ -33,7 +33,7 @@
 
 // Tracker holds the evidence on all endpoints. The zero value knows nothing; Configure comes first.
 type Tracker struct {
-	byEndpoint       map[string]*Evidence
+	byEndpoint       map[string]*LoadRecord
 	sorted           []tracked // of byEndpoint, by ID, so that sums don't depend on the order of a map
 	totalSize        float64   // of all endpoints; 0: it has changed and is to be summed again
 	nodes            float64
@@ -43,8 +43,8 @@
 
 // tracked is an endpoint's evidence with its ID.
 type tracked struct {
-	id       string
-	evidence *Evidence
+	id     string
+	record *LoadRecord
 }
 
 func compareTracked(t tracked, id string) int { return cmp.Compare(t.id, id) }
@@ -57,14 +57,14 @@
 	t.fleetConnections = quotaConnections * quotaHeadroom
 }
 
-// evidence returns an endpoint's evidence, new if there is none.
-func (t *Tracker) evidence(id string, size float64) *Evidence {
+// record returns an endpoint's record, new if there is none.
+func (t *Tracker) record(id string, size float64) *LoadRecord {
 	evidence := t.byEndpoint[id]
 	if evidence == nil {
 		if t.byEndpoint == nil {
-			t.byEndpoint = map[string]*Evidence{}
+			t.byEndpoint = map[string]*LoadRecord{}
 		}
-		evidence = &Evidence{}
+		evidence = &LoadRecord{}
 		t.byEndpoint[id] = evidence
 		position, _ := slices.BinarySearchFunc(t.sorted, id, compareTracked)
 		t.sorted = slices.Insert(t.sorted, position, tracked{id, evidence})
@@ -79,7 +79,7 @@
 // RecordReport takes a report: the load, and how many connections the endpoint has. What was sent since it was asked for
 // is in it or will be in the next one.
 func (t *Tracker) RecordReport(id string, size float64, now time.Duration, load, connections float64) {
-	evidence := t.evidence(id, size)
+	evidence := t.record(id, size)
 	evidence.ReportedLoad = load
 	evidence.SentLoad = 0
 	evidence.ReportedAt = now
@@ -92,18 +92,18 @@
 
 // RecordSent counts what this node sends an endpoint, in mean connections with the cost of the group.
 func (t *Tracker) RecordSent(id string, size, connections float64) {
-	evidence := t.evidence(id, size)
+	evidence := t.record(id, size)
 	evidence.SentLoad += connections * t.connectionLoad(evidence)
 }
 
 // connectionLoad is what one mean connection adds. Where no report has told, it follows from the tenants' quotas.
-func (t *Tracker) connectionLoad(evidence *Evidence) float64 {
+func (t *Tracker) connectionLoad(evidence *LoadRecord) float64 {
 	if evidence.ConnectionLoad > 0 || t.fleetConnections == 0 {
 		return evidence.ConnectionLoad
 	}
 	if t.totalSize == 0 {
 		for _, entry := range t.sorted {
-			t.totalSize += entry.evidence.Size
+			t.totalSize += entry.record.Size
 		}
 	}
 	return t.totalSize / t.fleetConnections / evidence.Size
@@ -113,12 +113,12 @@
 // are likely to have sent since. Clients are spread evenly over a zone's nodes, and zones differ, so half of the nodes are
 // taken to have sent as much as this one.
 func (t *Tracker) ExpectedLoad(id string, size, connections float64) float64 {
-	evidence := t.evidence(id, size)
+	evidence := t.record(id, size)
 	return t.presentLoad(evidence) + connections*t.connectionLoad(evidence)
 }
 
 // presentLoad is the load by now.
-func (t *Tracker) presentLoad(evidence *Evidence) float64 {
+func (t *Tracker) presentLoad(evidence *LoadRecord) float64 {
 	likeNodes := math.Max(t.nodes/2, 1)
 	return evidence.ReportedLoad + likeNodes*evidence.SentLoad
 }
@@ -128,7 +128,7 @@
 func (t *Tracker) FleetLoad(now time.Duration) float64 {
 	asked, capacity := 0.0, 0.0
 	for _, entry := range t.sorted {
-		evidence := entry.evidence
+		evidence := entry.record
 		if evidence.ReportedAt == 0 || now-evidence.ReportedAt > t.maxAge {
 			continue
 		}
@@ -138,9 +138,9 @@
 	return asked / math.Max(capacity, 1e-9)
 }
 
-// ReportDue tells whether to ask an endpoint for a report now, so that it is asked once per interval, and notes it if so.
-func (t *Tracker) ReportDue(id string, size float64, now, interval time.Duration) bool {
-	evidence := t.evidence(id, size)
+// MarkRequestedIfDue tells whether to ask an endpoint for a report now, so that it is asked once per interval, and notes it if so.
+func (t *Tracker) MarkRequestedIfDue(id string, size float64, now, interval time.Duration) bool {
+	evidence := t.record(id, size)
 	if evidence.RequestedAt != 0 && now-evidence.RequestedAt < interval {
 		return false
 	}
@@ -157,21 +157,21 @@
 	}
 }
 
-// Evidence returns a copy of all evidence, by endpoint ID; Restore takes it back.
-func (t *Tracker) Evidence() map[string]Evidence {
-	all := map[string]Evidence{}
+// Snapshot returns a copy of all evidence, by endpoint ID; Restore takes it back.
+func (t *Tracker) Snapshot() map[string]LoadRecord {
+	all := map[string]LoadRecord{}
 	for id, evidence := range t.byEndpoint {
 		all[id] = *evidence
 	}
 	return all
 }
 
-// Restore replaces all evidence by what Evidence returned.
-func (t *Tracker) Restore(all map[string]Evidence) {
+// Restore replaces all load records with those of a Snapshot.
+func (t *Tracker) Restore(all map[string]LoadRecord) {
 	t.byEndpoint = nil
 	t.sorted = nil
 	t.totalSize = 0
 	for _, id := range slices.Sorted(maps.Keys(all)) { // in this order each is added at the end
-		*t.evidence(id, all[id].Size) = all[id]
+		*t.record(id, all[id].Size) = all[id]
 	}
 }
--- a/balancer/loadreport/tracker_test.go
+++ b/balancer/loadreport/tracker_test.go
@@ -29,8 +29,8 @@
 func TestQuotasBeforeReports(t *testing.T) {
 	var tracker Tracker
 	tracker.Configure(1, 3*time.Second, 100)
-	tracker.ReportDue("big", 3, 0, time.Second)
-	tracker.ReportDue("small", 1, 0, time.Second)
+	tracker.MarkRequestedIfDue("big", 3, 0, time.Second)
+	tracker.MarkRequestedIfDue("small", 1, 0, time.Second)
 	big, small := tracker.ExpectedLoad("big", 3, 1), tracker.ExpectedLoad("small", 1, 1)
 	if math.Abs(small-4.0/150) > 1e-9 || math.Abs(big-small/3) > 1e-9 {
 		t.Errorf("a connection adds %v and %v", big, small)
@@ -55,13 +55,13 @@
 	}
 }
 
-// Each endpoint is asked once per interval however often ReportDue is called, and less often while the load is low.
+// Each endpoint is asked once per interval however often MarkRequestedIfDue is called, and less often while the load is low.
 func TestReportDue(t *testing.T) {
 	for load, want := range map[float64]int{0.2: 9, 0.8: 15} { // six or so in the first two seconds
 		var tracker Tracker
 		requested := 0
 		for now := time.Second; now < 11*time.Second; now += 10 * time.Millisecond {
-			if tracker.ReportDue("s", 1, now, ReportInterval(now, 3*time.Second, load)) {
+			if tracker.MarkRequestedIfDue("s", 1, now, ReportInterval(now, 3*time.Second, load)) {
 				requested++
 			}
 		}
@@ -85,7 +85,7 @@
 			j := len(ids) - 1 - i
 			backward.RecordReport(ids[j], float64(j+1), time.Second, loads[j], 5)
 		}
-		restored.Restore(forward.Evidence())
+		restored.Restore(forward.Snapshot())
 		want := forward.FleetLoad(time.Second)
 		got := []float64{backward.FleetLoad(time.Second), restored.FleetLoad(time.Second)}
 		if diff := cmp.Diff([]float64{want, want}, got); diff != "" {
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -14,8 +14,8 @@
 // isEjected tells that an endpoint, or the way to its zone, waits for its next trial.
 func (b *Balancer) isEjected(endpoint *endpointState) bool {
 	zone := b.zoneOutlier(endpoint)
-	return b.now < endpoint.retryAt || endpoint.failures > 0 && endpoint.trialInFlight ||
-		zone.failures >= zoneEjectionThreshold && (b.now < zone.retryAt || zone.trialInFlight)
+	return b.now < endpoint.ejectedUntil || endpoint.failures > 0 && endpoint.trialInFlight ||
+		zone.failures >= zoneEjectionThreshold && (b.now < zone.ejectedUntil || zone.trialInFlight)
 }
 
 // recordSuccess ends an ejection. An endpoint that recovers from a crash warms up, whatever the list says so far.
@@ -52,5 +52,5 @@
 	doublings := float64(min(outlier.failures, maxEjectionDoublings))
 	pause := float64(b.settings.Limits.ConnectTimeout) * math.Pow(2, doublings)
 	pause = min(pause, 2*float64(b.settings.Rules.OverloadWindow)) * b.jitter()
-	outlier.retryAt = b.now + time.Duration(pause)
+	outlier.ejectedUntil = b.now + time.Duration(pause)
 }
--- a/balancer/outlier_detection_test.go
+++ b/balancer/outlier_detection_test.go
@@ -52,7 +52,7 @@
 		for range 4 {
 			b.recordFailure(endpoint, ConnectFailed)
 		}
-		at[(endpoint.retryAt-b.now)/(100*ms)]++
+		at[(endpoint.ejectedUntil-b.now)/(100*ms)]++
 	}
 	for slot, n := range at {
 		if n > 30 {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -57,14 +57,14 @@
 	HistoryReset       bool `json:"Snapped"`
 	StartedAt          Instant
 	LastEpoch          int64
-	LastChangeEpoch    int64                          `json:"LastChange"`
-	WatchFailures      int                            `json:"WatchTries"`
-	WatchRetryPending  bool                           `json:"WatchPending"`
-	AdmissionRate      float64                        `json:"Gate"`
-	Stress             float64                        `json:"Pain"`
-	AdmissionUpdatedAt Instant                        `json:"PressedAt"`
-	LastAttemptAt      Instant                        `json:"SentAt"`
-	LoadReports        map[string]loadreport.Evidence `json:"Told"`
+	LastChangeEpoch    int64                            `json:"LastChange"`
+	WatchFailures      int                              `json:"WatchTries"`
+	WatchRetryPending  bool                             `json:"WatchPending"`
+	AdmissionRate      float64                          `json:"Gate"`
+	Stress             float64                          `json:"Pain"`
+	AdmissionUpdatedAt Instant                          `json:"PressedAt"`
+	LastAttemptAt      Instant                          `json:"SentAt"`
+	LoadReports        map[string]loadreport.LoadRecord `json:"Told"`
 }
 
 // OutlierSnapshot is the outlier state of an endpoint or a zone.
--- a/balancer/snapshot_decode.go
+++ b/balancer/snapshot_decode.go
@@ -72,7 +72,7 @@
 }
 
 func (o OutlierSnapshot) restore() outlierState {
-	return outlierState{failures: o.Failures, retryAt: o.RetryAt, trialInFlight: o.TrialInFlight}
+	return outlierState{failures: o.Failures, ejectedUntil: o.RetryAt, trialInFlight: o.TrialInFlight}
 }
 
 // snapshotDecoder resolves the references in a snapshot.
--- a/balancer/snapshot_encode.go
+++ b/balancer/snapshot_encode.go
@@ -48,7 +48,7 @@
 		Stress:             b.stress,
 		AdmissionUpdatedAt: b.admissionUpdatedAt,
 		LastAttemptAt:      b.lastAttemptAt,
-		LoadReports:        b.loadReports.Evidence(),
+		LoadReports:        b.loadReports.Snapshot(),
 	}
 	if b.hasCompactTable() {
 		snapshot.Version = CompactSnapshotVersion
@@ -73,7 +73,7 @@
 }
 
 func (o *outlierState) snapshot() OutlierSnapshot {
-	return OutlierSnapshot{Failures: o.failures, RetryAt: o.retryAt, TrialInFlight: o.trialInFlight}
+	return OutlierSnapshot{Failures: o.failures, RetryAt: o.ejectedUntil, TrialInFlight: o.trialInFlight}
 }
 
 // snapshotEncoder assigns indices to what refers to one another, in the order in which it meets them.
