--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -55,14 +55,14 @@
 // HealthCheck asks an endpoint for its health and load.
 type HealthCheck struct{ Endpoint string }
 
-// CloseIdle closes this node's idle connections to an endpoint.
-type CloseIdle struct{ Endpoint string }
+// CloseIdleConnections closes this node's idle connections to an endpoint.
+type CloseIdleConnections struct{ Endpoint string }
 
 // Watch subscribes to the changes of service discovery, or cancels the subscription.
 type Watch struct{ On bool }
 
-// Fetch asks service discovery for the full list once.
-type Fetch struct{}
+// FetchEndpoints asks service discovery for the full list once.
+type FetchEndpoints struct{}
 
 // SendToPeer sends bytes to one node of the tier, or to all (-1).
 type SendToPeer struct {
@@ -73,15 +73,15 @@
 // Log adds a line to the log.
 type Log struct{ Text string }
 
-func (Send) action()        {}
-func (Reject) action()      {}
-func (Fail) action()        {}
-func (Cancel) action()      {}
-func (SetTimer) action()    {}
-func (Migrate) action()     {}
-func (HealthCheck) action() {}
-func (CloseIdle) action()   {}
-func (Watch) action()       {}
-func (Fetch) action()       {}
-func (SendToPeer) action()  {}
-func (Log) action()         {}
+func (Send) action()                 {}
+func (Reject) action()               {}
+func (Fail) action()                 {}
+func (Cancel) action()               {}
+func (SetTimer) action()             {}
+func (Migrate) action()              {}
+func (HealthCheck) action()          {}
+func (CloseIdleConnections) action() {}
+func (Watch) action()                {}
+func (FetchEndpoints) action()       {}
+func (SendToPeer) action()           {}
+func (Log) action()                  {}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -132,7 +132,7 @@
 			if endpoint := sentTo(b.Handle(now, req)); endpoint != "" {
 				sent++
 				longest, last = max(longest, now-last), now
-				b.Handle(now, AttemptEnded{ID: req.ID, Endpoint: endpoint, Status: Full})
+				b.Handle(now, AttemptEnded{ID: req.ID, Endpoint: endpoint, Status: RejectedByEndpoint})
 			}
 		}
 		if longest = max(longest, 16*sec-last); longest > 2*b.settings.Rules.OverloadWindow || sent > 40 {
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -150,7 +150,7 @@
 		} else {
 			b.recordFailure(endpoint, status)
 		}
-	case Full:
+	case RejectedByEndpoint:
 		b.halveAdmittedFraction(endpoint)
 	}
 }
@@ -177,16 +177,16 @@
 // mayReject tells whether the client may repeat a request wherever it likes.
 func (b *Balancer) mayReject(req *request) bool {
 	neverExecuted := req.executedOn == nil && req.endpoint == nil
-	discardedEverywhere := req.class.Effect == Keyed && req.class.DedupScope == ScopeAll
-	return req.class.Effect == Safe || neverExecuted || discardedEverywhere
+	discardedEverywhere := req.class.Idempotency == IdempotentByKey && req.class.DedupScope == ScopeAll
+	return req.class.Idempotency == Idempotent || neverExecuted || discardedEverywhere
 }
 
 // mayRetryOn tells whether another attempt at an endpoint is allowed after those so far.
 func (b *Balancer) mayRetryOn(req *request, endpoint *endpointState) bool {
-	if req.executedOn == nil || req.class.Effect == Safe {
+	if req.executedOn == nil || req.class.Idempotency == Idempotent {
 		return true
 	}
-	if req.class.Effect == Unsafe || b.now-req.executedAt > req.class.DedupWindow {
+	if req.class.Idempotency == NotIdempotent || b.now-req.executedAt > req.class.DedupWindow {
 		return false
 	}
 	switch req.class.DedupScope {
--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -60,25 +60,25 @@
 	type answer struct{ resend, reject bool }
 	for _, c := range []struct {
 		name   string
-		effect Effect
-		dedup  Scope
+		effect Idempotency
+		dedup  DedupScope
 		status Status
 		after  time.Duration
 		want   answer
 	}{
-		{"safe after timeout", Safe, ScopeAll, Timeout, 100 * ms, answer{true, false}},
-		{"unsafe after full", Unsafe, ScopeAll, Full, 100 * ms, answer{true, false}},
-		{"unsafe after timeout", Unsafe, ScopeAll, Timeout, 100 * ms, answer{false, false}},
-		{"unsafe after error", Unsafe, ScopeAll, AppError, 100 * ms, answer{false, false}},
-		{"keyed, all, in window", Keyed, ScopeAll, Timeout, 100 * ms, answer{true, false}},
-		{"keyed, all, past window", Keyed, ScopeAll, Timeout, 700 * ms, answer{false, true}},
-		{"keyed, zone, past window", Keyed, ScopeZone, Timeout, 700 * ms, answer{false, false}},
-		{"keyed, zone, in window", Keyed, ScopeZone, Timeout, 100 * ms, answer{true, false}},
-		{"keyed, cell, in window", Keyed, ScopeCell, Reset, 100 * ms, answer{true, false}},
-		{"keyed, zone, never executed", Keyed, ScopeZone, ConnectFailed, 700 * ms, answer{true, false}},
+		{"safe after timeout", Idempotent, ScopeAll, Timeout, 100 * ms, answer{true, false}},
+		{"unsafe after full", NotIdempotent, ScopeAll, RejectedByEndpoint, 100 * ms, answer{true, false}},
+		{"unsafe after timeout", NotIdempotent, ScopeAll, Timeout, 100 * ms, answer{false, false}},
+		{"unsafe after error", NotIdempotent, ScopeAll, AppError, 100 * ms, answer{false, false}},
+		{"keyed, all, in window", IdempotentByKey, ScopeAll, Timeout, 100 * ms, answer{true, false}},
+		{"keyed, all, past window", IdempotentByKey, ScopeAll, Timeout, 700 * ms, answer{false, true}},
+		{"keyed, zone, past window", IdempotentByKey, ScopeZone, Timeout, 700 * ms, answer{false, false}},
+		{"keyed, zone, in window", IdempotentByKey, ScopeZone, Timeout, 100 * ms, answer{true, false}},
+		{"keyed, cell, in window", IdempotentByKey, ScopeCell, Reset, 100 * ms, answer{true, false}},
+		{"keyed, zone, never executed", IdempotentByKey, ScopeZone, ConnectFailed, 700 * ms, answer{true, false}},
 	} {
 		settings := testSettings()
-		settings.Classes[0].Effect, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = c.effect, c.dedup, 500*ms
+		settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = c.effect, c.dedup, 500*ms
 		b := startBalancer(t, settings, testEndpoints(12), 1)
 		req := testRequest(1, 2*sec)
 		first := b.endpoints[sentTo(b.Handle(2*sec, req))]
@@ -92,7 +92,7 @@
 		if n := len(actionsOf[Fail](actions)) + len(actionsOf[Reject](actions)) + len(actionsOf[Send](actions)); n != 1 {
 			t.Errorf("%s: %d answers or sends", c.name, n)
 		}
-		if next := sentTo(actions); next != "" && c.effect == Keyed && !c.status.NeverExecuted() {
+		if next := sentTo(actions); next != "" && c.effect == IdempotentByKey && !c.status.NeverExecuted() {
 			endpoint := b.endpoints[next]
 			if c.dedup != ScopeAll && endpoint.zone != first.zone || c.dedup == ScopeCell && endpoint.cell != first.cell {
 				t.Errorf("%s: resent outside the dedup scope", c.name)
@@ -104,7 +104,7 @@
 // A keyed request can't be rejected while its only attempt may be executed.
 func TestKeyedZoneDeadlineFails(t *testing.T) {
 	settings := testSettings()
-	settings.Classes[0].Effect, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = Keyed, ScopeZone, sec
+	settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = IdempotentByKey, ScopeZone, sec
 	b := startBalancer(t, settings, testEndpoints(4), 1)
 	actions := b.Handle(2*sec, testRequest(1, 2*sec))
 	tm := actionsOf[SetTimer](actions)[0]
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -41,7 +41,7 @@
 
 	endpoints    map[string]*endpointState // by ID
 	ready        readyList                 // of those
-	updates      uint64                    // endpoint lists that were applied
+	updateCount  uint64                    // endpoint lists that were applied
 	zoneOutliers map[string]*outlierState  // by zone
 
 	// What is active: attempts in flight and established connections of this node.
@@ -84,7 +84,7 @@
 // New makes a Balancer without any state. Its first event should be an EndpointUpdate of kind CachedList. The error
 // says which of the settings can't be used.
 func New(settings Settings, seed uint64) (*Balancer, error) {
-	if err := settings.validate(); err != nil {
+	if err := settings.cloneAndValidate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	source := rand.NewPCG(seed, 0)
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -78,7 +78,7 @@
 			t.Fatal("a new request to a draining endpoint")
 		}
 	}
-	actions := b.Handle(2400*ms, AttemptEnded{ID: req.ID, Endpoint: endpoint, Status: Full})
+	actions := b.Handle(2400*ms, AttemptEnded{ID: req.ID, Endpoint: endpoint, Status: RejectedByEndpoint})
 	if got := sentTo(actions); got == "" || got == endpoint {
 		t.Errorf("retry went to %q", got)
 	}
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -23,7 +23,7 @@
 	phase Phase  // setPhase changes it
 
 	inReadyList bool   // it is one of the ready list's as that was last read
-	listedBy    uint64 // which of the updates named it last
+	listedBy    uint64 // updateCount of the last update that listed it
 
 	size      float64 // relative capacity
 	zone      string
--- a/balancer/endpoint_update.go
+++ b/balancer/endpoint_update.go
@@ -19,7 +19,7 @@
 	if len(b.endpoints) == 0 {
 		b.endpoints = make(map[string]*endpointState, len(update.Entries)) // of this size at once
 	}
-	b.updates++
+	b.updateCount++
 	for i := range update.Entries {
 		b.applyEntry(&update.Entries[i])
 	}
@@ -34,7 +34,7 @@
 // removeUnlisted removes the endpoints that the present update, a whole list, does not name.
 func (b *Balancer) removeUnlisted() {
 	for _, endpoint := range b.endpoints {
-		if endpoint.listedBy != b.updates && endpoint.phase != Removed {
+		if endpoint.listedBy != b.updateCount && endpoint.phase != Removed {
 			b.setPhase(endpoint, Removed)
 		}
 	}
@@ -45,7 +45,7 @@
 	if endpoint == nil {
 		endpoint = b.newEndpoint(entry.ID)
 	}
-	endpoint.listedBy = b.updates
+	endpoint.listedBy = b.updateCount
 	if endpoint.phase != entry.Phase {
 		b.setPhase(endpoint, entry.Phase)
 		b.startDrain(endpoint)
--- a/balancer/event_world_test.go
+++ b/balancer/event_world_test.go
@@ -79,9 +79,9 @@
 			w.t.Fatalf("%q: attempt %d", action.ID, req.attempts)
 		}
 		class, entry := w.class(req), w.listed[action.Endpoint]
-		if req.executed && (class.Effect == Unsafe || class.Effect == Keyed && (w.now-req.executedAt > class.DedupWindow ||
+		if req.executed && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && (w.now-req.executedAt > class.DedupWindow ||
 			class.DedupScope != ScopeAll && entry.Zone != req.executedZone || class.DedupScope == ScopeCell && entry.Cell != req.executedCell)) {
-			w.t.Fatalf("%q of effect %v resent where it may be executed twice", action.ID, class.Effect)
+			w.t.Fatalf("%q of effect %v resent where it may be executed twice", action.ID, class.Idempotency)
 		}
 		if action.Timeout < 0 {
 			w.t.Fatalf("negative timeout")
@@ -90,7 +90,7 @@
 	case Reject:
 		req := w.final(action.ID)
 		class := w.class(req)
-		if (req.executed || req.inFlight) && class.Effect != Safe && (class.Effect != Keyed || class.DedupScope != ScopeAll) {
+		if (req.executed || req.inFlight) && class.Idempotency != Idempotent && (class.Idempotency != IdempotentByKey || class.DedupScope != ScopeAll) {
 			w.t.Fatalf("%q rejected though it may have been executed", action.ID)
 		}
 	case Fail:
@@ -267,8 +267,8 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	settings := testSettings()
 	settings.Classes = append(settings.Classes,
-		Class{Name: "once", LatencyObjective: 200 * ms, Timeout: sec, Effect: Unsafe, PriorityWeight: 1},
-		Class{Name: "keyed", LatencyObjective: 200 * ms, Timeout: sec, Effect: Keyed, DedupScope: Scope(rng.IntN(3)), DedupWindow: 300 * ms, PriorityWeight: 1})
+		Class{Name: "once", LatencyObjective: 200 * ms, Timeout: sec, Idempotency: NotIdempotent, PriorityWeight: 1},
+		Class{Name: "keyed", LatencyObjective: 200 * ms, Timeout: sec, Idempotency: IdempotentByKey, DedupScope: DedupScope(rng.IntN(3)), DedupWindow: 300 * ms, PriorityWeight: 1})
 	settings.Subscribe, settings.PassThrough = rng.IntN(2) == 0, rng.IntN(2) == 0
 	settings.Limits.Cancel = rng.IntN(4) > 0
 	settings.Limits.Attempts = 1 + rng.IntN(4)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -49,8 +49,8 @@
 	OK Status = iota
 	// AppError is an error of the application, which executed the request.
 	AppError
-	// Full means that the endpoint rejected the request before its execution.
-	Full
+	// RejectedByEndpoint means that the endpoint rejected the request before its execution.
+	RejectedByEndpoint
 	// Timeout means that no answer came in time.
 	Timeout
 	// ConnectFailed means that no connection was made.
@@ -64,17 +64,19 @@
 )
 
 // NeverExecuted reports whether the status proves that the attempt was not executed.
-func (s Status) NeverExecuted() bool { return s == Full || s == ConnectFailed || s == NotSent }
+func (s Status) NeverExecuted() bool {
+	return s == RejectedByEndpoint || s == ConnectFailed || s == NotSent
+}
 
-// Load is an endpoint's load report: figures by name.
-type Load map[string]float64
+// LoadReport is an endpoint's load report: figures by name.
+type LoadReport map[string]float64
 
 // The figures of a load report that decisions need.
 const (
-	// ReportLoad is the load asked of an endpoint over what it can serve; 1 is all of it.
-	ReportLoad = "x0"
-	// ReportConnections is how many connections it holds.
-	ReportConnections = "outstanding"
+	// UtilizationMetric is the load asked of an endpoint over what it can serve; 1 is all of it.
+	UtilizationMetric = "x0"
+	// ConnectionsMetric is how many connections it holds.
+	ConnectionsMetric = "outstanding"
 )
 
 // EndpointUpdate is a list of endpoints from service discovery. An entry absent from a full or cached list is removed.
@@ -121,7 +123,7 @@
 	Status   Status
 	Latency  time.Duration
 	Final    bool
-	Load     Load
+	Load     LoadReport
 }
 
 // ClientDisconnected says that the client left; it needs no answer any more.
@@ -148,7 +150,7 @@
 	Endpoint string
 	Status   Status
 	Latency  time.Duration
-	Load     Load
+	Load     LoadReport
 }
 
 // PeerMessage comes from another node of the tier. A Balancer ignores it.
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -109,12 +109,12 @@
 
 func goldenSettings() Settings {
 	return Settings{
-		Nodes: 2401, Self: 2402, Zone: "east",
+		Nodes: 2401, NodeIndex: 2402, Zone: "east",
 		Classes: []Class{{
-			Name: "light", LatencyObjective: 2403, Timeout: 2404, MessageObjective: 2405, PriorityWeight: 2.406, Effect: Keyed, DedupScope: ScopeZone,
+			Name: "light", LatencyObjective: 2403, Timeout: 2404, MessageObjective: 2405, PriorityWeight: 2.406, Idempotency: IdempotentByKey, DedupScope: ScopeZone,
 			DedupWindow: 2407,
 		}, {
-			Name: "heavy", LatencyObjective: 2408, Timeout: 2409, MessageObjective: 2410, PriorityWeight: 2.411, Effect: Unsafe, DedupScope: ScopeCell,
+			Name: "heavy", LatencyObjective: 2408, Timeout: 2409, MessageObjective: 2410, PriorityWeight: 2.411, Idempotency: NotIdempotent, DedupScope: ScopeCell,
 			DedupWindow: 2412,
 		}},
 		Tenants: []Tenant{{Name: "tenant", PerSecond: 2.413, Share: 0.2414, Connections: 2415}},
--- a/balancer/handover_resume.go
+++ b/balancer/handover_resume.go
@@ -50,7 +50,7 @@
 	maps.Copy(b.meanLoads, state.MeanLoads)
 	b.restoreGroupCounts(state.GroupCounts)
 	b.recomputeCapacity(b.readyEndpoints())
-	b.RestoreEstablished(state.ClientEndpoints)
+	b.RestoreEstablishedConnections(state.ClientEndpoints)
 	b.scheduleLoadReports()
 	if b.settings.Subscribe {
 		b.emit(Watch{On: true}) // at once: it is one node's call, and the list is as old as the handover
@@ -70,8 +70,8 @@
 	}
 }
 
-// RestoreEstablished takes over where another process has clients' connections, by client hash.
-func (b *Balancer) RestoreEstablished(connections map[uint64]string) {
+// RestoreEstablishedConnections takes over where another process has clients' connections, by client hash.
+func (b *Balancer) RestoreEstablishedConnections(connections map[uint64]string) {
 	if !b.settings.PassThrough {
 		return
 	}
@@ -108,7 +108,7 @@
 			return err
 		}
 	}
-	if !finite(d.state.BaselineLocalShare, d.state.AdmissionRate) || d.state.AdmissionRate <= 0 {
+	if !withinRange(d.state.BaselineLocalShare, d.state.AdmissionRate) || d.state.AdmissionRate <= 0 {
 		return fmt.Errorf("its local share %v or its admission rate %v is out of range", d.state.BaselineLocalShare, d.state.AdmissionRate)
 	}
 	if !d.possible(d.state.StartedAt, d.state.PreviousTablesAt) {
@@ -116,7 +116,7 @@
 			d.state.PreviousTablesAt, d.latest)
 	}
 	for class, load := range d.state.MeanLoads {
-		if !finite(load) || load < 0 {
+		if !withinRange(load) || load < 0 {
 			return fmt.Errorf("the mean load %v of class %q is out of range", load, class)
 		}
 	}
@@ -142,7 +142,7 @@
 
 func (d *stateDecoder) validEndpoint(encoded *EndpointRecord) bool {
 	return encoded.ID != "" && encoded.Phase >= Ready && encoded.Phase <= Removed && encoded.Size > 0 &&
-		finite(encoded.Size, encoded.AdmittedFraction, encoded.SlowStartTokens) && encoded.Outlier.Failures >= 0 &&
+		withinRange(encoded.Size, encoded.AdmittedFraction, encoded.SlowStartTokens) && encoded.Outlier.Failures >= 0 &&
 		d.possible(encoded.StartedAt, encoded.LastResetAt, encoded.MessageLatency, encoded.MessageLatencyAt,
 			encoded.AdmittedFractionAt, encoded.SlowStartTokensAt, encoded.Outlier.RetryAt)
 }
@@ -160,8 +160,8 @@
 	return !slices.ContainsFunc(times, func(t Instant) bool { return t < 0 || t > d.latest })
 }
 
-// finite tells whether figures are numbers of a magnitude with which sums stay finite.
-func finite(figures ...float64) bool {
+// withinRange tells whether figures are numbers of a magnitude with which sums stay withinRange.
+func withinRange(figures ...float64) bool {
 	const most = 1e12
 	return !slices.ContainsFunc(figures, func(figure float64) bool { return !(figure >= -most && figure <= most) })
 }
--- a/balancer/handover_state.go
+++ b/balancer/handover_state.go
@@ -72,11 +72,11 @@
 // State returns what a successor needs. Its list of endpoints is in no particular order.
 func (b *Balancer) State() State {
 	state := b.CaptureState()
-	state.FindOwners()
+	state.ComputeOwners()
 	return state
 }
 
-// CaptureState is State without the owners of slots, which FindOwners adds: finding them takes long.
+// CaptureState is State without the owners of slots, which ComputeOwners adds: finding them takes long.
 func (b *Balancer) CaptureState() State {
 	state := State{
 		StartedAt:          b.startedAt,
@@ -151,16 +151,16 @@
 	}
 }
 
-// FindOwners replaces the members of tables by the owners of their slots, but in tables that are too large for that. It uses nothing
+// ComputeOwners replaces the members of tables by the owners of their slots, but in tables that are too large for that. It uses nothing
 // but the state, so it may run beside the Balancer.
-func (s *State) FindOwners() {
+func (s *State) ComputeOwners() {
 	claims := make([]claim, len(s.Endpoints))
 	for i := range s.Endpoints {
 		claims[i] = claim{salt: hashing.NewSalt(hashing.String(s.Endpoints[i].ID)), size: s.Endpoints[i].Size}
 	}
-	compact := s.Table.findOwners(claims)
+	compact := s.Table.computeOwners(claims)
 	for zone, table := range s.ZoneTables {
-		compact = table.findOwners(claims) || compact
+		compact = table.computeOwners(claims) || compact
 		s.ZoneTables[zone] = table
 	}
 	if compact {
@@ -168,11 +168,11 @@
 	}
 }
 
-// findOwners replaces the members of a table and of its earlier forms, and reports whether any has kept them. claims are those of
+// computeOwners replaces the members of a table and of its earlier forms, and reports whether any has kept them. claims are those of
 // the state's endpoints, by index.
-func (t *TableState) findOwners(claims []claim) (compact bool) {
+func (t *TableState) computeOwners(claims []claim) (compact bool) {
 	if t.Previous != nil {
-		compact = t.Previous.findOwners(claims)
+		compact = t.Previous.computeOwners(claims)
 	}
 	if len(t.Members) == 0 {
 		return compact
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -99,7 +99,7 @@
 	t.Helper()
 	b := startBalancer(t, settings, testEndpoints(len(loads)), 1)
 	for i, load := range loads {
-		b.Handle(sec, HealthCheckResult{Endpoint: endpointID(i), Load: Load{ReportLoad: load, ReportConnections: 10}})
+		b.Handle(sec, HealthCheckResult{Endpoint: endpointID(i), Load: LoadReport{UtilizationMetric: load, ConnectionsMetric: 10}})
 	}
 	return b
 }
--- a/balancer/load_learning.go
+++ b/balancer/load_learning.go
@@ -75,7 +75,7 @@
 	if len(ready) <= maxReportingEndpoints {
 		return ready
 	}
-	node := hashing.Combine(reportSampleSalt, uint64(b.settings.Self))
+	node := hashing.Combine(reportSampleSalt, uint64(b.settings.NodeIndex))
 	sampledFraction := sampledEndpoints / float64(len(ready))
 	var reporting []*endpointState
 	for _, endpoint := range ready {
@@ -92,10 +92,10 @@
 // applyLoadReport follows an endpoint's report of its load; one without a load, or with a senseless one, is ignored.
 func (b *Balancer) applyLoadReport(result HealthCheckResult) {
 	endpoint := b.endpoints[result.Endpoint]
-	load, reported := result.Load[ReportLoad]
+	load, reported := result.Load[UtilizationMetric]
 	if endpoint == nil || !reported || !(load >= 0 && load <= maxReportedLoad) {
 		return
 	}
-	b.loadReports.RecordReport(endpoint.id, endpoint.size, b.now, load, result.Load[ReportConnections])
+	b.loadReports.RecordReport(endpoint.id, endpoint.size, b.now, load, result.Load[ConnectionsMetric])
 	b.rebalanceByReport(endpoint, load)
 }
--- a/balancer/load_learning_test.go
+++ b/balancer/load_learning_test.go
@@ -62,7 +62,7 @@
 	}
 	start := func(self, endpoints int) *Balancer {
 		settings := testSettings()
-		settings.LoadReports, settings.Self = true, self
+		settings.LoadReports, settings.NodeIndex = true, self
 		return startBalancer(t, settings, testEndpoints(endpoints), 1)
 	}
 	if got := len(asked(start(0, maxReportingEndpoints), 10*sec)); got != maxReportingEndpoints {
--- a/balancer/load_model_test.go
+++ b/balancer/load_model_test.go
@@ -98,7 +98,7 @@
 				load := m.load(endpointID(s))
 				m.maxLoad = max(m.maxLoad, load)
 				for n, b := range m.nodes {
-					report := Load{ReportLoad: load, ReportConnections: float64(len(m.connections[endpointID(s)]))}
+					report := LoadReport{UtilizationMetric: load, ConnectionsMetric: float64(len(m.connections[endpointID(s)]))}
 					m.carryOut(n, now, b.Handle(now, HealthCheckResult{Endpoint: endpointID(s), Load: report}))
 				}
 			}
--- a/balancer/rebalancing_test.go
+++ b/balancer/rebalancing_test.go
@@ -25,7 +25,7 @@
 			req.attempts, req.established, req.answered = 1, true, true
 			b.addActive(req, endpoint)
 		}
-		result := HealthCheckResult{Endpoint: endpoint.id, Load: Load{ReportLoad: c.load, ReportConnections: 20}}
+		result := HealthCheckResult{Endpoint: endpoint.id, Load: LoadReport{UtilizationMetric: c.load, ConnectionsMetric: 20}}
 		migrated := map[string]int{}
 		for _, migration := range actionsOf[Migrate](b.Handle(2*sec, result)) {
 			migrated[b.requests[migration.ID].Group]++
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -8,7 +8,7 @@
 // Reconfigure replaces the settings, or on an error keeps those in force. Requests keep the class that they came under,
 // and what has been learned of the fleet stays.
 func (b *Balancer) Reconfigure(now Instant, settings Settings) ([]Action, error) {
-	if err := settings.validate(); err != nil {
+	if err := settings.cloneAndValidate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	b.beginEvent(now)
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -16,7 +16,7 @@
 	b.Handle(4*sec, Timer{}) // an epoch later
 	owners, tokens := b.fleetTable.allOwners(), b.endpoints["s999"].slowStartTokens
 	settings := testSettings()
-	settings.Classes = []Class{settings.Classes[1], {Name: "new", LatencyObjective: sec, Timeout: 3 * sec, MessageObjective: 50 * ms, PriorityWeight: 1, Effect: Unsafe}}
+	settings.Classes = []Class{settings.Classes[1], {Name: "new", LatencyObjective: sec, Timeout: 3 * sec, MessageObjective: 50 * ms, PriorityWeight: 1, Idempotency: NotIdempotent}}
 	settings.Limits.Attempts = 2
 	settings.Rules.OverloadWindow = sec
 	if _, err := b.Reconfigure(4*sec, settings); err != nil {
@@ -41,7 +41,7 @@
 	n.Class = "heavy"
 	at = sentTo(b.Handle(5*sec+2*ms, n))
 	for i := range 2 {
-		actions = b.Handle(5*sec+2*ms, AttemptEnded{ID: n.ID, Endpoint: at, Attempt: i, Status: Full})
+		actions = b.Handle(5*sec+2*ms, AttemptEnded{ID: n.ID, Endpoint: at, Attempt: i, Status: RejectedByEndpoint})
 		at = sentTo(actions)
 	}
 	if len(actionsOf[Reject](actions)) != 1 {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -10,24 +10,24 @@
 
 // This file holds the settings and their validation. It decides nothing.
 
-// Effect tells whether a request of a class may be executed twice.
-type Effect int
+// Idempotency tells whether a request of a class may be executed twice.
+type Idempotency int
 
 const (
-	// Safe requests may be repeated and rejected freely.
-	Safe Effect = iota
-	// Keyed requests carry a key by which the hosts of a DedupScope discard repeats for the DedupWindow.
-	Keyed
-	// Unsafe requests may be repeated or rejected only when no attempt was executed.
-	Unsafe
+	// Idempotent requests may be repeated and rejected freely.
+	Idempotent Idempotency = iota
+	// IdempotentByKey requests carry a key by which the hosts of a DedupScope discard repeats for the DedupWindow.
+	IdempotentByKey
+	// NotIdempotent requests may be repeated or rejected only when no attempt was executed.
+	NotIdempotent
 )
 
-// Scope is the group of endpoints that discards repeats of a keyed request.
-type Scope int
+// DedupScope is the group of endpoints that discards repeats of a keyed request.
+type DedupScope int
 
 const (
 	// ScopeAll is all endpoints together.
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	// ScopeZone is those of one zone.
 	ScopeZone
 	// ScopeCell is those of one cell of a zone.
@@ -41,9 +41,9 @@
 	Timeout          time.Duration `json:"GiveUp"`     // the client leaves after this, all its attempts together
 	MessageObjective time.Duration `json:"MessageAim"` // of a message on an established connection; 0 if unknown
 	PriorityWeight   float64       `json:"Worth"`
-	Effect           Effect
-	DedupScope       Scope         `json:"Dedup"`  // for Keyed
-	DedupWindow      time.Duration `json:"Memory"` // for Keyed: how long repeats are recognized
+	Idempotency      Idempotency   `json:"Effect"`
+	DedupScope       DedupScope    `json:"Dedup"`  // for IdempotentByKey
+	DedupWindow      time.Duration `json:"Memory"` // for IdempotentByKey: how long repeats are recognized
 }
 
 // Tenant is a customer with a share of the fleet.
@@ -80,7 +80,7 @@
 // Settings are the configuration of a node.
 type Settings struct {
 	Nodes           int // nodes in the tier, this one included
-	Self            int // this node's number
+	NodeIndex       int `json:"Self"` // 0-based index of this node in the tier
 	Zone            string
 	Classes         []Class
 	Tenants         []Tenant
@@ -88,15 +88,15 @@
 	Rules           Rules
 	Subscribe       bool    // discovery sends changes only to subscribers
 	PassThrough     bool    // packets pass through; connections outlive the node
-	LoadReports     bool    `json:"Reports"`        // health checks bring ReportLoad and ReportConnections
+	LoadReports     bool    `json:"Reports"`        // health checks bring UtilizationMetric and ConnectionsMetric
 	OverQuotaWeight float64 `json:"OverShareWorth"` // factor on the PriorityWeight of connections beyond a tenant's share
 }
 
-// Check returns why settings can't be used, or nil.
-func (s Settings) Check() error { return s.validate() }
+// Validate returns why settings can't be used, or nil.
+func (s Settings) Validate() error { return s.cloneAndValidate() }
 
-// validate returns why settings can't be used. It copies the lists, which then are the Balancer's own.
-func (s *Settings) validate() error {
+// cloneAndValidate returns why settings can't be used. It copies the lists, which then are the Balancer's own.
+func (s *Settings) cloneAndValidate() error {
 	s.Classes = slices.Clone(s.Classes)
 	s.Tenants = slices.Clone(s.Tenants)
 	if len(s.Classes) == 0 {
--- a/balancer/slow_start_model_test.go
+++ b/balancer/slow_start_model_test.go
@@ -153,7 +153,7 @@
 	sum := 0.0
 	for i := range day.nodes {
 		settings := w.settings
-		settings.Self = i
+		settings.NodeIndex = i
 		if day.zones > 1 {
 			settings.Zone = fmt.Sprintf("z%d", i%day.zones)
 		}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -130,7 +130,7 @@
 	delete(d.pending, ended.ID)
 	const established = NotSent + 1
 	ended.Status = rapid.SampledFrom([]Status{
-		OK, AppError, Full, Timeout, ConnectFailed, ConnectFailed, Reset, Reset, Canceled, NotSent, established, established, established,
+		OK, AppError, RejectedByEndpoint, Timeout, ConnectFailed, ConnectFailed, Reset, Reset, Canceled, NotSent, established, established, established,
 	}).Draw(d.t, "status")
 	if ended.Status == established {
 		d.established[ended.ID] = ended
@@ -146,9 +146,9 @@
 	id, endpoint, attempt := connection.ID, connection.Endpoint, connection.Attempt
 	switch rapid.IntRange(0, 2).Draw(t, "report") {
 	case 0:
-		d.handle(HealthCheckResult{Endpoint: endpoint, Load: Load{
-			ReportLoad:        rapid.Float64Range(0, 3).Draw(t, "load"),
-			ReportConnections: float64(rapid.IntRange(0, 9).Draw(t, "connections")),
+		d.handle(HealthCheckResult{Endpoint: endpoint, Load: LoadReport{
+			UtilizationMetric: rapid.Float64Range(0, 3).Draw(t, "load"),
+			ConnectionsMetric: float64(rapid.IntRange(0, 9).Draw(t, "connections")),
 		}})
 	case 1:
 		load := rapid.Float64Range(0, 3).Draw(t, "load")
@@ -207,7 +207,7 @@
 			PriorityWeight: 5,
 		}, {
 			Name: "notes", LatencyObjective: 300 * time.Millisecond, Timeout: time.Second, PriorityWeight: 1,
-			Effect: Keyed, DedupWindow: 2 * time.Second, DedupScope: ScopeZone,
+			Idempotency: IdempotentByKey, DedupWindow: 2 * time.Second, DedupScope: ScopeZone,
 		}},
 		Tenants: []Tenant{{Name: "", PerSecond: 3, Share: 0.5, Connections: 4}},
 		Limits: Limits{
--- a/balancer/table_state.go
+++ b/balancer/table_state.go
@@ -79,7 +79,7 @@
 	if err := table.decodeMembers(t, endpointAt); err != nil {
 		return nil, err
 	}
-	if !t.countsValid() || !finite(t.SlotSize) || t.SlotSize <= 0 {
+	if !t.countsValid() || !withinRange(t.SlotSize) || t.SlotSize <= 0 {
 		return nil, fmt.Errorf("a table's history %v does not end with its %d slots of %d members, or its slot size %v is out of range",
 			t.Counts, len(t.Owners), len(t.Members), t.SlotSize)
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -41,13 +41,13 @@
 func goldenSettings() balancer.Settings {
 	const second = time.Second
 	return balancer.Settings{
-		Nodes: 31, Self: 32, Zone: "east",
+		Nodes: 31, NodeIndex: 32, Zone: "east",
 		Classes: []balancer.Class{{
 			Name: "light", LatencyObjective: 33 * second, Timeout: 34 * second, MessageObjective: 35 * second, PriorityWeight: 3.5,
-			Effect: balancer.Keyed, DedupScope: balancer.ScopeZone, DedupWindow: 36 * second,
+			Idempotency: balancer.IdempotentByKey, DedupScope: balancer.ScopeZone, DedupWindow: 36 * second,
 		}, {
 			Name: "heavy", LatencyObjective: 37 * second, Timeout: 38 * second, MessageObjective: 39 * second, PriorityWeight: 4.5,
-			Effect: balancer.Unsafe, DedupScope: balancer.ScopeCell, DedupWindow: 40 * second,
+			Idempotency: balancer.NotIdempotent, DedupScope: balancer.ScopeCell, DedupWindow: 40 * second,
 		}},
 		Tenants: []balancer.Tenant{{Name: "tenant", PerSecond: 4.25, Share: 0.42, Connections: 43}},
 		Limits: balancer.Limits{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -49,7 +49,7 @@
 
 // validateSettings joins what the balancer finds wrong with the settings and what is wrong with the names of classes.
 func validateSettings(set balancer.Settings) error {
-	err := set.Check()
+	err := set.Validate()
 	if err != nil {
 		err = invalidValue.Wrap("", err)
 	}
--- a/internal/configbundle/golden_test.go
+++ b/internal/configbundle/golden_test.go
@@ -15,9 +15,9 @@
 
 // goldenSettings is what the settings of the fixture mean. Every field is set.
 func goldenSettings() balancer.Settings {
-	return balancer.Settings{Nodes: 7, Self: 2, Zone: "thies",
+	return balancer.Settings{Nodes: 7, NodeIndex: 2, Zone: "thies",
 		Classes: []balancer.Class{{Name: "album-feed", LatencyObjective: 300 * time.Millisecond, Timeout: 1200 * time.Millisecond,
-			MessageObjective: 250 * time.Millisecond, PriorityWeight: 2.5, Effect: balancer.Keyed, DedupScope: balancer.ScopeCell, DedupWindow: 5 * time.Second}},
+			MessageObjective: 250 * time.Millisecond, PriorityWeight: 2.5, Idempotency: balancer.IdempotentByKey, DedupScope: balancer.ScopeCell, DedupWindow: 5 * time.Second}},
 		Tenants: []balancer.Tenant{{Name: "team-post", PerSecond: 12.5, Share: 0.4, Connections: 30}},
 		Limits: balancer.Limits{Attempts: 3, ConnectTimeout: 200 * time.Millisecond, MaxRetryAfter: time.Second, MaxOpen: 9,
 			RetryAfter: true, HealthChecks: true, Cancel: true, HedgedRequests: true},
@@ -137,7 +137,7 @@
 				class["Effect"], class["DedupScope"] = "safe", "zone"
 			},
 			want: func(want *balancer.Settings) {
-				want.Classes[0].Effect, want.Classes[0].DedupScope = balancer.Safe, balancer.ScopeZone
+				want.Classes[0].Idempotency, want.Classes[0].DedupScope = balancer.Idempotent, balancer.ScopeZone
 			}},
 		"unsafe, by all": {delay: true,
 			change: func(settings map[string]any) {
@@ -145,7 +145,7 @@
 				class["Effect"], class["DedupScope"] = "unsafe", "all"
 			},
 			want: func(want *balancer.Settings) {
-				want.Classes[0].Effect, want.Classes[0].DedupScope = balancer.Unsafe, balancer.ScopeAll
+				want.Classes[0].Idempotency, want.Classes[0].DedupScope = balancer.NotIdempotent, balancer.ScopeAll
 			}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -41,7 +41,7 @@
 		p.counters.OutcomeOK++
 	case balancer.AppError:
 		p.counters.OutcomeError++
-	case balancer.Full:
+	case balancer.RejectedByEndpoint:
 		p.counters.OutcomeFull++
 	case balancer.Timeout:
 		p.counters.OutcomeTimeout++
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -291,7 +291,7 @@
 	switch {
 	case a.lastMessage == MessageLoad:
 	case a.lastMessage == MessageFull:
-		a.end(balancer.Full)
+		a.end(balancer.RejectedByEndpoint)
 	case a.lastMessage == MessageOther:
 		p.counters.MalformedMessages++
 		a.endUnanswered(balancer.AppError)
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -84,7 +84,7 @@
 		if pool == p.pools.lead {
 			p.discoveryClient.Watch(action.On)
 		}
-	case balancer.Fetch:
+	case balancer.FetchEndpoints:
 		if pool == p.pools.lead {
 			p.discoveryClient.Fetch()
 		}
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -42,7 +42,7 @@
 		Reserved:     map[string]time.Duration{"s002": 107, "s003": 108},
 		Listeners:    []string{"internal", "partner"},
 		DroppedClasses: map[string]balancer.Class{"old": {
-			Name: "old", LatencyObjective: 109, Timeout: 110, MessageObjective: 111, PriorityWeight: 1.112, Effect: balancer.Keyed,
+			Name: "old", LatencyObjective: 109, Timeout: 110, MessageObjective: 111, PriorityWeight: 1.112, Idempotency: balancer.IdempotentByKey,
 			DedupScope: balancer.ScopeZone, DedupWindow: 113,
 		}},
 		ClientIDs: []string{"client-1", "client-2"},
--- a/internal/proxy/hotrestart_state.go
+++ b/internal/proxy/hotrestart_state.go
@@ -59,9 +59,9 @@
 // encode returns the text for a successor. With thousands of endpoints that takes tens of milliseconds.
 func (c *capturedState) encode() ([]byte, error) {
 	slices.SortFunc(c.list.Instances, func(a, b discovery.Entry) int { return cmp.Compare(a.ID, b.ID) })
-	c.Balancer.FindOwners()
+	c.Balancer.ComputeOwners()
 	for name, state := range c.Pools {
-		state.FindOwners()
+		state.ComputeOwners()
 		c.Pools[name] = state
 	}
 	encodedList, err := json.Marshal(c.list)
--- a/internal/proxy/hotrestart_transfer.go
+++ b/internal/proxy/hotrestart_transfer.go
@@ -168,7 +168,7 @@
 // restoreEstablished tells the balancers the endpoints of a predecessor's connections by client.
 func (p *Proxy) restoreEstablished(endpoints map[uint64]string) {
 	for _, pool := range p.pools.active {
-		pool.balancer.RestoreEstablished(endpoints)
+		pool.balancer.RestoreEstablishedConnections(endpoints)
 	}
 }
 
--- a/internal/proxy/line_protocol.go
+++ b/internal/proxy/line_protocol.go
@@ -86,7 +86,7 @@
 func (LineProtocol) LoadQuery() []byte { return lineprotocol.Stats }
 
 // ParseLoadReport implements Protocol.
-func (LineProtocol) ParseLoadReport(message []byte) (balancer.Load, bool) {
+func (LineProtocol) ParseLoadReport(message []byte) (balancer.LoadReport, bool) {
 	load, ok := lineprotocol.ParseReport(message)
 	return load, ok
 }
--- a/internal/proxy/protocol.go
+++ b/internal/proxy/protocol.go
@@ -29,7 +29,7 @@
 	LoadQuery() []byte
 	// ParseLoadReport reads the answer to a load query: the values that it reports, if any. ok is false where it is no
 	// answer to one.
-	ParseLoadReport(message []byte) (load balancer.Load, ok bool)
+	ParseLoadReport(message []byte) (load balancer.LoadReport, ok bool)
 
 	// RejectMessage is a final answer to a client: it may retry after some time.
 	RejectMessage(retryAfter time.Duration) []byte
--- a/internal/proxy/reasons.go
+++ b/internal/proxy/reasons.go
@@ -21,14 +21,14 @@
 
 // statusReasons are the reasons of retries: how the attempt before ended.
 var statusReasons = map[balancer.Status]metrics.Reason{
-	balancer.OK:            "ok",
-	balancer.AppError:      "error",
-	balancer.Full:          "full",
-	balancer.Timeout:       "timeout",
-	balancer.ConnectFailed: "no_connect",
-	balancer.Reset:         "reset",
-	balancer.Canceled:      "canceled",
-	balancer.NotSent:       "not_sent",
+	balancer.OK:                 "ok",
+	balancer.AppError:           "error",
+	balancer.RejectedByEndpoint: "full",
+	balancer.Timeout:            "timeout",
+	balancer.ConnectFailed:      "no_connect",
+	balancer.Reset:              "reset",
+	balancer.Canceled:           "canceled",
+	balancer.NotSent:            "not_sent",
 }
 
 func statusReason(status balancer.Status) metrics.Reason { return statusReasons[status] }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -17,7 +17,7 @@
 func (p *Proxy) Reload(c *config.Config) error {
 	return p.loop.Post(func() {
 		p.loop.NameTurn(turnReload)
-		if err := c.Settings.Check(); err != nil { // the caller has checked the file
+		if err := c.Settings.Validate(); err != nil { // the caller has checked the file
 			p.rejectReload(err)
 			return
 		}
@@ -51,7 +51,7 @@
 // withNodeOf returns settings with the zone and the index of own, which are this node's whatever the fleet's version.
 func withNodeOf(settings balancer.Settings, own *balancer.Settings) balancer.Settings {
 	settings.Zone = own.Zone
-	settings.Self = own.Self
+	settings.NodeIndex = own.NodeIndex
 	return settings
 }
 
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -23,7 +23,9 @@
 }
 
 // isSafe reports whether the request may be executed any number of times.
-func (g *retryGuard) isSafe() bool { return g.class == nil || g.class.Effect == balancer.Safe }
+func (g *retryGuard) isSafe() bool {
+	return g.class == nil || g.class.Idempotency == balancer.Idempotent
+}
 
 // dedupDeadline is until when endpoints recognize a repeat, if that bounds the next attempt.
 func (g *retryGuard) dedupDeadline() (deadline time.Duration, bounded bool) {
@@ -39,7 +41,7 @@
 	if !bounded {
 		return true
 	}
-	if g.class.Effect == balancer.Unsafe || now > deadline {
+	if g.class.Idempotency == balancer.NotIdempotent || now > deadline {
 		return false
 	}
 	switch g.class.DedupScope {
@@ -58,7 +60,7 @@
 	if guard.isSafe() {
 		return true
 	}
-	if guard.class.Effect == balancer.Keyed && guard.class.DedupScope == balancer.ScopeAll {
+	if guard.class.Idempotency == balancer.IdempotentByKey && guard.class.DedupScope == balancer.ScopeAll {
 		return true
 	}
 	return guard.executedOn == nil && (s.attempt == nil || s.attempt.stage == stageDialing)
--- a/internal/proxy/turn_cost_test.go
+++ b/internal/proxy/turn_cost_test.go
@@ -138,7 +138,7 @@
 	})
 	costs.measure(t, "load queries", func() { b.Handle(p.now, balancer.Timer{Token: "reports"}) })
 	costs.measure(t, "load report", func() {
-		load := balancer.Load{balancer.ReportLoad: 0.5, balancer.ReportConnections: 3}
+		load := balancer.LoadReport{balancer.UtilizationMetric: 0.5, balancer.ConnectionsMetric: 3}
 		b.Handle(p.now, balancer.HealthCheckResult{Endpoint: whole[endpoints-1].ID, Load: load})
 	})
 	costs.measure(t, "sweep", func() { p.latency.reportedAt = 0; p.checkConnections() })
--- a/internal/simwire/decode_event.go
+++ b/internal/simwire/decode_event.go
@@ -68,7 +68,7 @@
 var statuses = map[string]balancer.Status{
 	"delivered":   balancer.OK,
 	"app_error":   balancer.AppError,
-	"shed":        balancer.Full,
+	"shed":        balancer.RejectedByEndpoint,
 	"expired":     balancer.Timeout,
 	"dial_failed": balancer.ConnectFailed,
 	"dropped":     balancer.Reset,
@@ -306,7 +306,7 @@
 		Endpoint: *event.Endpoint,
 		Status:   status,
 		Latency:  Seconds(event.Latency),
-		Load:     balancer.Load(event.Load),
+		Load:     balancer.LoadReport(event.Load),
 	}
 	return nil
 }
@@ -351,7 +351,7 @@
 		Status:   status,
 		Latency:  Seconds(event.Latency),
 		Final:    event.Final,
-		Load:     balancer.Load(event.Load),
+		Load:     balancer.LoadReport(event.Load),
 	}
 	return nil
 }
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -44,7 +44,7 @@
 			balancer.LatencyChanged{ID: "t/a", Endpoint: "h:1", Attempt: 2, Latency: 500 * microsecond}},
 		{`{"UpdateOf":{"Node":3,"Rid":"t/a","SendNo":2,"Host":"h:1","Kind":9,"Level":0.5}}`, nil},
 		{`{"Health":{"Node":3,"Host":"h:1","DelaySeen":0.0014,"StateCode":"delivered","Feedback":{"x0":0.5}}}`,
-			balancer.HealthCheckResult{Endpoint: "h:1", Latency: 1400 * microsecond, Load: balancer.Load{"x0": 0.5}}},
+			balancer.HealthCheckResult{Endpoint: "h:1", Latency: 1400 * microsecond, Load: balancer.LoadReport{"x0": 0.5}}},
 		{`{"Mail":{"Node":3,"By":2,"Content":"hi 7"}}`, balancer.PeerMessage{From: 2, Data: "hi 7"}},
 		{`{"AckFirst":{"Node":3,"Rid":"t/a","Host":"h:1","SendNo":0,"DelaySeen":0.00925}}`,
 			balancer.Established{ID: "t/a", Endpoint: "h:1", Latency: 9250 * microsecond}},
@@ -89,11 +89,11 @@
 	}
 	start := decodeOne(t, string(text)).Start
 	settings := start.Settings
-	if start.Seed != 5138197539985895 || settings.Nodes != 7 || settings.Self != 2 || settings.Zone != "east" || !settings.Subscribe || !settings.PassThrough {
+	if start.Seed != 5138197539985895 || settings.Nodes != 7 || settings.NodeIndex != 2 || settings.Zone != "east" || !settings.Subscribe || !settings.PassThrough {
 		t.Errorf("%+v", start)
 	}
 	want := balancer.Class{Name: "slow", LatencyObjective: 500 * time.Millisecond, Timeout: 2 * time.Second, MessageObjective: 100 * time.Millisecond,
-		PriorityWeight: 2, Effect: balancer.Keyed, DedupScope: balancer.ScopeCell, DedupWindow: 5 * time.Second}
+		PriorityWeight: 2, Idempotency: balancer.IdempotentByKey, DedupScope: balancer.ScopeCell, DedupWindow: 5 * time.Second}
 	if len(settings.Classes) != 2 || settings.Classes[1] != want {
 		t.Errorf("classes %+v", settings.Classes)
 	}
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -103,14 +103,14 @@
 	case balancer.HealthCheck:
 		r.beginAction("HealthCheck", node)
 		r.text("Host", action.Endpoint)
-	case balancer.CloseIdle:
+	case balancer.CloseIdleConnections:
 		r.beginAction("FreeLinks", node)
 		r.text("Host", action.Endpoint)
 	case balancer.Watch:
 		r.beginAction("Watch", node)
 		r.member("Enable")
 		r.buffer = strconv.AppendBool(r.buffer, action.On)
-	case balancer.Fetch:
+	case balancer.FetchEndpoints:
 		r.beginAction("ReadList", node)
 	case balancer.SendToPeer:
 		r.beginAction("Notify", node)
--- a/internal/simwire/encode_test.go
+++ b/internal/simwire/encode_test.go
@@ -20,9 +20,9 @@
 		balancer.SetTimer{Token: "sweep", Delay: 1234567 * microsecond},
 		balancer.Migrate{ID: "t/a"},
 		balancer.HealthCheck{Endpoint: "h:1"},
-		balancer.CloseIdle{Endpoint: "h:1"},
+		balancer.CloseIdleConnections{Endpoint: "h:1"},
 		balancer.Watch{On: true},
-		balancer.Fetch{},
+		balancer.FetchEndpoints{},
 		balancer.SendToPeer{To: -1, Data: "hi"},
 		balancer.Log{Text: "a \"b\"\n"},
 	} {
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -17,13 +17,13 @@
 func goldenSettings() balancer.Settings {
 	const second = time.Second
 	return balancer.Settings{
-		Nodes: 11, Self: 12, Zone: "east",
+		Nodes: 11, NodeIndex: 12, Zone: "east",
 		Classes: []balancer.Class{{
 			Name: "light", LatencyObjective: 13 * second, Timeout: 14 * second, MessageObjective: 15 * second, PriorityWeight: 16.5,
-			Effect: balancer.Keyed, DedupScope: balancer.ScopeZone, DedupWindow: 17 * second,
+			Idempotency: balancer.IdempotentByKey, DedupScope: balancer.ScopeZone, DedupWindow: 17 * second,
 		}, {
 			Name: "heavy", LatencyObjective: 18 * second, Timeout: 19 * second, MessageObjective: 20 * second, PriorityWeight: 21.5,
-			Effect: balancer.Unsafe, DedupScope: balancer.ScopeCell, DedupWindow: 22 * second,
+			Idempotency: balancer.NotIdempotent, DedupScope: balancer.ScopeCell, DedupWindow: 22 * second,
 		}},
 		Tenants: []balancer.Tenant{{Name: "tenant", PerSecond: 23.5, Share: 0.24, Connections: 25}},
 		Limits: balancer.Limits{
@@ -66,7 +66,7 @@
 		ID: "r1", Class: "light", Tenant: "tenant", Group: "group", Key: "key", Deadline: 41 * time.Second, LoadHint: 4.25,
 		Resumed: true, ClientRetry: true, Returning: true,
 	}
-	load := balancer.Load{"x0": 0.5, "outstanding": 43}
+	load := balancer.LoadReport{"x0": 0.5, "outstanding": 43}
 	events := []balancer.Event{
 		balancer.EndpointUpdate{Kind: balancer.FullList, Version: 44, Entries: []balancer.Endpoint{{
 			ID: "s001", Phase: balancer.Draining, StartedAt: 45 * time.Second, Size: 4.5, Zone: "east", Cell: 46,
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -79,13 +79,13 @@
 	noReports          = "none"
 )
 
-var effects = map[string]balancer.Effect{
-	"safe":   balancer.Safe,
-	"keyed":  balancer.Keyed,
-	"unsafe": balancer.Unsafe,
+var effects = map[string]balancer.Idempotency{
+	"safe":   balancer.Idempotent,
+	"keyed":  balancer.IdempotentByKey,
+	"unsafe": balancer.NotIdempotent,
 }
 
-var scopes = map[string]balancer.Scope{
+var scopes = map[string]balancer.DedupScope{
 	"all":  balancer.ScopeAll,
 	"zone": balancer.ScopeZone,
 	"cell": balancer.ScopeCell,
@@ -104,7 +104,7 @@
 func (s *wireSettings) settings() balancer.Settings {
 	return balancer.Settings{
 		Nodes:           s.Nodes,
-		Self:            s.Self,
+		NodeIndex:       s.Self,
 		Zone:            s.Zone,
 		Classes:         s.classes(),
 		Tenants:         s.tenants(),
@@ -118,7 +118,7 @@
 }
 
 func (s *wireSettings) loadReports() bool {
-	return s.Limits.Probes && s.Reports.Transport != noReports && slices.Contains(s.Reports.Fields, balancer.ReportLoad)
+	return s.Limits.Probes && s.Reports.Transport != noReports && slices.Contains(s.Reports.Fields, balancer.UtilizationMetric)
 }
 
 func (s *wireSettings) classes() []balancer.Class {
@@ -137,15 +137,15 @@
 	scope, scopeKnown := scopes[c.DedupScope]
 	effect, effectKnown := effects[c.Effect]
 	// An effect or a dedup scope that is not known here is treated as the strictest.
-	if !effectKnown || effect == balancer.Keyed && !scopeKnown {
-		effect = balancer.Unsafe
+	if !effectKnown || effect == balancer.IdempotentByKey && !scopeKnown {
+		effect = balancer.NotIdempotent
 	}
 	return balancer.Class{
 		Name:             c.Name,
 		LatencyObjective: Seconds(c.LatencyObjective),
 		Timeout:          Seconds(c.Timeout),
 		PriorityWeight:   c.PriorityWeight,
-		Effect:           effect,
+		Idempotency:      effect,
 		DedupScope:       scope,
 		DedupWindow:      Seconds(c.DedupWindow),
 	}
--- a/internal/sitelang/site.go
+++ b/internal/sitelang/site.go
@@ -144,7 +144,7 @@
 	if s.Settings, err = simwire.DecodeSettings(parts.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if err := s.Settings.Check(); err != nil {
+	if err := s.Settings.Validate(); err != nil {
 		return err
 	}
 	if parts.Known != nil {
--- a/internal/sitereport/pools.go
+++ b/internal/sitereport/pools.go
@@ -80,7 +80,7 @@
 			if !ok {
 				continue
 			}
-			events = append(events, balancer.AttemptEnded{ID: requestID, Endpoint: send.Endpoint, Attempt: len(endpoints), Status: balancer.Full})
+			events = append(events, balancer.AttemptEnded{ID: requestID, Endpoint: send.Endpoint, Attempt: len(endpoints), Status: balancer.RejectedByEndpoint})
 			endpoints = append(endpoints, send.Endpoint)
 			progress.AttemptSent()
 			progress.AttemptEnded(true)
