--- a/balancer/handover_state.go
+++ b/balancer/handover_state.go
@@ -72,11 +72,11 @@
 // State returns what a successor needs. Its list of endpoints is in no particular order.
 func (b *Balancer) State() State {
 	state := b.CaptureState()
-	state.FindOwners()
+	state.ComputeOwners()
 	return state
 }
 
-// CaptureState is State without the owners of slots, which FindOwners adds: finding them takes long.
+// CaptureState is State without the owners of slots, which ComputeOwners adds: finding them takes long.
 func (b *Balancer) CaptureState() State {
 	state := State{
 		StartedAt:          b.startedAt,
@@ -151,16 +151,16 @@
 	}
 }
 
-// FindOwners replaces the members of tables by the owners of their slots, but in tables that are too large for that. It uses nothing
+// ComputeOwners replaces the members of tables by the owners of their slots, but in tables that are too large for that. It uses nothing
 // but the state, so it may run beside the Balancer.
-func (s *State) FindOwners() {
+func (s *State) ComputeOwners() {
 	weightedEndpoints := make([]weightedMember, len(s.Endpoints))
 	for i := range s.Endpoints {
 		weightedEndpoints[i] = weightedMember{salt: hashing.NewSalt(hashing.String(s.Endpoints[i].ID)), size: s.Endpoints[i].Size}
 	}
-	compact := s.Table.findOwners(weightedEndpoints)
+	compact := s.Table.computeOwners(weightedEndpoints)
 	for zone, table := range s.ZoneTables {
-		compact = table.findOwners(weightedEndpoints) || compact
+		compact = table.computeOwners(weightedEndpoints) || compact
 		s.ZoneTables[zone] = table
 	}
 	if compact {
@@ -168,11 +168,11 @@
 	}
 }
 
-// findOwners replaces the members of a table and of its earlier forms, and reports whether any has kept them. weightedEndpoints
+// computeOwners replaces the members of a table and of its earlier forms, and reports whether any has kept them. weightedEndpoints
 // holds the state's endpoints, by index.
-func (t *TableState) findOwners(weightedEndpoints []weightedMember) (compact bool) {
+func (t *TableState) computeOwners(weightedEndpoints []weightedMember) (compact bool) {
 	if t.Previous != nil {
-		compact = t.Previous.findOwners(weightedEndpoints)
+		compact = t.Previous.computeOwners(weightedEndpoints)
 	}
 	if len(t.Members) == 0 {
 		return compact
