--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -11,9 +11,9 @@
 // This file has a client's connection up to its parsed request, and the events of its socket.
 
 const (
-	// greetingTimeout is how long after connecting a client may take to send its request, however many bytes trickle in
+	// firstRequestTimeout is how long after connecting a client may take to send its request, however many bytes trickle in
 	// meanwhile; a bad client is to be closed within 3 s. A readiness check is answered at once and needs no longer.
-	greetingTimeout = 2500 * time.Millisecond
+	firstRequestTimeout = 2500 * time.Millisecond
 	// maxReadinessChecks is how many readiness checks one connection may send.
 	maxReadinessChecks = 8
 )
@@ -27,28 +27,28 @@
 		proxy:            p,
 		downstream:       conn,
 		listener:         listener,
-		greeting:         greeting{acceptedAt: p.loop.Now()},
+		handshake:        handshakeState{acceptedAt: p.loop.Now()},
 		establishedIndex: -1,
 	}
-	s.greeting.timer = p.loop.After(greetingTimeout, s.onGreetingTimeout)
+	s.handshake.timer = p.loop.After(firstRequestTimeout, s.onFirstRequestTimeout)
 	p.idle.add(s)
 	return downstreamHandler{s}
 }
 
 func (p *Proxy) onAcceptError(error) { p.counters.AcceptErrors++ }
 
-// onGreetingTimeout closes a client that has not sent its request in time. A request that has come but has not been read
+// onFirstRequestTimeout closes a client that has not sent its request in time. A request that has come but has not been read
 // yet still counts; else the client gets an answer, since a request that crosses the close is lost.
-func (s *session) onGreetingTimeout() {
+func (s *session) onFirstRequestTimeout() {
 	s.downstream.CheckPeer()
-	if s.greeting.idleElement == nil {
+	if s.handshake.idleElement == nil {
 		return
 	}
 	s.proxy.counters.NoRequest++
 	switch {
 	case len(s.buffered) > 0:
 		s.rejectMalformed()
-	case s.greeting.readinessChecks == 0:
+	case s.handshake.readinessChecks == 0:
 		s.closeDownstream(s.proxy.protocol.RejectMessage(0))
 	default:
 		s.closeDownstream(nil) // a message would be taken for the answer to a readiness check
@@ -57,8 +57,8 @@
 
 // untrackIdle is for a client that has sent its request, or is being closed.
 func (s *session) untrackIdle() {
-	s.proxy.loop.Cancel(s.greeting.timer)
-	s.greeting.timer = nil
+	s.proxy.loop.Cancel(s.handshake.timer)
+	s.handshake.timer = nil
 	s.proxy.idle.remove(s)
 }
 
@@ -87,11 +87,11 @@
 	s.proxy.idle.evictOldest()
 }
 
-// parseGreeting reads the client's readiness checks and its request from what has come.
-func (s *session) parseGreeting() {
+// parseHandshake reads the client's readiness checks and its request from what has come.
+func (s *session) parseHandshake() {
 	p := s.proxy
 	for len(s.buffered) > 0 {
-		n, request, err := p.protocol.ParseGreeting(s.buffered)
+		n, request, err := p.protocol.ParseHandshake(s.buffered)
 		if err != nil {
 			if errors.Is(err, errMessageTooLong) {
 				p.counters.OversizedMessages++
@@ -122,12 +122,12 @@
 func (s *session) answerReadinessCheck() bool {
 	p := s.proxy
 	p.counters.ReadinessChecks++
-	if s.greeting.readinessChecks == maxReadinessChecks {
+	if s.handshake.readinessChecks == maxReadinessChecks {
 		p.counters.UnexpectedData++
 		s.rejectMalformed()
 		return false
 	}
-	s.greeting.readinessChecks++
+	s.handshake.readinessChecks++
 	ready := !p.drainer.notReady && !p.starting()
 	s.downstream.Write(p.protocol.ReadinessAnswer(ready))
 	return true
@@ -145,7 +145,7 @@
 	s.countOutcome(failed)
 	s.recordReason(metrics.RequestFailed, reasonUnexpectedData)
 	s.respond(s.proxy.protocol.MalformedMessage())
-	s.abandon()
+	s.cancelRequest()
 	s.cancelDial()
 }
 
@@ -221,9 +221,9 @@
 func (h downstreamHandler) Data(b []byte) {
 	s := h.session
 	switch s.downstreamState() {
-	case stateGreeting:
+	case stateAwaitingRequest:
 		s.buffered = append(s.buffered, b...)
-		s.parseGreeting()
+		s.parseHandshake()
 		return
 	case stateRelaying:
 		s.sendUpstream(b)
@@ -246,7 +246,7 @@
 func (h downstreamHandler) Ended() {
 	s := h.session
 	switch s.downstreamState() {
-	case stateGreeting:
+	case stateAwaitingRequest:
 		if len(s.buffered) == 0 {
 			s.closeDownstream(nil)
 			return
--- a/internal/proxy/admin_api.go
+++ b/internal/proxy/admin_api.go
@@ -19,7 +19,7 @@
 	if p.fleet != nil {
 		out = p.fleet.appendMetrics(out)
 	}
-	out = p.turns.figures.AppendMetrics(out)
+	out = p.turns.loopMetrics.AppendMetrics(out)
 	return p.reasons.AppendMetrics(out)
 }
 
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -132,11 +132,11 @@
 	} else {
 		s.respond(s.proxy.protocol.FailureMessage())
 	}
-	s.abandon()
+	s.cancelRequest()
 }
 
-// abandon cancels what is under way for a request that was answered without the balancer's decision.
-func (s *session) abandon() {
+// cancelRequest cancels what is under way for a request that was answered without the balancer's decision.
+func (s *session) cancelRequest() {
 	if s.deadline == 0 { // the balancer does not know a connection that reattaches
 		s.cancelAttempt()
 		return
--- a/internal/proxy/config_subscriber.go
+++ b/internal/proxy/config_subscriber.go
@@ -196,7 +196,7 @@
 		cs.headroomReportedAt = now
 		cs.handle(fleetconfig.HeadroomChanged{Headroom: fleetconfig.MemoryHeadroom{
 			Limit: cs.heapLimit(),
-			InUse: heapLive() / headroomUnitBytes * headroomUnitBytes,
+			InUse: liveHeapBytes() / headroomUnitBytes * headroomUnitBytes,
 		}})
 	}
 	cs.handle(fleetconfig.Tick{})
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -29,11 +29,11 @@
 // that no balancer is called from within a call of it.
 func (q *eventQueue) handle(pool *endpointPool, event balancer.Event) {
 	q.events = append(q.events, queuedEvent{pool, event})
-	q.executeAll(pool, nil)
+	q.executeActions(pool, nil)
 }
 
-// executeAll executes actions that a balancer returned otherwise than for an event, and then handles the queued events.
-func (q *eventQueue) executeAll(pool *endpointPool, actions []balancer.Action) {
+// executeActions executes actions that a balancer returned otherwise than for an event, and then handles the queued events.
+func (q *eventQueue) executeActions(pool *endpointPool, actions []balancer.Action) {
 	if q.dispatching {
 		return
 	}
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -15,7 +15,7 @@
 	entry discovery.Entry
 
 	announcedStartMs int64 // its start as discovery gave it; that of entry is by the loop's clock
-	listedBy         listMark
+	lastListedIn     listSequence
 	drainingSince    time.Duration  // when it was first known to drain, or to be removed; 0: it takes requests
 	loadQuery        *loadQueryConn // nil: none is open
 
@@ -39,30 +39,30 @@
 // endpointTable are the endpoints of the current list by ID. A connection keeps its endpoint when that is removed.
 type endpointTable map[string]*endpoint
 
-// listMark tells lists apart: each has another one.
-type listMark int64
+// listSequence numbers the endpoint lists in the order in which they are applied.
+type listSequence int64
 
 // apply brings the table up to a list, or to changes of it.
-func (t endpointTable) apply(list *discovery.List, announced announcedStarts, kind balancer.ListKind, now time.Duration, mark listMark) {
+func (t endpointTable) apply(list *discovery.List, announced announcedStarts, kind balancer.ListKind, now time.Duration, sequence listSequence) {
 	for i := range list.Instances {
-		t.applyEntry(&list.Instances[i], announced[i], now, mark)
+		t.applyEntry(&list.Instances[i], announced[i], now, sequence)
 	}
 	if kind != balancer.DeltaList {
-		t.removeUnlisted(now, mark)
+		t.removeUnlisted(now, sequence)
 	}
 }
 
-// removeUnlisted removes the endpoints that the whole list with a mark does not name.
-func (t endpointTable) removeUnlisted(now time.Duration, mark listMark) {
+// removeUnlisted removes the endpoints that the full list with this sequence number does not contain.
+func (t endpointTable) removeUnlisted(now time.Duration, sequence listSequence) {
 	for id, e := range t {
-		if e.listedBy != mark {
+		if e.lastListedIn != sequence {
 			e.markDraining(now)
 			delete(t, id)
 		}
 	}
 }
 
-func (t endpointTable) applyEntry(entry *discovery.Entry, announcedStartMs int64, now time.Duration, mark listMark) {
+func (t endpointTable) applyEntry(entry *discovery.Entry, announcedStartMs int64, now time.Duration, sequence listSequence) {
 	e := t[entry.ID]
 	if e == nil {
 		e = &endpoint{id: entry.ID}
@@ -74,7 +74,7 @@
 	e.zone = entry.Zone
 	e.entry = *entry
 	e.announcedStartMs = announcedStartMs
-	e.listedBy = mark
+	e.lastListedIn = sequence
 	e.entry.HostPort = e.addr
 	if entry.Lifecycle == discovery.InService {
 		e.drainingSince = 0
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -51,9 +51,9 @@
 	} else {
 		p.counters.FullLists++
 	}
-	mark := listMark(p.counters.DeltaLists + p.counters.FullLists)
+	sequence := listSequence(p.counters.DeltaLists + p.counters.FullLists)
 	announced := p.startTimes.convert(list, p.endpoints, p.loop.Now())
-	p.endpoints.apply(list, announced, kind, p.loop.Now(), mark)
+	p.endpoints.apply(list, announced, kind, p.loop.Now(), sequence)
 }
 
 // onListFailure reports a failed call for the list to the lead pool's balancer, which alone asks again.
--- a/internal/proxy/hotrestart_state.go
+++ b/internal/proxy/hotrestart_state.go
@@ -140,7 +140,7 @@
 	divided := len(state.Pools) > 0 // else the only pool's state has the whole list already
 	for i, pool := range p.pools.active {
 		if restored[i].ok {
-			p.events.executeAll(pool, restored[i].actions)
+			p.events.executeActions(pool, restored[i].actions)
 			updates[i].Members.Kind = balancer.FullList // the pool may have had other endpoints before
 		}
 		if !restored[i].ok || divided {
--- a/internal/proxy/hotrestart_transfer.go
+++ b/internal/proxy/hotrestart_transfer.go
@@ -174,7 +174,7 @@
 
 func (p *Proxy) listenerDescriptors() []int { return p.listeners.descriptors() }
 
-func (p *Proxy) onPeersChanged() { p.limitMemory() }
+func (p *Proxy) onPeersChanged() { p.setGCMemoryLimit() }
 
 func (p *Proxy) onPredecessorExit() {
 	if p.fleet != nil {
--- a/internal/proxy/idle_conns.go
+++ b/internal/proxy/idle_conns.go
@@ -11,12 +11,12 @@
 const (
 	// defaultMaxIdle is how many idle connections there may be where the configuration does not limit descriptors.
 	defaultMaxIdle = 4096
-	// maxIdleShare is the part of the descriptors that idle connections may have, as a divisor: clients with requests
+	// maxIdleDivisor is the part of the descriptors that idle connections may have, as a divisor: clients with requests
 	// may need a third and their endpoints another.
-	maxIdleShare = 6
-	minMaxIdle   = 8
-	// uncountedShare is the part of the limit, as a divisor, up to which lingering connections do not count.
-	uncountedShare = 4
+	maxIdleDivisor = 6
+	minMaxIdle     = 8
+	// uncountedDivisor is the part of the limit, as a divisor, up to which lingering connections do not count.
+	uncountedDivisor = 4
 )
 
 // lingerBounds bound how long a peer that has had its last message may go on sending, and how much: tens of megabytes
@@ -37,11 +37,11 @@
 	if c.limits.max == 0 {
 		return defaultMaxIdle
 	}
-	return max(c.limits.max/maxIdleShare, minMaxIdle)
+	return max(c.limits.max/maxIdleDivisor, minMaxIdle)
 }
 
 // uncountedLingering is how many lingering connections do not count, so that an evicted client receives its answer.
-func (c *idleConns) uncountedLingering() int { return c.limit() / uncountedShare }
+func (c *idleConns) uncountedLingering() int { return c.limit() / uncountedDivisor }
 
 // count is how many connections count towards the limit.
 func (c *idleConns) count() int {
@@ -50,7 +50,7 @@
 
 // add takes in a session that has just been accepted, and evicts others where that is one too many.
 func (c *idleConns) add(s *session) {
-	s.greeting.idleElement = c.waiting.PushBack(s)
+	s.handshake.idleElement = c.waiting.PushBack(s)
 	if oldest := c.oldestWaiting(); c.count() > c.limit() && oldest != s {
 		oldest.downstream.CheckPeer() // its request may have come just now
 	}
@@ -59,9 +59,9 @@
 
 // remove takes out a session that has sent its request or is closed.
 func (c *idleConns) remove(s *session) {
-	if s.greeting.idleElement != nil {
-		c.waiting.Remove(s.greeting.idleElement)
-		s.greeting.idleElement = nil
+	if s.handshake.idleElement != nil {
+		c.waiting.Remove(s.handshake.idleElement)
+		s.handshake.idleElement = nil
 	}
 }
 
@@ -104,7 +104,7 @@
 func (c *idleConns) expectsRequest(now time.Duration) bool {
 	for element := c.waiting.Front(); element != nil; element = element.Next() {
 		s := element.Value.(*session)
-		if len(s.buffered) > 0 || s.greeting.readinessChecks == 0 && now-s.greeting.acceptedAt < idleBeforeClose {
+		if len(s.buffered) > 0 || s.handshake.readinessChecks == 0 && now-s.handshake.acceptedAt < idleBeforeClose {
 			return true
 		}
 	}
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -21,19 +21,19 @@
 	// every 2 s, the oldest unanswered message may be as old as this, and a sweep is due within sweepInterval.
 	unresponsiveAfter = 4 * time.Second
 	stalledTimeout    = 10 * time.Second
-	// slowFraction is the part of the shortest message objective, as a divisor, from which on an endpoint is slow.
-	slowFraction = 3
+	// slowDivisor is the part of the shortest message objective, as a divisor, from which on an endpoint is slow.
+	slowDivisor = 3
 )
 
 // latencyTracker is what latencies are derived from, beside the endpoints' own samples.
 type latencyTracker struct {
-	zoneFloor  map[string]time.Duration // the lowest latency seen in a zone, which is that of the network
-	sampled    map[*endpoint]bool       // that have samples
-	reportedAt time.Duration
+	zoneFloor   map[string]time.Duration // the lowest latency seen in a zone, which is that of the network
+	withSamples map[*endpoint]bool       // that have samples
+	reportedAt  time.Duration
 }
 
 func newLatencyTracker() latencyTracker {
-	return latencyTracker{zoneFloor: map[string]time.Duration{}, sampled: map[*endpoint]bool{}}
+	return latencyTracker{zoneFloor: map[string]time.Duration{}, withSamples: map[*endpoint]bool{}}
 }
 
 func (t *latencyTracker) observe(e *endpoint, latency time.Duration) {
@@ -45,13 +45,13 @@
 
 func (t *latencyTracker) addSample(e *endpoint, latency time.Duration) {
 	e.latency.samples = append(e.latency.samples, latency)
-	t.sampled[e] = true
+	t.withSamples[e] = true
 }
 
 // drainSampled returns the endpoints that have samples, by ID, and forgets which these are.
 func (t *latencyTracker) drainSampled() []*endpoint {
-	sampled := slices.SortedFunc(maps.Keys(t.sampled), func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
-	clear(t.sampled)
+	sampled := slices.SortedFunc(maps.Keys(t.withSamples), func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
+	clear(t.withSamples)
 	return sampled
 }
 
@@ -123,7 +123,7 @@
 		}
 		return
 	}
-	slow := objective / slowFraction
+	slow := objective / slowDivisor
 	sessions := map[*endpoint]*session{} // one of each endpoint's
 	for _, s := range p.sessions.established {
 		e := s.attempt.endpoint
--- a/internal/proxy/line_protocol.go
+++ b/internal/proxy/line_protocol.go
@@ -11,8 +11,8 @@
 // LineProtocol is the protocol of package lineprotocol: a message is a line.
 type LineProtocol struct{}
 
-// ParseGreeting implements Protocol.
-func (LineProtocol) ParseGreeting(b []byte) (int, *ClientRequest, error) {
+// ParseHandshake implements Protocol.
+func (LineProtocol) ParseHandshake(b []byte) (int, *ClientRequest, error) {
 	line, _, complete := lineprotocol.CutLine(b)
 	switch {
 	case complete && len(line) > lineprotocol.MaxLineBytes, !complete && len(b) > lineprotocol.MaxLineBytes:
--- a/internal/proxy/line_protocol_test.go
+++ b/internal/proxy/line_protocol_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// FuzzParseGreetingInPieces feeds a client's first bytes whole and in pieces: the greetings are the same, and both a
-// greeting and the buffer stay bounded.
-func FuzzParseGreetingInPieces(f *testing.F) {
+// FuzzParseHandshakeInPieces feeds a client's first bytes whole and in pieces: both are parsed alike, and both a
+// handshake message and the buffer stay bounded.
+func FuzzParseHandshakeInPieces(f *testing.F) {
 	for _, seed := range []string{"PING\r\nOPEN a b c=x,d=1\r\n", "OPEN a b c=x,d=1\r\nM 1\r\n", "OPEN a b c=x", "\r\n", "PING\n",
 		"OPEN " + string(bytes.Repeat([]byte("k"), 4090)) + " b c=x\r\n"} {
 		f.Add([]byte(seed), 3)
@@ -24,31 +24,31 @@
 	})
 }
 
-// parsedGreeting is what was read up to the first request or error.
-type parsedGreeting struct {
-	used    int // bytes of greetings
+// parsedHandshake is what was read up to the first request or error.
+type parsedHandshake struct {
+	used    int // bytes of handshake messages
 	request *ClientRequest
 	err     error
 }
 
-func parseInPieces(t *testing.T, text []byte, piece int) parsedGreeting {
+func parseInPieces(t *testing.T, text []byte, piece int) parsedHandshake {
 	t.Helper()
 	var protocol LineProtocol
-	var result parsedGreeting
+	var result parsedHandshake
 	var buffer []byte
 	for rest := text; len(rest) > 0 && result.request == nil && result.err == nil; {
 		n := min(piece, len(rest))
 		buffer = append(buffer, rest[:n]...)
 		rest = rest[n:]
 		for len(buffer) > 0 && result.request == nil && result.err == nil {
-			n, request, err := protocol.ParseGreeting(buffer)
+			n, request, err := protocol.ParseHandshake(buffer)
 			result.request = request
 			result.err = err
 			if n == 0 {
 				break
 			}
 			if n > protocol.MaxMessageBytes() {
-				t.Fatalf("a greeting of %d bytes is accepted", n)
+				t.Fatalf("accepted a handshake message of %d bytes", n)
 			}
 			result.used += n
 			buffer = buffer[n:]
--- a/internal/proxy/load_query.go
+++ b/internal/proxy/load_query.go
@@ -36,11 +36,11 @@
 func (q *loadQueryQueue) schedule() {
 	if !q.scheduled {
 		q.scheduled = true
-		q.loop.After(0, q.beginSome)
+		q.loop.After(0, q.beginBatch)
 	}
 }
 
-func (q *loadQueryQueue) beginSome() {
+func (q *loadQueryQueue) beginBatch() {
 	q.scheduled = false
 	some := q.pending[:min(len(q.pending), loadQueriesPerTurn)]
 	q.pending = q.pending[len(some):]
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -14,8 +14,8 @@
 
 const bytesPerMB = 1 << 20
 
-// limitMemory sets the garbage collector's limit. Two processes at a hot restart share what there is.
-func (p *Proxy) limitMemory() {
+// setGCMemoryLimit sets the garbage collector's limit. Two processes at a hot restart share what there is.
+func (p *Proxy) setGCMemoryLimit() {
 	if p.memoryLimitMB <= 0 {
 		return
 	}
@@ -39,9 +39,9 @@
 	return limit
 }
 
-// heapLive is what the last garbage collection found alive, in bytes; before the first one, what has been allocated.
+// liveHeapBytes is what the last garbage collection found alive, in bytes; before the first one, what has been allocated.
 // It may be called from any goroutine.
-func heapLive() uint64 {
+func liveHeapBytes() uint64 {
 	samples := []metrics.Sample{{Name: "/gc/heap/live:bytes"}, {Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(samples)
 	for _, sample := range samples {
--- a/internal/proxy/protocol.go
+++ b/internal/proxy/protocol.go
@@ -9,10 +9,10 @@
 // Protocol is all that the proxy knows of the bytes on clients' and endpoints' connections. Another protocol would go
 // through the same stages and decisions.
 type Protocol interface {
-	// ParseGreeting reads the start of what a client has sent. n is how many bytes are used up, 0 where more must come.
-	// A nil request with n > 0 was a readiness check, which another greeting may follow. The error is errMessageTooLong
+	// ParseHandshake reads the start of what a client has sent. n is how many bytes are used up, 0 where more must come.
+	// A nil request with n > 0 was a readiness check, which another handshake message may follow. The error is errMessageTooLong
 	// or says what is malformed.
-	ParseGreeting(b []byte) (n int, request *ClientRequest, err error)
+	ParseHandshake(b []byte) (n int, request *ClientRequest, err error)
 	// ReadinessAnswer is the answer to a readiness check.
 	ReadinessAnswer(ready bool) []byte
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -82,7 +82,7 @@
 	}
 	p.discoveryClient = p.newDiscoveryClient(c)
 	p.startListSource(c)
-	p.limitMemory()
+	p.setGCMemoryLimit()
 	if err := p.listeners.open(loop, p, c, handover.listeners); err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 func (p *Proxy) writeCounters(w io.Writer) {
 	p.counters.OpenConnections = metrics.Counter(len(p.sessions.established))
 	p.counters.WriteLine(w)
-	p.turns.figures.WritePairs(w)
+	p.turns.loopMetrics.WritePairs(w)
 	p.reasons.WritePairs(w)
 	fmt.Fprintln(w)
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -24,7 +24,7 @@
 		p.counters.Reloads++
 		p.limits.max = c.MaxDescriptors
 		p.memoryLimitMB = c.MemoryMB
-		p.limitMemory()
+		p.setGCMemoryLimit()
 		p.reloadFleet(c)
 		if p.fleet != nil && p.fleet.hasActiveVersion() {
 			p.applyConfig(withNodeOf(p.settings, &c.Settings), p.loadIsLatency, p.pools.table)
@@ -98,6 +98,6 @@
 		if err != nil {
 			continue // cannot be: the settings have been checked by the same rules
 		}
-		p.events.executeAll(pool, actions)
+		p.events.executeActions(pool, actions)
 	}
 }
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -88,7 +88,7 @@
 	if s.answered || s.pool != pool {
 		return
 	}
-	if !s.hasNextPool() {
+	if !s.advanceToNextPool() {
 		s.reject(s.retryAfter(delay), reason)
 		return
 	}
@@ -99,8 +99,8 @@
 	p.events.handle(s.pool, s.balancerRequest())
 }
 
-// hasNextPool moves the policy's state on to the next pool, if there is one that may be tried.
-func (s *session) hasNextPool() bool {
+// advanceToNextPool moves the policy's state on to the next pool, if there is one that may be tried.
+func (s *session) advanceToNextPool() bool {
 	p := s.proxy
 	if s.request == nil || s.request.Resumed {
 		return false
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -21,7 +21,7 @@
 	downstream *evloop.Conn // the client's; nil once it is closed or only lingers
 	listener   string       // the name of the one that accepted it
 	buffered   []byte       // of the client: not parsed yet, or early
-	greeting   greeting
+	handshake  handshakeState
 
 	// The request.
 
@@ -57,11 +57,11 @@
 	relay            relayState
 }
 
-// greeting is the state of a client's connection until its request has been parsed.
-type greeting struct {
+// handshakeState is the state of a client's connection until its request has been parsed.
+type handshakeState struct {
 	acceptedAt      time.Duration
 	readinessChecks int           // that the client has sent
-	timer           *evloop.Timer // until greetingTimeout
+	timer           *evloop.Timer // until firstRequestTimeout
 	idleElement     *list.Element // in idleConns.waiting; nil: the request has been parsed, or the client is being closed
 }
 
@@ -76,9 +76,9 @@
 type downstreamState int
 
 const (
-	stateGreeting       downstreamState = iota // its request has not been parsed
-	stateAwaitingAnswer                        // its request has no answer yet
-	stateRelaying                              // its connection to an endpoint is established
+	stateAwaitingRequest downstreamState = iota // its request has not been parsed
+	stateAwaitingAnswer                         // its request has no answer yet
+	stateRelaying                               // its connection to an endpoint is established
 )
 
 func (s *session) downstreamState() downstreamState {
@@ -88,7 +88,7 @@
 	case s.id != "":
 		return stateAwaitingAnswer
 	}
-	return stateGreeting
+	return stateAwaitingRequest
 }
 
 // sessionTable are the sessions whose request has been parsed.
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -125,7 +125,7 @@
 		} else {
 			s.reject(0, reasonStopping)
 		}
-		s.abandon()
+		s.cancelRequest()
 	}
 }
 
--- a/internal/proxy/turns.go
+++ b/internal/proxy/turns.go
@@ -24,32 +24,32 @@
 
 // turnObserver counts and logs the turns of the event loop that keep others waiting.
 type turnObserver struct {
-	log       *logging.Logger
-	endpoints endpointTable
-	figures   metrics.Loop
-	lastLogAt time.Duration // of a long turn
-	unlogged  int           // long turns since
+	log           *logging.Logger
+	endpoints     endpointTable
+	loopMetrics   metrics.Loop
+	lastLogAt     time.Duration // of a long turn
+	unloggedTurns int           // long turns since
 }
 
 var _ evloop.Observer = (*turnObserver)(nil)
 
 // TurnEnded is part of evloop.Observer.
 func (o *turnObserver) TurnEnded(turn evloop.Turn) {
-	if !o.figures.RecordTurn(string(turn.Cause), turn.Length) {
+	if !o.loopMetrics.RecordTurn(string(turn.Cause), turn.Length) {
 		return
 	}
 	if turn.EndedAt-o.lastLogAt < turnLogInterval {
-		o.unlogged++
+		o.unloggedTurns++
 		return
 	}
 	o.log.Warn("event loop: long turn", zap.String("cause", string(turn.Cause)), zap.Duration("length", turn.Length),
-		zap.Int("endpoints", len(o.endpoints)), zap.Int("unlogged", o.unlogged))
+		zap.Int("endpoints", len(o.endpoints)), zap.Int("unlogged", o.unloggedTurns))
 	o.lastLogAt = turn.EndedAt
-	o.unlogged = 0
+	o.unloggedTurns = 0
 }
 
 // CaughtUp is part of evloop.Observer.
 func (o *turnObserver) CaughtUp(heldUp time.Duration) {
-	o.figures.RecordHoldUp(heldUp)
+	o.loopMetrics.RecordHoldUp(heldUp)
 	o.log.Warn("event loop: was held up", zap.Duration("length", heldUp), zap.Int("endpoints", len(o.endpoints)))
 }
--- a/internal/proxy/version_measure.go
+++ b/internal/proxy/version_measure.go
@@ -49,7 +49,7 @@
 		}
 		go func() { // ends with the collection
 			runtime.GC()
-			live := heapLive()
+			live := liveHeapBytes()
 			_ = c.loop.Post(func() { c.record(number, live) }) // cannot fail, see evloop.Loop.Post
 		}()
 	})
--- a/internal/proxy/version_prepare.go
+++ b/internal/proxy/version_prepare.go
@@ -71,7 +71,7 @@
 		}
 	}()
 	runtime.GC() // so that garbage does not count against the version
-	live := heapLive()
+	live := liveHeapBytes()
 	version, err := j.decode()
 	if err != nil {
 		return nil, err
