--- a/internal/proxy/hotrestart_state.go
+++ b/internal/proxy/hotrestart_state.go
@@ -59,9 +59,9 @@
 // the event loop.
 func (c *capturedState) encode() ([]byte, error) {
 	slices.SortFunc(c.list.Instances, func(a, b discovery.Entry) int { return cmp.Compare(a.ID, b.ID) })
-	c.Balancer.FindOwners()
+	c.Balancer.ComputeOwners()
 	for name, state := range c.Pools {
-		state.FindOwners()
+		state.ComputeOwners()
 		c.Pools[name] = state
 	}
 	encodedList, err := json.Marshal(c.list)
@@ -140,7 +140,7 @@
 	hasPoolStates := len(state.Pools) > 0 // otherwise the only pool's state already holds the whole list
 	for i, pool := range p.pools.active {
 		if restored[i].ok {
-			p.events.executeAll(pool, restored[i].actions)
+			p.events.executeActions(pool, restored[i].actions)
 			updates[i].Members.Kind = balancer.FullList // the pool may have had other endpoints before
 		}
 		if !restored[i].ok || hasPoolStates {
--- a/internal/proxy/hotrestart_transfer.go
+++ b/internal/proxy/hotrestart_transfer.go
@@ -166,13 +166,13 @@
 // restoreEstablished passes the endpoints of a predecessor's connections, by client, to the balancers.
 func (p *Proxy) restoreEstablished(endpoints map[uint64]string) {
 	for _, pool := range p.pools.active {
-		pool.balancer.RestoreEstablished(endpoints)
+		pool.balancer.RestoreEstablishedConnections(endpoints)
 	}
 }
 
 func (p *Proxy) listenerDescriptors() []int { return p.listeners.descriptors() }
 
-func (p *Proxy) onPeersChanged() { p.limitMemory() }
+func (p *Proxy) onPeersChanged() { p.setGCMemoryLimit() }
 
 func (p *Proxy) onPredecessorExit() {
 	if p.fleet != nil {
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -17,14 +17,14 @@
 func (p *Proxy) Reload(c *config.Config) error {
 	return p.loop.Post(func() {
 		p.loop.NameTurn(turnReload)
-		if err := c.Settings.Check(); err != nil { // unexpected, since the caller has checked the file
+		if err := c.Settings.Validate(); err != nil { // unexpected, since the caller has checked the file
 			p.rejectReload(err)
 			return
 		}
 		p.counters.Reloads++
 		p.limits.max = c.MaxDescriptors
 		p.memoryLimitMB = c.MemoryMB
-		p.limitMemory()
+		p.setGCMemoryLimit()
 		p.reloadFleet(c)
 		if p.fleet != nil && p.fleet.hasActiveVersion() {
 			p.applyConfig(withNodeIdentity(p.settings, &c.Settings), p.loadIsLatency, p.pools.table)
@@ -52,7 +52,7 @@
 // version.
 func withNodeIdentity(settings balancer.Settings, own *balancer.Settings) balancer.Settings {
 	settings.Zone = own.Zone
-	settings.Self = own.Self
+	settings.NodeIndex = own.NodeIndex
 	return settings
 }
 
@@ -99,6 +99,6 @@
 		if err != nil {
 			continue // impossible: the settings have passed the same checks
 		}
-		p.events.executeAll(pool, actions)
+		p.events.executeActions(pool, actions)
 	}
 }
