--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestShutdownSchedule checks the schedule for several longest timeouts: the kill comes 0.7 s after the longest timeout, capped
-// at 3 s, and all other due times precede the kill.
+// at 3 s. Without pass-through, all other due times precede the kill.
 func TestShutdownSchedule(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -3,9 +3,10 @@
 // One event loop owns all state, including the load balancers of package balancer. There are no locks, nothing blocks, and
 // the clock is read once per turn. Functions run on the loop unless their comments say otherwise.
 //
-// A request passes through these stages, each in its own file: accept.go reads it, admission.go checks the limits, route.go picks a
-// pool, dispatch.go hands events to the pool's balancer and executes its actions, attempt.go sends the request to an
-// endpoint, relay.go passes messages once the connection is established, and accounting.go records the outcomes.
+// A request passes through these stages, each in its own file: accept.go reads it, admission.go checks the limits,
+// route.go picks a pool, dispatch.go hands events to the pool's balancer and executes its actions, attempt.go sends the
+// request to an endpoint, relay.go passes messages once the connection is established, and accounting.go records the
+// outcomes.
 //
 // The other files maintain the state that requests depend on: pool_*.go the pools of the routing table, endpoint_list.go and
 // endpoint.go the endpoints. lifecycle.go schedules the steps of a stop and shutdown.go executes them. hotrestart_*.go hand
--- a/internal/proxy/version_prepare.go
+++ b/internal/proxy/version_prepare.go
@@ -54,7 +54,7 @@
 type preparation struct {
 	version        fleetconfig.Prepare
 	text           []byte
-	table          *routing.Table       // the active one
+	table          *routing.Table       // the active routing table
 	activeEstimate memestimate.Estimate // of table; Live 0: not estimated yet
 	place          configbundle.Place
 	limitBytes     uint64 // heap limit; 0: none
