--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -8,13 +8,15 @@
 	"example.org/micafront/internal/metrics"
 )
 
-// This file has a client's connection up to its parsed request, and the events of its socket.
+// A session starts when a listener accepts a client's connection. The session reads the client's readiness checks and
+// its request, and downstreamHandler handles the events of the client's socket.
 
 const (
-	// firstRequestTimeout is how long after connecting a client may take to send its request, however many bytes trickle in
-	// meanwhile; a bad client is to be closed within 3 s. A readiness check is answered at once and needs no longer.
+	// firstRequestTimeout is the time after connecting within which a client must send its complete request. Bytes that
+	// trickle in do not extend it, because a faulty client must be closed within 3 s. Readiness checks are answered at
+	// once and need no longer.
 	firstRequestTimeout = 2500 * time.Millisecond
-	// maxReadinessChecks is how many readiness checks one connection may send.
+	// maxReadinessChecks is the number of readiness checks that one connection may send.
 	maxReadinessChecks = 8
 )
 
@@ -37,8 +39,8 @@
 
 func (p *Proxy) onAcceptError(error) { p.counters.AcceptErrors++ }
 
-// onFirstRequestTimeout closes a client that has not sent its request in time. A request that has come but has not been read
-// yet still counts; else the client gets an answer, since a request that crosses the close is lost.
+// onFirstRequestTimeout closes a client that has not sent its request in time. A request that has arrived but has not
+// been read yet still counts. Otherwise the client gets an answer, because a request that crosses the close is lost.
 func (s *session) onFirstRequestTimeout() {
 	s.downstream.CheckPeer()
 	if s.handshake.idleElement == nil {
@@ -51,18 +53,19 @@
 	case s.handshake.readinessChecks == 0:
 		s.closeDownstream(s.proxy.protocol.RejectMessage(0))
 	default:
-		s.closeDownstream(nil) // a message would be taken for the answer to a readiness check
+		s.closeDownstream(nil) // the client would mistake a message for the answer to a readiness check
 	}
 }
 
-// untrackIdle is for a client that has sent its request, or is being closed.
+// untrackIdle stops the request timer and removes the session from the idle connections. It is called when the client
+// has sent its request or is being closed.
 func (s *session) untrackIdle() {
 	s.proxy.loop.Cancel(s.handshake.timer)
 	s.handshake.timer = nil
 	s.proxy.idle.remove(s)
 }
 
-// evict closes a client without a request to make room.
+// evict rejects and closes a client that has not sent a request, to make room for other clients.
 func (s *session) evict() {
 	p := s.proxy
 	conn := s.downstream
@@ -73,8 +76,7 @@
 	p.idle.linger(conn)
 }
 
-// closeDownstream sends the client its last message, if there is one, and closes its connection once that has been
-// received.
+// closeDownstream sends the client its last message, if any, and closes the connection once the client has received it.
 func (s *session) closeDownstream(last []byte) {
 	conn := s.downstream
 	s.untrackIdle()
@@ -87,7 +89,7 @@
 	s.proxy.idle.evictOldest()
 }
 
-// parseHandshake reads the client's readiness checks and its request from what has come.
+// parseHandshake parses the buffered bytes: the client's readiness checks and its request.
 func (s *session) parseHandshake() {
 	p := s.proxy
 	for len(s.buffered) > 0 {
@@ -118,7 +120,8 @@
 	}
 }
 
-// answerReadinessCheck returns false if the client was closed, as it has sent too many.
+// answerReadinessCheck answers a readiness check. If the client has sent too many, it closes the client and returns
+// false.
 func (s *session) answerReadinessCheck() bool {
 	p := s.proxy
 	p.counters.ReadinessChecks++
@@ -133,13 +136,13 @@
 	return true
 }
 
-// rejectMalformed closes a client whose bytes make no request.
+// rejectMalformed closes a client whose bytes are not a valid request.
 func (s *session) rejectMalformed() {
 	s.buffered = nil
 	s.closeDownstream(s.proxy.protocol.MalformedMessage())
 }
 
-// rejectUnexpectedData fails a request whose client went on sending before its answer.
+// rejectUnexpectedData fails a request whose client sent more data before its answer.
 func (s *session) rejectUnexpectedData() {
 	s.proxy.counters.UnexpectedData++
 	s.countOutcome(failed)
@@ -149,23 +152,24 @@
 	s.cancelDial()
 }
 
-// onClientDisconnected ends a request whose client has disconnected before its answer: nothing more may be sent for it.
+// onClientDisconnected ends a request whose client disconnected before its answer. From then on nothing may be sent to
+// an endpoint for this request.
 func (s *session) onClientDisconnected() {
 	s.buffered = nil
 	s.recordDisconnect()
 	s.cancelDial()
 }
 
-// cancelDial ends an attempt whose first message has not been written. That executes nothing, so it is done also where
-// the settings do not allow to cancel attempts.
+// cancelDial cancels an attempt whose first message has not been written in full. The endpoint has executed nothing, so
+// this is allowed even where the settings forbid canceling attempts.
 func (s *session) cancelDial() {
 	if s.attempt != nil && s.attempt.stage < stageSent {
 		s.cancelAttempt()
 	}
 }
 
-// receiveRequest takes in a parsed request. What no endpoint could serve is rejected here: each endpoint in turn would
-// reject it and count as failing.
+// receiveRequest validates a parsed request. It rejects requests that no endpoint could serve, because each endpoint in
+// turn would reject them and be counted as failing.
 func (s *session) receiveRequest(request *ClientRequest) {
 	p := s.proxy
 	s.untrackIdle()
@@ -173,7 +177,7 @@
 	_, known := p.findClass(request)
 	duplicate := p.sessions.byClientID[request.ID] != nil || p.restart.openAtPredecessor(request.ID)
 	switch {
-	case !known && p.starting(): // the fleet's configuration, which is not known yet, may have the class
+	case !known && p.starting(): // the fleet's configuration, which is not known yet, may contain the class
 		p.fleet.counters.RejectedNoLease++
 		s.buffered = nil
 		s.closeDownstream(p.protocol.RejectMessage(p.overloadDelay()))
@@ -191,8 +195,8 @@
 	}
 }
 
-// startRequest registers a request and has it admitted, or reattached where its connection was established before this
-// process started.
+// startRequest registers a request and admits it. If the connection was established before this process started, it is
+// reattached instead.
 func (s *session) startRequest(request *ClientRequest) {
 	p := s.proxy
 	p.counters.RequestsReceived++
@@ -214,10 +218,10 @@
 // downstreamHandler handles the events of a client's connection.
 type downstreamHandler struct{ *session }
 
-// Opened is part of evloop.Handler.
+// Opened implements evloop.Handler.
 func (h downstreamHandler) Opened() {}
 
-// Data is part of evloop.Handler.
+// Data implements evloop.Handler.
 func (h downstreamHandler) Data(b []byte) {
 	s := h.session
 	switch s.downstreamState() {
@@ -230,19 +234,20 @@
 		return
 	}
 	if !s.request.Resumed && s.request.PreviousEndpoint == "" {
-		// A client waits for the answer to its request. One that sends more, such as several requests at once, gets
-		// one definite answer for all of it.
+		// A client must wait for the answer to its request. A client that sends more before that, such as several
+		// requests at once, gets one final answer for all of it.
 		s.rejectUnexpectedData()
 		return
 	}
-	// Early data of a connection that was open elsewhere is kept until it is established here, within bounds.
+	// Early data of a connection that was open elsewhere is buffered until the connection is established here. Reading
+	// pauses at MaxMessageBytes.
 	s.buffered = append(s.buffered, b...)
 	if len(s.buffered) >= s.proxy.protocol.MaxMessageBytes() {
 		s.downstream.Pause()
 	}
 }
 
-// Ended is part of evloop.Handler.
+// Ended implements evloop.Handler.
 func (h downstreamHandler) Ended() {
 	s := h.session
 	switch s.downstreamState() {
@@ -251,33 +256,33 @@
 			s.closeDownstream(nil)
 			return
 		}
-		s.proxy.counters.MalformedMessages++ // a message was cut short
+		s.proxy.counters.MalformedMessages++ // the message is incomplete
 		s.rejectMalformed()
 	case stateRelaying:
 		s.onDownstreamEnded()
 	case stateAwaitingAnswer:
-		// Ending the sending side cancels the request, as it does for endpoints. A client that still reads receives
-		// an answer.
+		// A client cancels its request by shutting down its sending side; endpoints treat it the same way. A client
+		// that still reads receives an answer.
 		s.onClientDisconnected()
 	}
 }
 
-// HangupPending is part of evloop.HangupObserver. The client has ended its sending behind data that is not read before
-// the connection is established: nothing more may be sent for it.
+// HangupPending implements evloop.HangupObserver. The client has shut down its sending side after early data that is
+// not read until the connection is established. From then on nothing may be sent to an endpoint for this request.
 func (h downstreamHandler) HangupPending() {
 	if s := h.session; s.downstreamState() == stateAwaitingAnswer {
 		s.onClientDisconnected()
 	}
 }
 
-// Drained is part of evloop.Handler.
+// Drained implements evloop.Handler.
 func (h downstreamHandler) Drained() {
 	if a := h.attempt; a != nil && a.conn != nil {
 		a.conn.Resume()
 	}
 }
 
-// Closed is part of evloop.Handler.
+// Closed implements evloop.Handler.
 func (h downstreamHandler) Closed(error) {
 	s := h.session
 	s.untrackIdle()
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -6,9 +6,9 @@
 	"go.uber.org/zap"
 )
 
-// This file records the one outcome of each attempt and of each request.
+// Each attempt and each request has exactly one recorded outcome.
 
-// recordOutcome counts an attempt's outcome and hands it to the balancer.
+// recordOutcome counts an attempt's outcome and reports it to the balancer.
 func (a *attempt) recordOutcome(status balancer.Status) {
 	s := a.session
 	p := s.proxy
@@ -56,14 +56,15 @@
 	}
 }
 
-// forgetIfDone drops a session that has been answered and has no open connection.
+// forgetIfDone removes a session from the table once it has been answered and has no open connection.
 func (s *session) forgetIfDone() {
 	if s.answered && s.attempt == nil && s.downstream == nil {
 		s.proxy.sessions.remove(s)
 	}
 }
 
-// registerOutcomes has the outcomes of all classes and tenants in the settings printed from now on, at 0 at first.
+// registerOutcomes creates the outcome counters of all classes and tenants in the settings, so that telemetry prints
+// them from now on, starting at 0.
 func (p *Proxy) registerOutcomes() {
 	for _, class := range p.settings.Classes {
 		p.counters.Class(class.Name)
@@ -73,7 +74,7 @@
 	}
 }
 
-// tenantOutcomes are the outcomes of a tenant that the settings name; nil for any other.
+// tenantOutcomes returns the outcome counters of a tenant, or nil if the settings do not name the tenant.
 func (p *Proxy) tenantOutcomes(tenant string) *metrics.RequestOutcomes {
 	for i := range p.settings.Tenants {
 		if p.settings.Tenants[i].Name == tenant {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// countOutcome counts a request's final answer for its class and its tenant.
+// countOutcome counts a request's final answer for its class and its tenant, in the counter that outcome selects.
 func (s *session) countOutcome(outcome func(*metrics.RequestOutcomes) *metrics.Counter) {
 	for _, outcomes := range []*metrics.RequestOutcomes{s.classOutcomes, s.tenantOutcomes} {
 		if outcomes != nil {
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -7,17 +7,16 @@
 	"example.org/micafront/internal/metrics"
 )
 
-// This file admits requests and gives final answers. From admit on a request is owed one, which its pool's balancer
-// decides.
+// From admit on, every request must receive a final answer, which the balancer of its pool decides.
 
-// maxClientWait bounds the time that the settings give a client: sums with longer ones would overflow.
+// maxClientWait caps the wait time that the settings give a client, because sums with larger values would overflow.
 const maxClientWait = 24 * time.Hour
 
-// admit checks a request against the limits, routes it and hands it to its pool's balancer.
+// admit checks a request against the limits, routes it and passes it to its pool's balancer.
 func (s *session) admit() {
 	p := s.proxy
 	request := s.request
-	class, _ := p.findClass(request) // receiveRequest has found it
+	class, _ := p.findClass(request) // receiveRequest has checked that the class is known
 	s.retries.class = &class
 	if p.atRequestLimit() {
 		p.counters.ResourceExhausted++
@@ -28,7 +27,7 @@
 		s.reject(after, reasonPlacement)
 		return
 	}
-	if p.drainer.tooLate(p.loop.Now()) { // the answer could not come before this process exits
+	if p.drainer.tooLate(p.loop.Now()) { // the answer would not arrive before this process exits
 		s.reject(0, reasonStopping)
 		return
 	}
@@ -38,7 +37,7 @@
 	if !s.assignRoute() {
 		return
 	}
-	// Its time runs from when it came, however long it has waited to be read.
+	// The deadline counts from the request's arrival, even if the request waited to be read.
 	receivedAt := s.downstream.ReceivedAt()
 	s.deadline = p.drainer.boundDeadline(s.policyState.Deadline(receivedAt, receivedAt+request.Wait))
 	if request.Resumed {
@@ -47,14 +46,15 @@
 	p.events.handle(s.pool, s.balancerRequest())
 }
 
-// atRequestLimit reports whether requests are rejected before the balancer sees them.
+// atRequestLimit reports whether descriptors or open requests are at their limit, so that requests are rejected before
+// they reach the balancer.
 func (p *Proxy) atRequestLimit() bool {
 	maxOpen := p.settings.Limits.MaxOpen
 	return !p.limits.allows(requestReserve) || maxOpen > 0 && len(p.sessions.byID) > maxOpen
 }
 
-// findClass returns a request's class. One that the settings have dropped is still known for connections that were open
-// under it, at whatever process they come back.
+// findClass returns a request's class and whether it is known. A class that the settings no longer contain is still
+// known for connections that were opened under it, even if they return to another process.
 func (p *Proxy) findClass(request *ClientRequest) (class balancer.Class, known bool) {
 	for _, class := range p.settings.Classes {
 		if class.Name == request.Class {
@@ -67,7 +67,7 @@
 	return class, known
 }
 
-// balancerRequest is the request as the balancer sees it.
+// balancerRequest returns the request in the balancer's representation.
 func (s *session) balancerRequest() balancer.Request {
 	request := s.request
 	return balancer.Request{
@@ -85,8 +85,8 @@
 	}
 }
 
-// reject answers that the client may retry after some time, which promises that a retry is harmless; where it may not
-// be, the request fails. All rejections of requests that have been registered pass here.
+// reject tells the client that it may retry after retryAfter, which promises that a retry is harmless. If a retry could
+// do harm, the request fails instead. All rejections of registered requests go through reject.
 func (s *session) reject(retryAfter time.Duration, reason metrics.Reason) {
 	if !s.mayReject() {
 		s.fail(reason)
@@ -100,7 +100,7 @@
 	}
 }
 
-// fail answers without any promise.
+// fail tells the client that its request failed, without a promise that a retry is harmless.
 func (s *session) fail(reason metrics.Reason) {
 	if !s.answered {
 		s.proxy.counters.Failed++
@@ -110,7 +110,7 @@
 	}
 }
 
-// respond gives a request its final answer.
+// respond sends a request's final answer.
 func (s *session) respond(message []byte) {
 	s.answered = true
 	s.setUsage(usesNothing)
@@ -119,8 +119,9 @@
 	s.forgetIfDone()
 }
 
-// recordDisconnect ends a request whose client disconnected before its answer. A client that has only ended its sending
-// still reads the answer: a retry is harmless where no attempt has been made, else there is no promise.
+// recordDisconnect ends a request whose client disconnected before its answer. A client that has only shut down its
+// sending side still reads the answer. If no attempt has been made, the answer promises that a retry is harmless;
+// otherwise it promises nothing.
 func (s *session) recordDisconnect() {
 	if s.answered {
 		return
@@ -135,9 +136,9 @@
 	s.cancelRequest()
 }
 
-// cancelRequest cancels what is under way for a request that was answered without the balancer's decision.
+// cancelRequest cancels the attempts for a request that was answered without a decision of the balancer.
 func (s *session) cancelRequest() {
-	if s.deadline == 0 { // the balancer does not know a connection that reattaches
+	if s.deadline == 0 { // the balancer does not know a connection that is being reattached
 		s.cancelAttempt()
 		return
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -8,29 +8,30 @@
 	"example.org/micafront/internal/metrics"
 )
 
-// stage is how far an attempt has come. It only goes forward, and what an event means follows from it alone.
+// stage is the progress of an attempt. It only advances, and it alone determines what an event means.
 type stage int
 
 const (
 	stageDialing     stage = iota // nothing has been written
-	stageWriting                  // the first message has not been written in full: it cannot be executed
-	stageSent                     // it has: it may have been executed
+	stageWriting                  // the first message has not been written in full, so it cannot be executed
+	stageSent                     // the first message has been written in full and may have been executed
 	stageEstablished              // the endpoint has accepted the connection
 	stageEnded                    // its outcome has been recorded
 )
 
-// attempt is one try to have a request served by an endpoint, and the connection to it. Each ends in exactly one
-// outcome. It handles the connection's events until that is established; then a relayHandler does.
+// attempt is one try to have an endpoint serve a request, and the connection to that endpoint. Each attempt ends in
+// exactly one outcome. The attempt handles the connection's events until the connection is established; then a
+// relayHandler does.
 type attempt struct {
 	session     *session
-	number      int // among the session's attempts in its pool
+	number      int // position among the session's attempts in its pool
 	endpoint    *endpoint
 	conn        *evloop.Conn
 	stage       stage
 	startedAt   time.Duration
-	deadline    time.Duration // until when an answer is waited for
-	lastMessage MessageKind   // of the endpoint's
-	partial     []byte        // the start of a message of the endpoint's whose rest has not come
+	deadline    time.Duration // the latest time for an answer
+	lastMessage MessageKind   // the kind of the endpoint's latest message
+	partial     []byte        // the start of an incomplete message of the endpoint
 	timer       *evloop.Timer
 }
 
@@ -59,7 +60,7 @@
 	if action.Timeout != 0 {
 		a.deadline = min(now+action.Timeout, s.deadline)
 	}
-	// There are never two attempts at once, and none after the deadline: such a one is reported as not sent.
+	// A session has at most one attempt at a time, and none after its deadline. Any other is reported as not sent.
 	overLimit := s.attempt != nil || s.attemptCount > p.settings.Limits.Attempts
 	if overLimit || a.deadline <= now || !a.mayWrite() {
 		a.stage = stageEnded
@@ -80,8 +81,8 @@
 	p.loop.OnceCaughtUp(a.dialAfterHoldUp)
 }
 
-// dialAfterHoldUp connects to the endpoint once the ends of clients and the deadlines that came while the loop was held up have
-// been handled, unless they have made the attempt pointless.
+// dialAfterHoldUp connects to the endpoint after a hold-up of the loop. By then the client disconnects and deadlines of
+// the hold-up have been handled, and may have made the attempt pointless.
 func (a *attempt) dialAfterHoldUp() {
 	s := a.session
 	if s.downstream != nil {
@@ -97,9 +98,9 @@
 	a.dial()
 }
 
-// mayWrite reports whether the first message may be written now. The balancer decided so when it sent the attempt;
-// since then the client may have disconnected, the endpoint may have begun to drain, and the time in which a repeat is
-// recognized may have passed.
+// mayWrite reports whether the first message may be written now. The balancer allowed it when it sent the attempt.
+// Since then the client may have disconnected, the endpoint may have started to drain, and the time in which endpoints
+// recognize a repeated request may have ended.
 func (a *attempt) mayWrite() bool {
 	s := a.session
 	now := s.proxy.loop.Now()
@@ -109,11 +110,11 @@
 	if a.endpoint.drainingSince == 0 || s.request.PreviousEndpoint != "" {
 		return true
 	}
-	// A resumed connection is open at a draining endpoint already, and may go on there for a while.
+	// A resumed connection is already open at the draining endpoint and may continue there for the grace period.
 	return s.request.Resumed && now-a.endpoint.drainingSince < s.proxy.settings.Rules.DrainGrace
 }
 
-// dial connects to the endpoint, within the settings' time.
+// dial connects to the endpoint, within the connect timeout of the settings.
 func (a *attempt) dial() {
 	p := a.session.proxy
 	if !p.limits.allows(internalReserve) {
@@ -138,8 +139,8 @@
 	a.timer = p.loop.After(timeout, func() { a.onDialTimeout(status) })
 }
 
-// onDialTimeout ends an attempt whose connection has not come up in time. After a hold-up it may have, or may have been refused:
-// the loop looks first.
+// onDialTimeout ends an attempt whose connection was not set up in time. After a hold-up of the loop the connection may
+// already be set up or refused, so the loop handles pending events first.
 func (a *attempt) onDialTimeout(status balancer.Status) {
 	a.session.proxy.loop.OnceCaughtUp(func() {
 		if a.stage == stageDialing {
@@ -148,7 +149,7 @@
 	})
 }
 
-// dialStatus tells an endpoint that refuses connections from a failure of this host.
+// dialStatus distinguishes an endpoint that refuses connections from a failure of this host.
 func dialStatus(err error) balancer.Status {
 	if evloop.IsConnectionRefused(err) {
 		return balancer.ConnectFailed
@@ -156,7 +157,7 @@
 	return balancer.NotSent
 }
 
-// Opened is part of evloop.Handler. What may have changed while the endpoint was dialed is checked again.
+// Opened implements evloop.Handler. It checks again what may have changed while the endpoint was dialed.
 func (a *attempt) Opened() {
 	s := a.session
 	p := s.proxy
@@ -167,11 +168,11 @@
 		return
 	}
 	remaining := a.deadline - p.loop.Now()
-	if remaining <= 0 { // the timer is due later in this turn
+	if remaining <= 0 { // the timer fires later in this turn
 		a.end(balancer.ConnectFailed)
 		return
 	}
-	if s.answered { // nobody waits for it, and the settings may not allow to cancel it earlier
+	if s.answered { // no client waits for it; the settings may have forbidden canceling it earlier
 		a.end(balancer.Canceled)
 		return
 	}
@@ -188,8 +189,9 @@
 	p.loop.Cancel(a.timer)
 	a.timer = p.loop.After(remaining, a.onTimeout)
 	if a.conn.HungUp() {
-		// The endpoint seems to have ended the connection at once, and has executed nothing: what it sent is read first,
-		// in this turn. Where nothing comes, the event was of a closed connection that had the same descriptor.
+		// The endpoint appears to have closed the connection at once without executing anything. Data that it sent is
+		// read first, in this turn. If there is none, the event belonged to a closed connection that had the same
+		// descriptor.
 		p.loop.After(0, func() {
 			if s.downstream != nil {
 				s.downstream.CheckPeer() // it may have disconnected since
@@ -201,7 +203,7 @@
 	a.writeRequest()
 }
 
-// writeRequest writes the first message.
+// writeRequest writes the first message, unless the attempt has ended or may no longer write it.
 func (a *attempt) writeRequest() {
 	p := a.session.proxy
 	remaining := a.deadline - p.loop.Now()
@@ -219,7 +221,8 @@
 	}
 }
 
-// checkWritten notes when the first message has been written in full: from then on it may have been executed.
+// checkWritten advances the attempt to stageSent once the first message has been written in full. From then on it may
+// have been executed.
 func (a *attempt) checkWritten() {
 	if a.stage == stageWriting && a.conn.Sent() {
 		a.stage = stageSent
@@ -227,8 +230,8 @@
 	}
 }
 
-// onTimeout ends an attempt that got no answer in time. After a hold-up the answer may wait to be read: the endpoint is not to
-// blame then.
+// onTimeout ends an attempt that got no answer in time. After a hold-up of the loop the answer may be waiting to be
+// read. The loop handles pending events first, so that the endpoint is not blamed.
 func (a *attempt) onTimeout() {
 	a.session.proxy.loop.OnceCaughtUp(func() {
 		if a.stage == stageWriting || a.stage == stageSent {
@@ -237,23 +240,23 @@
 	})
 }
 
-// Drained is part of evloop.Handler.
+// Drained implements evloop.Handler.
 func (a *attempt) Drained() { a.checkWritten() }
 
-// Ended is part of evloop.Handler.
+// Ended implements evloop.Handler.
 func (a *attempt) Ended() { a.endUnanswered(balancer.Reset) }
 
-// Closed is part of evloop.Handler.
+// Closed implements evloop.Handler.
 func (a *attempt) Closed(error) { a.endUnanswered(balancer.Reset) }
 
-// Data is part of evloop.Handler.
+// Data implements evloop.Handler.
 func (a *attempt) Data(b []byte) {
 	a.partial = append(a.partial, b...)
 	rest := a.handleMessages(a.partial)
 	switch {
 	case a.stage == stageEstablished:
 		a.partial = nil
-		a.relayDownstream(rest) // from the message on that established it
+		a.relayDownstream(rest) // rest starts with the message that established the connection
 	case a.stage == stageEnded:
 	case len(rest) > a.session.proxy.protocol.MaxMessageBytes():
 		a.session.proxy.counters.OversizedMessages++
@@ -263,14 +266,15 @@
 	}
 }
 
-// handleMessages handles the complete messages of b, up to one that is too long, that establishes the connection or that
-// ends the attempt. It returns the rest of b, which begins with the message that established the connection, if one did.
+// handleMessages handles the complete messages of b. It stops at a message that is too long, that establishes the
+// connection or that ends the attempt. It returns the rest of b, which starts with the message that established the
+// connection, if one did.
 func (a *attempt) handleMessages(b []byte) []byte {
 	protocol := a.session.proxy.protocol
 	complete := protocol.CompleteBytes(b)
 	for complete > 0 && a.stage != stageEnded {
 		message, rest := protocol.NextMessage(b)
-		if len(message) > protocol.MaxMessageBytes() { // however many pieces it came in
+		if len(message) > protocol.MaxMessageBytes() { // even if it arrived in several pieces
 			break
 		}
 		complete -= len(message)
@@ -283,7 +287,7 @@
 	return b
 }
 
-// onMessage handles a message of an endpoint at which the connection is not established yet.
+// onMessage handles a message that an endpoint sends before the connection is established.
 func (a *attempt) onMessage(message []byte) {
 	s := a.session
 	p := s.proxy
@@ -295,7 +299,7 @@
 	case a.lastMessage == MessageOther:
 		p.counters.MalformedMessages++
 		a.endUnanswered(balancer.AppError)
-	case a.stage < stageSent: // it cannot be an answer
+	case a.stage < stageSent: // the request is not written in full, so this cannot be its answer
 		p.counters.MalformedMessages++
 		a.end(balancer.ConnectFailed)
 	case a.lastMessage == MessageError:
@@ -305,7 +309,7 @@
 	case a.lastMessage == MessageBye:
 		s.complete(message)
 		a.end(balancer.OK)
-	case s.answered: // the client may have disconnected where the settings do not allow to cancel attempts
+	case s.answered: // the client may have disconnected while the settings forbid canceling attempts
 		a.end(balancer.Canceled)
 	default:
 		s.retries = retryGuard{}
@@ -313,7 +317,7 @@
 	}
 }
 
-// complete answers a request with an endpoint's only message.
+// complete answers a request with the only message that the endpoint sent.
 func (s *session) complete(message []byte) {
 	if s.answered {
 		return
@@ -325,19 +329,20 @@
 	s.closeDownstream(message)
 }
 
-// mayCancel reports whether a balancer's Cancel of the attempt with that number is for this one.
+// mayCancel reports whether a balancer's Cancel of the attempt with that number applies to this attempt.
 func (a *attempt) mayCancel(number int) bool {
 	return a.number == number && a.stage != stageEstablished
 }
 
-// cancelAttempt ends the attempt that is under way, if one is. One that still dials never writes its message.
+// cancelAttempt cancels the attempt in progress, if any. An attempt that is still dialing never writes its message.
 func (s *session) cancelAttempt() {
 	if s.attempt != nil {
 		s.attempt.end(balancer.Canceled)
 	}
 }
 
-// endUnanswered ends an attempt that got no answer. status is that of one that may have been executed.
+// endUnanswered ends an attempt that got no answer: with status if it may have been executed, otherwise with
+// ConnectFailed.
 func (a *attempt) endUnanswered(status balancer.Status) {
 	if a.stage < stageSent {
 		status = balancer.ConnectFailed
@@ -345,7 +350,8 @@
 	a.end(status)
 }
 
-// end closes the attempt's connection before the balancer sees its outcome, since that may send the next one at once.
+// end closes the attempt's connection and then reports the outcome to the balancer, which may start the next attempt at
+// once.
 func (a *attempt) end(status balancer.Status) {
 	if a.stage == stageEnded {
 		return
@@ -360,7 +366,7 @@
 	case wasEstablished:
 		a.conn.Close()
 	default:
-		a.conn.Drop() // a message that arrived later might be executed beside that of the next attempt
+		a.conn.Drop() // a message that arrived later might be executed in addition to the next attempt's
 	}
 	s.attempt = nil
 	if s.request != nil && s.request.PreviousEndpoint != "" {
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -17,7 +17,7 @@
 	event balancer.Event
 }
 
-// eventQueue hands events to the pools' balancers and has the actions that they return executed, in order.
+// eventQueue passes events to the pools' balancers and executes the actions that they return, in order.
 type eventQueue struct {
 	loop        *evloop.Loop
 	executor    actionExecutor
@@ -25,14 +25,15 @@
 	dispatching bool
 }
 
-// handle hands an event to a pool's balancer. An event that is caused by an action is queued behind those that wait, so
-// that no balancer is called from within a call of it.
+// handle passes an event to a pool's balancer. An event caused by an action is queued behind the pending events, so
+// that no balancer is called while it is handling another event.
 func (q *eventQueue) handle(pool *endpointPool, event balancer.Event) {
 	q.events = append(q.events, queuedEvent{pool, event})
 	q.executeActions(pool, nil)
 }
 
-// executeActions executes actions that a balancer returned otherwise than for an event, and then handles the queued events.
+// executeActions executes actions that a balancer returned outside of event handling, and then handles the queued
+// events.
 func (q *eventQueue) executeActions(pool *endpointPool, actions []balancer.Action) {
 	if q.dispatching {
 		return
@@ -54,7 +55,7 @@
 	q.dispatching = false
 }
 
-// execute executes an action of a pool's balancer. One for a session that is gone by now is dropped.
+// execute executes an action of a pool's balancer. An action for a session that no longer exists is ignored.
 func (p *Proxy) execute(pool *endpointPool, action balancer.Action) {
 	switch action := action.(type) {
 	case balancer.Send:
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -7,42 +7,44 @@
 	"example.org/micafront/internal/discovery"
 )
 
-// endpoint is an upstream endpoint: its entry in the endpoint list, and what its connections show.
+// endpoint is an upstream endpoint: its entry in the endpoint list, and what the proxy has learned from its
+// connections.
 type endpoint struct {
 	id    string
 	addr  string
 	zone  string
 	entry discovery.Entry
 
-	announcedStartMs int64 // its start as discovery gave it; that of entry is by the loop's clock
+	announcedStartMs int64 // start time as service discovery announced it; entry has it on the loop's clock
 	lastListedIn     listSequence
-	drainingSince    time.Duration  // when it was first known to drain, or to be removed; 0: it takes requests
-	loadQuery        *loadQueryConn // nil: none is open
+	drainingSince    time.Duration  // when it was first known to drain or to be removed; 0 if it accepts requests
+	loadQuery        *loadQueryConn // nil if none is open
 
 	latency endpointLatency
 }
 
-// endpointLatency is what is known of an endpoint's latency.
+// endpointLatency is the state for latency reports about an endpoint.
 type endpointLatency struct {
-	samples        []time.Duration // of messages, since the last report
-	reportedSlow   bool            // by the last report
-	selfReportedAt time.Duration   // when it last reported its latency by itself
+	samples        []time.Duration // latencies of messages since the last report
+	reportedSlow   bool            // whether the last report found the endpoint slow
+	selfReportedAt time.Duration   // when the endpoint last reported its own latency
 }
 
-// markDraining notes that the endpoint takes no new requests.
+// markDraining records that the endpoint accepts no new requests.
 func (e *endpoint) markDraining(now time.Duration) {
 	if e.drainingSince == 0 {
 		e.drainingSince = now
 	}
 }
 
-// endpointTable are the endpoints of the current list by ID. A connection keeps its endpoint when that is removed.
+// endpointTable maps IDs to the endpoints of the current list. A connection keeps its endpoint after the endpoint is
+// removed.
 type endpointTable map[string]*endpoint
 
 // listSequence numbers the endpoint lists in the order in which they are applied.
 type listSequence int64
 
-// apply brings the table up to a list, or to changes of it.
+// apply updates the table to a full list, or by the changes that a delta contains.
 func (t endpointTable) apply(list *discovery.List, announced announcedStarts, kind balancer.ListKind, now time.Duration, sequence listSequence) {
 	for i := range list.Instances {
 		t.applyEntry(&list.Instances[i], announced[i], now, sequence)
