--- a/internal/proxy/idle_conns.go
+++ b/internal/proxy/idle_conns.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// defaultMaxIdle is how many idle connections there may be where the configuration does not limit descriptors.
-	defaultMaxIdle = 4096
-	// maxIdleDivisor is the part of the descriptors that idle connections may have, as a divisor: clients with requests
-	// may need a third and their endpoints another.
-	maxIdleDivisor = 6
-	minMaxIdle     = 8
-	// uncountedDivisor is the part of the limit, as a divisor, up to which lingering connections do not count.
-	uncountedDivisor = 4
+	// defaultIdleLimit is the limit on idle connections where the configuration does not limit descriptors.
+	defaultIdleLimit = 4096
+	// idleLimitDivisor is what the limit on descriptors is divided by to get the limit on idle connections. Clients
+	// with requests may need a third of the descriptors and their connections to endpoints another third.
+	idleLimitDivisor = 6
+	minIdleLimit     = 8
+	// lingeringAllowanceDivisor is what the limit on idle connections is divided by to get the number of lingering
+	// connections that do not count towards it.
+	lingeringAllowanceDivisor = 4
 )
 
-// lingerBounds bound how long a peer that has had its last message may go on sending, and how much: tens of megabytes
-// may be under way.
+// lingerBounds limit how long and how much a peer may send after its last message was sent to it. Tens of megabytes may
+// be in transit.
 var lingerBounds = evloop.Bounds{Idle: time.Second, Total: 5 * time.Second, Bytes: 64 << 20}
 
-// idleConns are the client connections that have no request: those that have not sent one yet, and those that linger
-// after their last message. Both come in floods and must leave descriptors to requests: beyond a limit the oldest are
-// closed.
+// idleConns holds the client connections without a request: those that have not sent one yet, and those that linger
+// after their last message. Both kinds come in floods and must leave descriptors for requests. Beyond a limit the
+// oldest are closed.
 type idleConns struct {
 	limits    *descriptorLimit
 	counters  *metrics.Counters
@@ -35,29 +36,30 @@
 
 func (c *idleConns) limit() int {
 	if c.limits.max == 0 {
-		return defaultMaxIdle
+		return defaultIdleLimit
 	}
-	return max(c.limits.max/maxIdleDivisor, minMaxIdle)
+	return max(c.limits.max/idleLimitDivisor, minIdleLimit)
 }
 
-// uncountedLingering is how many lingering connections do not count, so that an evicted client receives its answer.
-func (c *idleConns) uncountedLingering() int { return c.limit() / uncountedDivisor }
+// lingeringAllowance returns how many lingering connections do not count towards the limit, so that an evicted client
+// receives its answer.
+func (c *idleConns) lingeringAllowance() int { return c.limit() / lingeringAllowanceDivisor }
 
-// count is how many connections count towards the limit.
+// count returns how many connections count towards the limit.
 func (c *idleConns) count() int {
-	return c.waiting.Len() + max(c.lingering.Len()-c.uncountedLingering(), 0)
+	return c.waiting.Len() + max(c.lingering.Len()-c.lingeringAllowance(), 0)
 }
 
-// add takes in a session that has just been accepted, and evicts others where that is one too many.
+// add tracks a session that has just been accepted. If that exceeds the limit, it evicts others.
 func (c *idleConns) add(s *session) {
 	s.handshake.idleElement = c.waiting.PushBack(s)
 	if oldest := c.oldestWaiting(); c.count() > c.limit() && oldest != s {
-		oldest.downstream.CheckPeer() // its request may have come just now
+		oldest.downstream.CheckPeer() // its request may just have arrived
 	}
 	c.evictOldest()
 }
 
-// remove takes out a session that has sent its request or is closed.
+// remove stops tracking a session that has sent its request or is closed.
 func (c *idleConns) remove(s *session) {
 	if s.handshake.idleElement != nil {
 		c.waiting.Remove(s.handshake.idleElement)
@@ -65,7 +67,7 @@
 	}
 }
 
-// oldestWaiting is the session that has waited longest without a request; nil if there is none.
+// oldestWaiting returns the session that has been open longest without a request, or nil if there is none.
 func (c *idleConns) oldestWaiting() *session {
 	if oldest := c.waiting.Front(); oldest != nil {
 		return oldest.Value.(*session)
@@ -73,18 +75,18 @@
 	return nil
 }
 
-// evictOldest closes the oldest connections until the limit is kept. Lingering ones go first, unless most of them wait:
-// a client that has just connected must not make way for those.
+// evictOldest closes the oldest connections until the limit is met. Lingering connections go first, so that they do not
+// displace a client that has just connected, unless more than half of the limit is taken by sessions without a request.
 func (c *idleConns) evictOldest() {
 	limit := c.limit()
-	uncounted := c.uncountedLingering()
+	allowance := c.lingeringAllowance()
 	for c.count() > limit {
 		c.counters.Evicted++
 		oldest := c.oldestWaiting()
-		if oldest != nil && (c.lingering.Len() <= uncounted || c.waiting.Len() > limit/2) {
+		if oldest != nil && (c.lingering.Len() <= allowance || c.waiting.Len() > limit/2) {
 			oldest.evict()
 		}
-		if c.lingering.Len() > uncounted {
+		if c.lingering.Len() > allowance {
 			c.lingering.Front().Value.(*evloop.Lingering).End()
 		}
 	}
@@ -99,8 +101,8 @@
 	}
 }
 
-// expectsRequest reports whether a request may be on its way. A client that has only sent readiness checks, or nothing
-// for long, is not waited for.
+// expectsRequest reports whether a request may be in transit. A client that has sent only readiness checks, or nothing
+// for idleBeforeClose, is not waited for.
 func (c *idleConns) expectsRequest(now time.Duration) bool {
 	for element := c.waiting.Front(); element != nil; element = element.Next() {
 		s := element.Value.(*session)
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -9,26 +9,28 @@
 	"example.org/micafront/balancer"
 )
 
-// This file watches established connections: it closes those whose endpoint has become unresponsive or whose peer does
-// not read, and reports endpoints' latencies to the balancers.
+// A sweep checks the established connections at intervals. It closes those whose endpoint has become unresponsive or
+// whose peer does not read, and reports the endpoints' latencies to the balancers.
 
 const (
 	sweepInterval         = 250 * time.Millisecond
 	latencyReportInterval = time.Second
-	// selfReportWindow is how long after an endpoint's own report of its latency none is derived for it.
+	// selfReportWindow is how long after an endpoint's own latency report the proxy derives none for it.
 	selfReportWindow = latencyReportInterval * 3 / 2
-	// A connection on which nothing comes back is closed within 7 s of its endpoint becoming unresponsive: clients send
-	// every 2 s, the oldest unanswered message may be as old as this, and a sweep is due within sweepInterval.
+	// unresponsiveAfter is the age of the oldest unanswered message at which a connection is closed. The close follows
+	// within 7 s of the endpoint becoming unresponsive, because clients send every 2 s and a sweep is due within
+	// sweepInterval.
 	unresponsiveAfter = 4 * time.Second
 	stalledTimeout    = 10 * time.Second
-	// slowDivisor is the part of the shortest message objective, as a divisor, from which on an endpoint is slow.
+	// slowDivisor is what the shortest message objective is divided by to get the latency above which an endpoint is
+	// slow.
 	slowDivisor = 3
 )
 
-// latencyTracker is what latencies are derived from, beside the endpoints' own samples.
+// latencyTracker holds the data from which latencies are derived, in addition to the endpoints' own samples.
 type latencyTracker struct {
 	zoneFloor   map[string]time.Duration // the lowest latency seen in a zone, which is that of the network
-	withSamples map[*endpoint]bool       // that have samples
+	withSamples map[*endpoint]bool       // the endpoints that have samples
 	reportedAt  time.Duration
 }
 
@@ -48,14 +50,14 @@
 	t.withSamples[e] = true
 }
 
-// drainSampled returns the endpoints that have samples, by ID, and forgets which these are.
+// drainSampled returns the endpoints that have samples, sorted by ID, and clears the set of these endpoints.
 func (t *latencyTracker) drainSampled() []*endpoint {
 	sampled := slices.SortedFunc(maps.Keys(t.withSamples), func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
 	clear(t.withSamples)
 	return sampled
 }
 
-// medianLatency returns the median of an endpoint's samples less its zone's floor, and drops the samples.
+// medianLatency returns the median of an endpoint's samples minus its zone's floor, and clears the samples.
 func (t *latencyTracker) medianLatency(e *endpoint) time.Duration {
 	slices.Sort(e.latency.samples)
 	median := e.latency.samples[len(e.latency.samples)/2]
@@ -63,7 +65,8 @@
 	return max(median-t.zoneFloor[e.zone], 0)
 }
 
-// observeLatency takes the latency of a message that has been answered. Answers come in the order of the messages.
+// observeLatency records the latency of the oldest unanswered message, whose answer has arrived. Answers arrive in the
+// order of the messages.
 func (s *session) observeLatency() {
 	if s.relay.unansweredSince == 0 {
 		return
@@ -73,17 +76,17 @@
 	s.proxy.latency.observe(s.attempt.endpoint, latency)
 }
 
-// sweep checks all established connections, every sweepInterval.
+// sweep checks all established connections and schedules itself again after sweepInterval.
 func (p *Proxy) sweep() {
 	p.loop.After(sweepInterval, p.sweep)
-	p.loop.OnceCaughtUp(p.checkConnections) // answers that wait to be read are no sign of an unresponsive endpoint
+	p.loop.OnceCaughtUp(p.checkConnections) // unread answers must not make an endpoint look unresponsive
 }
 
 func (p *Proxy) checkConnections() {
 	p.loop.NameTurn(turnSweep)
 	now := p.loop.Now()
 	for _, s := range slices.Clone(p.sessions.established) {
-		if s.downstreamState() == stateRelaying { // else it was closed with one before it
+		if s.downstreamState() == stateRelaying { // otherwise it was closed while an earlier one was checked
 			s.checkEstablished(now)
 		}
 	}
@@ -107,14 +110,14 @@
 		s.relay.stalledSince = now
 	case now-s.relay.stalledSince >= stalledTimeout:
 		p.counters.SlowPeers++
-		s.migrate(balancer.Canceled) // where the endpoint is the slow peer, the client still reads
+		s.migrate(balancer.Canceled) // if the endpoint is the slow peer, the client still reads the request to migrate
 	}
 }
 
-// reportLatencies derives a latency report, as endpoints send them by themselves, from the relayed messages of those
-// that do not, unresponsive ones above all. Each endpoint is reported whose messages take over a third of the shortest
-// objective, and once more when they no longer do. The latency is the median of the samples since the last report, less
-// the lowest latency of the endpoint's zone; unanswered messages count with their age.
+// reportLatencies derives latency reports from relayed messages, for the endpoints that do not report their own latency
+// and above all for unresponsive ones. It reports each endpoint whose messages take more than a third of the shortest
+// objective, and once more when they no longer do. The latency is the median of the samples since the last report minus
+// the lowest latency of the endpoint's zone. Unanswered messages count with their age.
 func (p *Proxy) reportLatencies(now time.Duration) {
 	objective := p.minMessageObjective()
 	if objective == 0 {
@@ -124,7 +127,7 @@
 		return
 	}
 	slow := objective / slowDivisor
-	sessions := map[*endpoint]*session{} // one of each endpoint's
+	sessions := map[*endpoint]*session{} // one session of each endpoint
 	for _, s := range p.sessions.established {
 		e := s.attempt.endpoint
 		sessions[e] = s
@@ -142,8 +145,8 @@
 	}
 }
 
-// reportLatency reports an endpoint's latency to the balancer of the pool where s, one of its sessions, is: if it is slow,
-// or was by the last report.
+// reportLatency reports an endpoint's latency if the endpoint is slow or was slow in the last report. The report goes
+// to the balancer of the pool of s, one of the endpoint's sessions.
 func (p *Proxy) reportLatency(now time.Duration, e *endpoint, s *session, slow time.Duration) {
 	latency := p.latency.medianLatency(e)
 	isSlow := latency > slow
@@ -155,7 +158,7 @@
 	e.latency.reportedSlow = isSlow
 }
 
-// minMessageObjective is the shortest of the classes' message objectives; 0: none has one.
+// minMessageObjective returns the shortest message objective of the classes, or 0 if none has one.
 func (p *Proxy) minMessageObjective() time.Duration {
 	var shortest time.Duration
 	for _, class := range p.settings.Classes {
--- a/internal/proxy/line_protocol.go
+++ b/internal/proxy/line_protocol.go
@@ -8,7 +8,7 @@
 	"example.org/micafront/internal/lineprotocol"
 )
 
-// LineProtocol is the protocol of package lineprotocol: a message is a line.
+// LineProtocol implements Protocol with package lineprotocol, in which a message is a line.
 type LineProtocol struct{}
 
 // ParseHandshake implements Protocol.
@@ -63,7 +63,7 @@
 	return message, rest
 }
 
-// messageKinds are the meanings of endpoints' lines; of any other it is MessageOther.
+// messageKinds maps the endpoints' answers to message kinds. Every other line is MessageOther.
 var messageKinds = map[lineprotocol.Answer]MessageKind{
 	lineprotocol.Established: MessageEstablished,
 	lineprotocol.Finished:    MessageBye,
--- a/internal/proxy/load_query.go
+++ b/internal/proxy/load_query.go
@@ -7,19 +7,20 @@
 	"example.org/micafront/internal/evloop"
 )
 
-// loadQueryIdleTimeout is how long a connection for load queries is kept without one: endpoints are removed, or drain.
+// loadQueryIdleTimeout is how long a connection for load queries stays open without a query. Endpoints that drain or
+// are removed are no longer queried.
 const loadQueryIdleTimeout = 15 * time.Second
 
-// loadQueriesPerTurn bounds how many queries one turn begins: each may dial.
+// loadQueriesPerTurn limits how many queries one turn of the event loop starts, because each may dial.
 const loadQueriesPerTurn = 16
 
-// pendingLoadQuery is a query that has yet to begin.
+// pendingLoadQuery is a load query that has not started.
 type pendingLoadQuery struct {
 	pool       *endpointPool
 	endpointID string
 }
 
-// loadQueryQueue begins the balancers' load queries a few a turn. They are asked of many endpoints at once.
+// loadQueryQueue starts the balancers' load queries a few per turn, because balancers query many endpoints at once.
 type loadQueryQueue struct {
 	loop      *evloop.Loop
 	begin     func(pool *endpointPool, endpointID string)
@@ -27,7 +28,7 @@
 	scheduled bool
 }
 
-// add begins a query in a later turn.
+// add schedules a query for a later turn.
 func (q *loadQueryQueue) add(pool *endpointPool, endpointID string) {
 	q.pending = append(q.pending, pendingLoadQuery{pool, endpointID})
 	q.schedule()
@@ -54,20 +55,20 @@
 	}
 }
 
-// loadQueryConn is the connection for the balancers' queries of one endpoint's load. It is kept between queries, since
-// setting one up costs an endpoint more than an answer does. There is one query at a time.
+// loadQueryConn is the connection for the balancers' queries of one endpoint's load. It stays open between queries,
+// because a new connection costs an endpoint more than an answer does. At most one query is in progress.
 type loadQueryConn struct {
 	proxy     *Proxy
 	endpoint  *endpoint
 	conn      *evloop.Conn
 	connected bool
-	partial   []byte        // the start of an answer whose rest has not come
-	pool      *endpointPool // whose query waits for its answer; nil: none does
+	partial   []byte        // the start of an incomplete answer
+	pool      *endpointPool // the pool whose query is in progress; nil if none is
 	sentAt    time.Duration
-	timer     *evloop.Timer // until the answer is due, then until the connection has been idle for too long
+	timer     *evloop.Timer // closes the connection if an answer is overdue, or after loadQueryIdleTimeout without a query
 }
 
-// queryLoad executes a balancer's HealthCheck. Each ends in one HealthCheckResult.
+// queryLoad executes a balancer's HealthCheck. Each HealthCheck ends in exactly one HealthCheckResult.
 func (p *Proxy) queryLoad(pool *endpointPool, endpointID string) {
 	e := p.endpoints[endpointID]
 	if e == nil || !p.canQuery(e) {
@@ -88,14 +89,15 @@
 	}
 	c.pool = pool
 	c.sentAt = p.loop.Now()
-	// Twice the time to connect is enough to connect and for an answer that does not wait in the endpoint's queue.
+	// Twice the connect timeout is enough to connect and to receive an answer that does not wait in the endpoint's
+	// queue.
 	c.setTimeout(2*p.settings.Limits.ConnectTimeout, balancer.Timeout)
 	if c.connected {
 		c.send()
 	}
 }
 
-// canQuery reports whether no query of the endpoint is under way, and there is a connection or a descriptor for one.
+// canQuery reports whether the endpoint has no query in progress and has a connection, or a descriptor is left for one.
 func (p *Proxy) canQuery(e *endpoint) bool {
 	if e.loadQuery == nil {
 		return p.limits.allows(requestReserve)
@@ -103,7 +105,7 @@
 	return e.loadQuery.pool == nil
 }
 
-// setTimeout closes the connection after a time. status is that of the query which waits then.
+// setTimeout closes the connection after timeout. status is the result of a query that is then in progress.
 func (c *loadQueryConn) setTimeout(timeout time.Duration, status balancer.Status) {
 	c.proxy.loop.Cancel(c.timer)
 	c.timer = c.proxy.loop.After(timeout, func() { c.close(status) })
@@ -114,13 +116,13 @@
 	c.conn.Write(c.proxy.protocol.LoadQuery())
 }
 
-// Opened is part of evloop.Handler.
+// Opened implements evloop.Handler.
 func (c *loadQueryConn) Opened() {
 	c.connected = true
 	c.send()
 }
 
-// Data is part of evloop.Handler.
+// Data implements evloop.Handler.
 func (c *loadQueryConn) Data(b []byte) {
 	p := c.proxy
 	c.partial = append(c.partial, b...)
@@ -128,7 +130,7 @@
 		var message []byte
 		message, c.partial = p.protocol.NextMessage(c.partial)
 		load, ok := p.protocol.ParseLoadReport(message)
-		if !ok || c.pool == nil { // the endpoint does not answer load queries, or answers unasked
+		if !ok || c.pool == nil { // the endpoint does not support load queries, or sent data without a query
 			c.close(balancer.AppError)
 			return
 		}
@@ -144,13 +146,13 @@
 	}
 }
 
-// Ended is part of evloop.Handler.
+// Ended implements evloop.Handler.
 func (c *loadQueryConn) Ended() { c.close(balancer.Reset) }
 
-// Drained is part of evloop.Handler.
+// Drained implements evloop.Handler.
 func (c *loadQueryConn) Drained() {}
 
-// Closed is part of evloop.Handler.
+// Closed implements evloop.Handler.
 func (c *loadQueryConn) Closed(error) {
 	if c.connected {
 		c.close(balancer.Reset)
@@ -161,7 +163,8 @@
 
 func (c *loadQueryConn) isOpen() bool { return c.endpoint.loadQuery == c }
 
-// close closes the connection and reports the query that waits, if one does. The next query opens another connection.
+// close closes the connection and reports the result of the query in progress, if any. The next query opens another
+// connection.
 func (c *loadQueryConn) close(status balancer.Status) {
 	if !c.isOpen() {
 		return
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -5,8 +5,8 @@
 	"runtime/metrics"
 )
 
-// The garbage collector's limit is three quarters of the process's memory limit, so that collecting comes before being
-// killed.
+// The garbage collector's limit is three quarters of the process's memory limit, so that the collector runs before the
+// system kills the process.
 const (
 	gcLimitNumerator   = 3
 	gcLimitDenominator = 4
@@ -14,7 +14,7 @@
 
 const bytesPerMB = 1 << 20
 
-// setGCMemoryLimit sets the garbage collector's limit. Two processes at a hot restart share what there is.
+// setGCMemoryLimit sets the garbage collector's memory limit. The two processes of a hot restart get half of it each.
 func (p *Proxy) setGCMemoryLimit() {
 	if p.memoryLimitMB <= 0 {
 		return
@@ -26,8 +26,8 @@
 	debug.SetMemoryLimit(limit)
 }
 
-// heapLimit is the most that the heap may hold, in bytes; 0: there is no limit. recordMB is the limit that the fleet
-// record names, which goes before the process's; 0: none.
+// heapLimit returns the maximum size of the heap in bytes, or 0 if there is no limit. recordMB is the limit in the
+// fleet record, which takes precedence over the process's limit; 0 if the record sets none.
 func (p *Proxy) heapLimit(recordMB int) uint64 {
 	limit := uint64(recordMB) * bytesPerMB
 	if limit == 0 {
@@ -39,8 +39,8 @@
 	return limit
 }
 
-// liveHeapBytes is what the last garbage collection found alive, in bytes; before the first one, what has been allocated.
-// It may be called from any goroutine.
+// liveHeapBytes returns the number of bytes that the last garbage collection found live or, before the first
+// collection, the number of allocated bytes. It may be called from any goroutine.
 func liveHeapBytes() uint64 {
 	samples := []metrics.Sample{{Name: "/gc/heap/live:bytes"}, {Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(samples)
--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -11,33 +11,34 @@
 	"example.org/micafront/internal/routing"
 )
 
-// switchRetryAfter is the Retry-After of a request that was rejected because the version changed under it.
+// switchRetryAfter is the Retry-After of a request that is rejected because another configuration version became active
+// after it was routed.
 const switchRetryAfter = 100 * time.Millisecond
 
-// placementHost is what a placementAuthorizer needs of the proxy.
+// placementHost is the part of the proxy that a placementAuthorizer uses.
 type placementHost interface {
 	settingsSource
 	activeTable() *routing.Table
 }
 
-// placementAuthorizer decides whether connections may be placed now, by this node's lease and by what the versions of the
-// fleet's configuration say of them.
+// placementAuthorizer decides whether connections may be placed now. It depends on this node's lease and on how the
+// versions of the fleet's configuration decide on the connection.
 type placementAuthorizer struct {
 	host     placementHost
 	loop     *evloop.Loop
 	leases   *fleetconfig.LeaseClient
-	loader   *versionLoader // has the prepared version
+	loader   *versionLoader // holds the prepared version
 	counters *metrics.Fleet
 
-	// Requests are many: what is needed for each of them is made once.
-	candidate     *session    // that isConflicting is about; nil: none
-	isConflicting func() bool // conflictsWithPrepared
-	fieldBuffers  [2][]string // for the lines of two tables
+	// These fields are reused for every request, to avoid allocations.
+	candidate     *session    // the session that isConflicting checks; nil if none
+	isConflicting func() bool // the method value of conflictsWithPrepared
+	fieldBuffers  [2][]string // for the routing lines that decisionsDiffer compares
 }
 
 // authorizePlacement reports whether a request's connection may be placed now, and if not, when the client may retry.
-// It is called when the request comes, before each attempt and, as writing, when an attempt's first message is about to
-// be written, since time has passed by then.
+// It is called when the request arrives, before each attempt and, with writing set, when an attempt's first message is
+// about to be written, because time has passed by then.
 func (s *session) authorizePlacement(writing bool) (retryAfter time.Duration, ok bool) {
 	fleet := s.proxy.fleet
 	if fleet == nil {
@@ -46,11 +47,11 @@
 	return fleet.placement.authorize(s, writing)
 }
 
-// authorize is authorizePlacement in a fleet.
+// authorize implements authorizePlacement for a proxy in a fleet.
 func (a *placementAuthorizer) authorize(s *session, writing bool) (retryAfter time.Duration, ok bool) {
 	request := s.request
 	if request == nil || request.Resumed || request.PreviousEndpoint != "" {
-		return 0, true // the connection is established somewhere already
+		return 0, true // the connection has already been established at an endpoint
 	}
 	maxRetryAfter := a.host.activeSettings().Limits.MaxRetryAfter
 	if table := a.host.activeTable(); s.table != nil && s.table != table && a.decisionsDiffer(s, s.table, table) {
@@ -62,7 +63,7 @@
 	a.candidate = nil
 	if authorization.Allowed {
 		unleased := authorization.State == fleetconfig.Disconnected || authorization.State == fleetconfig.Starting
-		if writing && unleased { // the lease client counts each call of Authorize
+		if writing && unleased { // counted only before a write, since authorize is called several times
 			a.counters.ServedDisconnected++
 		}
 		return 0, true
@@ -79,14 +80,14 @@
 	return min(retryAfter, maxRetryAfter), false
 }
 
-// starting reports whether no version is known yet, and the file's rules may not be acted on instead.
+// starting reports whether no version is known yet and the rules of the configuration file may not be used instead.
 func (a *placementAuthorizer) starting() bool {
 	now := a.loop.Now()
 	return a.leases.Status(now).State == fleetconfig.Starting && !a.leases.Authorize(now, a.isConflicting).Allowed
 }
 
 // conflictsWithPrepared reports whether the active and the prepared version decide differently on the candidate's
-// connection. Where none is prepared here that cannot be ruled out.
+// connection. It returns true if no version is prepared here, because a difference cannot be ruled out.
 func (a *placementAuthorizer) conflictsWithPrepared() bool {
 	prepared := a.loader.prepared
 	if prepared == nil || a.candidate == nil {
@@ -97,7 +98,7 @@
 	return !known || a.decisionsDiffer(a.candidate, a.host.activeTable(), prepared.table)
 }
 
-// decisionsDiffer compares two tables' decisions on a request.
+// decisionsDiffer reports whether two tables decide differently on a request.
 func (a *placementAuthorizer) decisionsDiffer(s *session, former, latter *routing.Table) bool {
 	formerLine := s.routingLineFor(former, a.fieldBuffers[0])
 	latterLine := s.routingLineFor(latter, a.fieldBuffers[1])
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -16,8 +16,8 @@
 	halfOpenTimeout = 5 * time.Second
 	// maxPlausibleLatency bounds the time of a message that an endpoint is believed to report.
 	maxPlausibleLatency = time.Minute
-	// loadUnits is the value in a load message of a load of 1.
-	loadUnits = 1e6
+	// loadScale is the value in a load message of a load of 1.
+	loadScale = 1e6
 )
 
 func counter(n int) metrics.Counter { return metrics.Counter(n) }
@@ -151,7 +151,7 @@
 		return
 	}
 	p.counters.LoadReports++
-	p.events.handle(s.pool, balancer.LoadChanged{ID: s.id, Endpoint: a.endpoint.id, Attempt: a.number, Load: value / loadUnits})
+	p.events.handle(s.pool, balancer.LoadChanged{ID: s.id, Endpoint: a.endpoint.id, Attempt: a.number, Load: value / loadScale})
 }
 
 // onDownstreamEnded passes on that the client has ended its sending. What the endpoint still sends is relayed.
