--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -20,11 +20,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The tests in this file pin the texts that two processes exchange at a hot restart, and the telemetry. The fixtures
-// below testdata/golden were written by the program before its Go names changed and are never rewritten: at an upgrade
-// one of the two processes is an older one.
+// The tests in this file pin the encodings that two processes exchange during a hot restart, and the telemetry. A
+// program version with older Go names wrote the fixtures in testdata/golden. They must never be rewritten, because
+// during an upgrade one of the two processes runs an older version.
 
-// goldenHandover has every field set.
+// goldenHandover returns a handover with every field set.
 func goldenHandover(t *testing.T) handoverState {
 	t.Helper()
 	list, err := json.Marshal(discovery.List{Generation: 101, Reset: true, Instances: []discovery.Entry{{
@@ -49,7 +49,7 @@
 	}
 }
 
-// goldenState has every field set; its numbers count up from base.
+// goldenState returns a balancer state with every field set. Its numbers count up from base.
 func goldenState(base int) balancer.State {
 	at := func(offset int) balancer.Instant { return balancer.Instant(base + offset) }
 	figure := func(offset int) float64 { return float64(base+offset) + 0.5 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// goldenHeartbeat has every field set.
+// goldenHeartbeat returns a heartbeat with every field set.
 func goldenHeartbeat() heartbeat {
 	return heartbeat{
 		OpenDescriptors: 201, Serving: true, Established: map[uint64]string{202: "s001", 18446744073709551615: "s002"},
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestGoldenHandover compares the texts with the fixtures in both directions. The zero values pin which members are
+// TestGoldenHandover compares the encodings with the fixtures in both directions. The zero values pin which members are
 // written when they are empty.
 func TestGoldenHandover(t *testing.T) {
 	t.Run("handover", func(t *testing.T) { testGoldenEncoding(t, "handover.json", goldenHandover(t)) })
@@ -111,8 +111,8 @@
 	})
 }
 
-// TestGoldenValuesSetEveryField fails when a field is added to an encoded type and the fixtures do not cover it. What only
-// the states of large tables have is pinned by package balancer's fixture of one.
+// TestGoldenValuesSetEveryField fails when a field is added to an encoded type and the fixtures do not cover it. Fields
+// that only the states of large tables contain are pinned by a fixture in package balancer.
 func TestGoldenValuesSetEveryField(t *testing.T) {
 	compactOnly := regexp.MustCompile(`(Table|ZoneTables)(\.Previous)?\.Members$|\.CompactAdmissionRate$|^Clock$`)
 	for _, value := range []any{goldenHandover(t), goldenHeartbeat()} {
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestGoldenMessageKinds pins the numbers by which a transferred connection has its endpoint's last message.
+// TestGoldenMessageKinds pins the numbers that encode the last message of an endpoint in a transferred connection.
 func TestGoldenMessageKinds(t *testing.T) {
 	want := []MessageKind{0, 1, 2, 3, 4, 5, 6}
 	got := []MessageKind{MessageOther, MessageEstablished, MessageBye, MessageMigrate, MessageError, MessageFull, MessageLoad}
@@ -160,7 +160,8 @@
 	}
 }
 
-// goldenConfig has two pools, two routes, a tenant and a fleet record. Nothing listens at the addresses that it calls.
+// goldenConfig returns a configuration with two pools, two routes, a tenant and a fleet record. Nothing listens at the
+// addresses that it contains.
 func goldenConfig(t *testing.T) *config.Config {
 	t.Helper()
 	settings, loadIsLatency, err := config.DecodeSettings([]byte(strings.Replace(plainSettings, `"Limits"`,
@@ -196,8 +197,8 @@
 	}
 }
 
-// TestGoldenTelemetry pins the whole answer to GET /api/telemetry of a proxy with pools, routes and a fleet record, and
-// of one without.
+// TestGoldenTelemetry pins the whole response to GET /api/telemetry, for a proxy with pools, routes and a fleet record
+// and for a proxy without them.
 func TestGoldenTelemetry(t *testing.T) {
 	whole := goldenConfig(t)
 	plain := *whole
@@ -223,11 +224,11 @@
 			p.pools.usageOfRoute("first").Usage = routing.Usage{Open: 309, Waiting: 310}
 			p.pools.retired = append(p.pools.retired, &endpointPool{name: "retired", usage: routing.Usage{Open: 311}})
 		}
-		before, loopFigures, found := bytes.Cut(p.Telemetry(), []byte("svc.loop."))
+		before, loopMetrics, found := bytes.Cut(p.Telemetry(), []byte("svc.loop."))
 		compareGolden(t, c.fixture, before)
 		if want := "turns=0\nsvc.loop.long_turns=0\nsvc.loop.longest_turn_us=0\nsvc.loop.longest_turn_for=\n" +
-			"svc.loop.hold_ups=0\nsvc.loop.held_up_ms=0\n"; !found || string(loopFigures) != want {
-			t.Errorf("%s: the loop's figures are %q, want %q", c.fixture, loopFigures, want)
+			"svc.loop.hold_ups=0\nsvc.loop.held_up_ms=0\n"; !found || string(loopMetrics) != want {
+			t.Errorf("%s: the loop's metrics are %q, want %q", c.fixture, loopMetrics, want)
 		}
 		if err := log.Close(); err != nil {
 			t.Error(err)
@@ -235,7 +236,7 @@
 	}
 }
 
-// TestGoldenCatalogMetrics pins what telemetry says of the services that the routes name.
+// TestGoldenCatalogMetrics pins the telemetry of the services that the routes name.
 func TestGoldenCatalogMetrics(t *testing.T) {
 	compareGolden(t, "figures_catalog.txt", catalogMetrics(&configbundle.Bundle{
 		Catalog: &catalog.State{Number: 401, Entries: []catalog.Entry{{Conflicts: []catalog.Conflict{{}}}, {}}},
--- a/internal/proxy/line_protocol_test.go
+++ b/internal/proxy/line_protocol_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzParseHandshakeInPieces feeds a client's first bytes whole and in pieces: both are parsed alike, and both a
-// handshake message and the buffer stay bounded.
+// FuzzParseHandshakeInPieces checks that a client's first bytes are parsed alike whether they arrive at once or in
+// pieces, and that neither a message nor the buffer exceeds its maximum size.
 func FuzzParseHandshakeInPieces(f *testing.F) {
 	for _, seed := range []string{"PING\r\nOPEN a b c=x,d=1\r\n", "OPEN a b c=x,d=1\r\nM 1\r\n", "OPEN a b c=x", "\r\n", "PING\n",
 		"OPEN " + string(bytes.Repeat([]byte("k"), 4090)) + " b c=x\r\n"} {
@@ -19,14 +19,14 @@
 		sameRequest := (whole.request == nil) == (pieced.request == nil) &&
 			(whole.request == nil || whole.request.ID == pieced.request.ID)
 		if whole.used != pieced.used || !errors.Is(pieced.err, whole.err) || !sameRequest {
-			t.Errorf("whole: %+v; in pieces of %d: %+v", whole, piece, pieced)
+			t.Errorf("parsed at once: %+v; in pieces of %d bytes: %+v", whole, piece, pieced)
 		}
 	})
 }
 
-// parsedHandshake is what was read up to the first request or error.
+// parsedHandshake is the result of parsing up to the first request or error.
 type parsedHandshake struct {
-	used    int // bytes of handshake messages
+	used    int // bytes of parsed messages
 	request *ClientRequest
 	err     error
 }
@@ -48,13 +48,13 @@
 				break
 			}
 			if n > protocol.MaxMessageBytes() {
-				t.Fatalf("accepted a handshake message of %d bytes", n)
+				t.Fatalf("accepted a message of %d bytes, want at most %d", n, protocol.MaxMessageBytes())
 			}
 			result.used += n
 			buffer = buffer[n:]
 		}
 		if len(buffer) > protocol.MaxMessageBytes()+piece {
-			t.Fatalf("%d bytes are buffered", len(buffer))
+			t.Fatalf("buffered %d bytes, want at most %d", len(buffer), protocol.MaxMessageBytes()+piece)
 		}
 	}
 	return result
--- a/internal/proxy/reasons.go
+++ b/internal/proxy/reasons.go
@@ -6,10 +6,10 @@
 	"go.uber.org/zap"
 )
 
-// Reasons that the proxy itself has for ending requests; the balancers' own are balancer.AnswerReason.
+// Reasons for which the proxy itself ends requests. Those of the balancers are of type balancer.AnswerReason.
 const (
-	reasonLimit           metrics.Reason = "limit"     // on descriptors or open requests
-	reasonPlacement       metrics.Reason = "placement" // the fleet's configuration may not be acted on now
+	reasonLimit           metrics.Reason = "limit"     // limit on descriptors or open requests
+	reasonPlacement       metrics.Reason = "placement" // the fleet's configuration does not allow placement now
 	reasonStopping        metrics.Reason = "stopping"
 	reasonNoRoute         metrics.Reason = "no_route"
 	reasonPoolLimit       metrics.Reason = "pool_limit"
@@ -19,7 +19,7 @@
 	reasonClientGone      metrics.Reason = "client_gone"
 )
 
-// statusReasons are the reasons of retries: how the attempt before ended.
+// statusReasons maps the status of an attempt to the reason of the retry that follows it.
 var statusReasons = map[balancer.Status]metrics.Reason{
 	balancer.OK:            "ok",
 	balancer.AppError:      "error",
@@ -33,7 +33,7 @@
 
 func statusReason(status balancer.Status) metrics.Reason { return statusReasons[status] }
 
-// recordReason counts what happens to a request, and logs it for debugging.
+// recordReason counts an event of a request by its reason, and logs it at debug level.
 func (s *session) recordReason(event metrics.Event, reason metrics.Reason) {
 	p := s.proxy
 	p.reasons.Record(event, reason)
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -7,22 +7,23 @@
 	"example.org/micafront/internal/metrics"
 )
 
-// This file relays an established connection: messages pass both ways unchanged.
+// Messages of an established connection are relayed unchanged in both directions.
 
 const (
-	// maxPendingOutput is how many bytes may wait for a slow peer before the other side is no longer read.
+	// maxPendingOutput is the number of bytes waiting for a slow peer above which the proxy stops reading from the
+	// other side.
 	maxPendingOutput = 16 << 10
-	// halfOpenTimeout is how long an endpoint may still send to a client that has ended its sending.
+	// halfOpenTimeout is how long an endpoint may keep sending to a client that has shut down its sending side.
 	halfOpenTimeout = 5 * time.Second
-	// maxPlausibleLatency bounds the time of a message that an endpoint is believed to report.
+	// maxPlausibleLatency is the longest message latency that the proxy accepts from an endpoint's report.
 	maxPlausibleLatency = time.Minute
-	// loadScale is the value in a load message of a load of 1.
+	// loadScale is the value in a load message that means a load of 1.
 	loadScale = 1e6
 )
 
 func counter(n int) metrics.Counter { return metrics.Counter(n) }
 
-// establish begins to relay between the client and the attempt's endpoint.
+// establish starts relaying between the client and the attempt's endpoint.
 func (s *session) establish(a *attempt) {
 	p := s.proxy
 	a.stage = stageEstablished
@@ -41,8 +42,8 @@
 		p.events.handle(s.pool, balancer.Established{ID: s.id, Endpoint: a.endpoint.id, Attempt: a.number, Latency: latency})
 	}
 	s.request = nil
-	s.table = nil                                       // a table that is no longer active must not live as long as its connections
-	wasMigrated := s.downstreamState() != stateRelaying // at once, by the balancer
+	s.table = nil                                       // a connection must not keep a table in memory that is no longer active
+	wasMigrated := s.downstreamState() != stateRelaying // while the balancer handled the event
 	if s.buffered != nil && !wasMigrated {
 		early := s.buffered
 		s.buffered = nil
@@ -54,23 +55,23 @@
 // relayHandler handles the events of an established connection to an endpoint.
 type relayHandler struct{ *attempt }
 
-// Data is part of evloop.Handler.
+// Data implements evloop.Handler.
 func (h relayHandler) Data(b []byte) { h.relayDownstream(b) }
 
-// Drained is part of evloop.Handler.
+// Drained implements evloop.Handler.
 func (h relayHandler) Drained() {
 	if h.session.downstream != nil {
 		h.session.downstream.Resume()
 	}
 }
 
-// Ended is part of evloop.Handler.
+// Ended implements evloop.Handler.
 func (h relayHandler) Ended() { h.session.onUpstreamEnded() }
 
-// Closed is part of evloop.Handler.
+// Closed implements evloop.Handler.
 func (h relayHandler) Closed(error) { h.session.onUpstreamBroken() }
 
-// sendUpstream passes on what the client sent.
+// sendUpstream relays data of the client to the endpoint.
 func (s *session) sendUpstream(b []byte) {
 	p := s.proxy
 	conn := s.attempt.conn
@@ -84,8 +85,8 @@
 	}
 }
 
-// relayDownstream passes on complete messages of the endpoint. The start of one waits for its rest, so that a migration
-// never cuts into a message.
+// relayDownstream relays complete messages of the endpoint to the client. The start of an incomplete message is
+// buffered, so that a migration never cuts a message in two.
 func (a *attempt) relayDownstream(b []byte) {
 	s := a.session
 	p := s.proxy
@@ -96,8 +97,8 @@
 	}
 	n := p.protocol.CompleteBytes(b)
 	a.partial = append(a.partial[:0:0], b[n:]...)
-	// Messages are passed on before they are read: those ahead of a report must not be lost to the migration that it
-	// causes.
+	// Messages are relayed before they are examined. Otherwise the migration that a load report causes would lose the
+	// messages before the report.
 	if s.downstream != nil && n > 0 {
 		p.counters.BytesDownstream += counter(n)
 		s.downstream.Write(b[:n])
@@ -112,7 +113,7 @@
 	}
 }
 
-// observeMessages reads what relayed messages say of the endpoint.
+// observeMessages examines relayed messages for the endpoint's load and latency.
 func (a *attempt) observeMessages(messages []byte) {
 	protocol := a.session.proxy.protocol
 	for len(messages) > 0 && a.stage != stageEnded {
@@ -129,13 +130,14 @@
 	}
 }
 
-// reportLoad hands an endpoint's load message to the balancer. Where the settings say that loads are latencies, the
-// message holds the milliseconds that a message takes: a slow endpoint was seen to send it once a second on one
-// connection of each proxy, and once more when it was over. Read as a load it would distort what the balancer knows of
-// a connection's cost.
+// reportLoad passes the value of an endpoint's load message to the balancer. If the settings declare loads to be
+// latencies, the value is the number of milliseconds that a message takes. A slow endpoint was seen to send such a
+// message once a second, on one connection of each proxy, and once more when it was fast again. Treated as a load, the
+// value would distort the balancer's estimate of a connection's cost.
 //
-// One faulty endpoint must not have all its clients migrated: a value that no message can have, since its client would
-// have disconnected long before, is passed on to the client but not believed.
+// A single faulty endpoint must not cause the migration of all its clients. The proxy therefore does not report a
+// latency that no message can have because its client would have disconnected long before. The client still receives
+// the message.
 func (a *attempt) reportLoad(value float64) {
 	s := a.session
 	p := s.proxy
@@ -154,7 +156,8 @@
 	p.events.handle(s.pool, balancer.LoadChanged{ID: s.id, Endpoint: a.endpoint.id, Attempt: a.number, Load: value / loadScale})
 }
 
-// onDownstreamEnded passes on that the client has ended its sending. What the endpoint still sends is relayed.
+// onDownstreamEnded shuts down the sending side towards the endpoint, because the client has shut down its own. Data
+// that the endpoint still sends is relayed.
 func (s *session) onDownstreamEnded() {
 	s.relay.downstreamEnded = true
 	s.attempt.conn.CloseWrite()
@@ -181,7 +184,7 @@
 	s.close(status, nil)
 }
 
-// closeStatus is the status of a connection that the endpoint has closed.
+// closeStatus returns the status of a connection that the endpoint has closed.
 func (s *session) closeStatus() balancer.Status {
 	switch {
 	case s.attempt.lastMessage == MessageBye:
@@ -192,18 +195,18 @@
 	return balancer.Reset
 }
 
-// migrate asks the client to connect anew and closes the connection.
+// migrate asks the client to reconnect, and closes the connection.
 func (s *session) migrate(status balancer.Status) {
 	s.close(status, s.proxy.protocol.MigrateMessage())
 }
 
-// close closes both sides of an established connection, the client's with a last message.
+// close closes both sides of an established connection. It sends last to the client before.
 func (s *session) close(status balancer.Status, last []byte) {
 	a := s.attempt
 	s.proxy.sessions.removeEstablished(s)
 	s.setUsage(usesNothing)
 	s.closeDownstream(last)
-	// What the client sent last may still wait for an endpoint that reads slowly.
+	// Data of the client may still be waiting for an endpoint that reads slowly.
 	conn := a.conn
 	a.conn = nil
 	conn.Linger(lingerBounds, nil)
--- a/internal/proxy/retry.go
+++ b/internal/proxy/retry.go
@@ -6,15 +6,16 @@
 	"example.org/micafront/balancer"
 )
 
-// retryGuard decides what may follow an attempt that may have been executed. The balancer goes by the same rule when it
-// sends an attempt or rejects a request; here it is checked again when bytes go out, since time has passed by then.
+// retryGuard decides whether a request may be executed again after an attempt that may have been executed. The balancer
+// applies the same rule when it sends an attempt or rejects a request. The guard checks it again when bytes are about
+// to be written, because time has passed by then.
 type retryGuard struct {
-	class      *balancer.Class // as it was when the request came; nil: not admitted yet, or already answered
-	executedOn *endpoint       // of the first attempt that may have been executed; nil: there is none
-	executedAt time.Duration   // when that one started
+	class      *balancer.Class // the class when the request arrived; nil before admission and after the answer
+	executedOn *endpoint       // the endpoint of the first attempt that may have been executed; nil if there is none
+	executedAt time.Duration   // when that attempt started
 }
 
-// recordExecution notes an attempt that may have been executed.
+// recordExecution records an attempt that may have been executed. Only the first one of a request counts.
 func (g *retryGuard) recordExecution(a *attempt) {
 	if g.executedOn == nil {
 		g.executedOn = a.endpoint
@@ -25,7 +26,8 @@
 // isSafe reports whether the request may be executed any number of times.
 func (g *retryGuard) isSafe() bool { return g.class == nil || g.class.Effect == balancer.Safe }
 
-// dedupDeadline is until when endpoints recognize a repeat, if that bounds the next attempt.
+// dedupDeadline returns the time until which endpoints recognize a repeated request. bounded is false if the next
+// attempt has no such limit.
 func (g *retryGuard) dedupDeadline() (deadline time.Duration, bounded bool) {
 	if g.executedOn == nil || g.isSafe() {
 		return 0, false
@@ -33,7 +35,7 @@
 	return g.executedAt + g.class.DedupWindow, true
 }
 
-// mayExecute reports whether the next attempt may be executed by an endpoint now.
+// mayExecute reports whether endpoint e may execute the next attempt now.
 func (g *retryGuard) mayExecute(e *endpoint, now time.Duration) bool {
 	deadline, bounded := g.dedupDeadline()
 	if !bounded {
@@ -51,8 +53,8 @@
 	return true
 }
 
-// mayReject reports whether a rejection, which promises that a retry is harmless, would be true. An attempt that is under
-// way counts as one that may be executed, unless it still dials.
+// mayReject reports whether the request may be rejected. A rejection promises that a retry is harmless. An attempt in
+// progress counts as possibly executed, unless it is still dialing.
 func (s *session) mayReject() bool {
 	guard := &s.retries
 	if guard.isSafe() {
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -9,14 +9,15 @@
 	"go.uber.org/zap"
 )
 
-// This file routes requests: to a pool at first, and on to their policy's next pool where that rejects them.
+// Requests are first routed to a pool. If the pool rejects them, they continue with the next pool of their policy.
 
-// routingLine is what the active table decides on for a session.
+// routingLine returns the values of a session on which the active table's decision depends.
 func (s *session) routingLine() routing.Line {
 	return s.routingLineFor(s.proxy.pools.table, nil)
 }
 
-// routingLineFor is what a table decides on for a session. Its fields replace the contents of buffer.
+// routingLineFor returns the values of a session on which a table's decision depends. It overwrites buffer with the
+// line's fields.
 func (s *session) routingLineFor(table *routing.Table, buffer []string) routing.Line {
 	request := s.request
 	line := routing.Line{
@@ -32,14 +33,14 @@
 	}
 	line.Fields = slices.Grow(line.Fields, len(table.FieldNames))
 	for _, name := range table.FieldNames {
-		value, _ := request.Fields.Field(name) // "" where the request has none
+		value, _ := request.Fields.Field(name) // "" if the request has no such field
 		line.Fields = append(line.Fields, value)
 	}
 	return line
 }
 
-// assignRoute decides on a request's pool and policy. It returns false where the request has been answered, as it has no
-// route or its pools are at their limits.
+// assignRoute selects a request's route, pool and policy. If the request has no route or its pools are at their limits,
+// it answers the request and returns false.
 func (s *session) assignRoute() bool {
 	p := s.proxy
 	table := p.pools.table
@@ -56,7 +57,7 @@
 	s.policyState, verdict = table.BeginRequest(decision, route.Usage, p.pools.usageIn(table))
 	switch {
 	case verdict == routing.Proceed:
-	case s.request.Resumed: // it is open at an endpoint already: accepting it adds nothing
+	case s.request.Resumed: // the connection is already open at an endpoint, so it adds no load
 		s.policyState.Pool = decision.Pool
 	default:
 		p.counters.ResourceExhausted++
@@ -74,7 +75,7 @@
 	return true
 }
 
-// retryAfter is when a rejected client may retry, within its policy and the settings.
+// retryAfter returns when a rejected client may retry. The request's policy and the settings bound delay.
 func (s *session) retryAfter(delay time.Duration) time.Duration {
 	if delay <= 0 {
 		return delay // the balancer gives no advice
@@ -82,7 +83,8 @@
 	return min(s.policyState.BoundRetryAfter(delay), s.proxy.settings.Limits.MaxRetryAfter)
 }
 
-// onPoolRejected executes a balancer's Reject: the request goes on to its policy's next pool, else it is rejected.
+// onPoolRejected executes a balancer's Reject. The request continues with its policy's next pool; if there is none, it
+// is rejected.
 func (s *session) onPoolRejected(pool *endpointPool, delay time.Duration, reason metrics.Reason) {
 	p := s.proxy
 	if s.answered || s.pool != pool {
@@ -93,13 +95,13 @@
 		return
 	}
 	p.counters.Fallbacks++
-	p.log.Debug("pool rejected the request, next pool", zap.String("id", s.clientID), zap.String("from", pool.name))
+	p.log.Debug("pool rejected the request; trying the next pool", zap.String("id", s.clientID), zap.String("from", pool.name))
 	next := s.table.Set.Pools[s.policyState.Pool].Name
 	s.assignPool(p.pools.byName(next))
 	p.events.handle(s.pool, s.balancerRequest())
 }
 
-// advanceToNextPool moves the policy's state on to the next pool, if there is one that may be tried.
+// advanceToNextPool advances the policy's state to the next pool that may be tried. It returns false if there is none.
 func (s *session) advanceToNextPool() bool {
 	p := s.proxy
 	if s.request == nil || s.request.Resumed {
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -11,68 +11,68 @@
 	"example.org/micafront/internal/routing"
 )
 
-// session is one client's connection: its request, the attempts for it and, once one of them is established, the
-// connection to the endpoint.
+// session is one client's connection: its request, the attempts for the request and, once one of them is established,
+// the connection to the endpoint.
 type session struct {
 	proxy *Proxy
 
 	// The client's connection.
 
-	downstream *evloop.Conn // the client's; nil once it is closed or only lingers
-	listener   string       // the name of the one that accepted it
-	buffered   []byte       // of the client: not parsed yet, or early
+	downstream *evloop.Conn // nil once it is closed or lingers
+	listener   string       // the name of the listener that accepted it
+	buffered   []byte       // data of the client that is not parsed yet, or early data
 	handshake  handshakeState
 
 	// The request.
 
-	id       string         // the proxy's own, by which the balancer knows it; "" until the request has been parsed
-	clientID string         // that the client gave
+	id       string         // assigned by the proxy and used by the balancer; "" until the request is parsed
+	clientID string         // chosen by the client
 	request  *ClientRequest // nil once the connection is established
 	class    string
 	deadline time.Duration
-	answered bool // the final answer is out, or the client is gone
+	answered bool // the final answer was sent, or the client has disconnected
 
 	classOutcomes  *metrics.RequestOutcomes
-	tenantOutcomes *metrics.RequestOutcomes // nil: the settings do not name its tenant
+	tenantOutcomes *metrics.RequestOutcomes // nil if the settings do not name the tenant
 
-	// The pool and the limits that it counts towards.
+	// The pool, and the limits towards which the request counts.
 
-	table       *routing.Table          // by which it was routed; nil once the connection is established
+	table       *routing.Table          // the table that routed it; nil once the connection is established
 	policyState routing.RequestProgress // the progress through its route's policy
 	pool        *endpointPool
 	route       *routeUsage
-	usage       usageKind // as which it counts towards the limits of its pool and route
+	usage       usageKind // how it counts towards the limits of its pool and route
 
-	// The attempts for it.
+	// The attempts for the request.
 
 	retries       retryGuard
-	attempt       *attempt // the one under way, then the established one; nil: none is
+	attempt       *attempt // the attempt in progress or established; nil if none
 	attemptCount  int
-	lastStatus    balancer.Status // how the latest attempt ended, if one has
-	reattachSince time.Duration   // when its first attempt to reattach began; 0: none has failed
+	lastStatus    balancer.Status // how the latest attempt ended, if one has ended
+	reattachSince time.Duration   // when the first attempt to reattach started; 0 if none has failed
 
 	// The connection between client and endpoint.
 
-	establishedIndex int // in sessionTable.established; -1: it is not established
+	establishedIndex int // index in sessionTable.established; -1 if not established
 	relay            relayState
 }
 
 // handshakeState is the state of a client's connection until its request has been parsed.
 type handshakeState struct {
 	acceptedAt      time.Duration
-	readinessChecks int           // that the client has sent
-	timer           *evloop.Timer // until firstRequestTimeout
-	idleElement     *list.Element // in idleConns.waiting; nil: the request has been parsed, or the client is being closed
+	readinessChecks int           // the number that the client has sent
+	timer           *evloop.Timer // fires after firstRequestTimeout
+	idleElement     *list.Element // in idleConns.waiting; nil once the request has been parsed or the client is being closed
 }
 
 // relayState is the state of an established connection.
 type relayState struct {
-	unansweredSince time.Duration // when the oldest unanswered message went to the endpoint; 0: there is none
-	stalledSince    time.Duration // since when output has waited for a slow peer; 0: none waits
-	downstreamEnded bool          // the client has ended its sending
+	unansweredSince time.Duration // when the oldest unanswered message was sent to the endpoint; 0 if there is none
+	stalledSince    time.Duration // since when output has been waiting for a slow peer; 0 if none is waiting
+	downstreamEnded bool          // the client has shut down its sending side
 }
 
-// downstreamState is the state of a client's connection, until it only lingers.
+// downstreamState is the state of a client's connection. It has no meaning once the connection lingers.
 type downstreamState int
 
 const (
@@ -91,11 +91,11 @@
 	return stateAwaitingRequest
 }
 
-// sessionTable are the sessions whose request has been parsed.
+// sessionTable holds the sessions whose request has been parsed.
 type sessionTable struct {
 	byID        map[string]*session
 	byClientID  map[string]*session
-	established []*session // in no order
+	established []*session // unordered
 	lastID      uint64
 }
 
@@ -103,13 +103,13 @@
 	return sessionTable{byID: map[string]*session{}, byClientID: map[string]*session{}}
 }
 
-// nextID returns an ID for a session. IDs that clients make up may repeat.
+// nextID returns a new session ID. The IDs that clients choose may repeat.
 func (t *sessionTable) nextID() string {
 	t.lastID++
 	return strconv.FormatUint(t.lastID, 36)
 }
 
-// add takes a session in under its two IDs.
+// add registers a session under both of its IDs.
 func (t *sessionTable) add(s *session) {
 	t.byID[s.id] = s
 	t.byClientID[s.clientID] = s
--- a/internal/proxy/turn_cost_test.go
+++ b/internal/proxy/turn_cost_test.go
@@ -16,19 +16,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// The tests in this file bound what one turn of the event loop costs, by the size of the endpoint list.
+// The test in this file limits the cost of a turn of the event loop, depending on the size of the endpoint list.
 
 const (
-	// boundedEndpoints is the largest list that operators run. No turn takes metrics.LongTurn of processor time with it.
+	// boundedEndpoints is the size of the largest list that operators run. With it every turn must take less than
+	// metrics.LongTurn of processor time.
 	boundedEndpoints = 3200
 	// The growth is measured from smallEndpoints to largestEndpoints, sixteen times as many.
 	smallEndpoints   = 800
 	largestEndpoints = 16 * smallEndpoints
-	// maxGrowth is how many times a turn's cost may be then: n log n gives 22.6, and as much again is for caches that no longer hold
-	// the list. The square would give 256.
+	// maxGrowth is the maximum ratio of a turn's costs at these two sizes. n log n gives 22.6; the rest, as much again,
+	// allows for lists that no longer fit in the caches. Quadratic growth would give 256.
 	maxGrowth = 45
-	// Each turn is measured for so many rounds at least, and on while a bound is passed. The least cost counts, since others include
-	// the host's interference.
+	// Each turn is measured in at least minRounds rounds, and in up to maxRounds while it exceeds a bound. The lowest
+	// cost counts, because the others include interference from the host.
 	minRounds = 5
 	maxRounds = 40
 )
@@ -42,7 +43,8 @@
 	return time.Duration(now.Nano())
 }
 
-// turnCosts are the least processor times of turns by name, in the order in which they were first measured.
+// turnCosts holds the lowest processor time of each turn, with the names in the order in which they were first
+// measured.
 type turnCosts struct {
 	names []string
 	least map[string]time.Duration
@@ -60,7 +62,7 @@
 	}
 }
 
-// scaledProxy is a proxy whose loop does not run: the test makes its turns.
+// scaledProxy is a proxy whose event loop does not run. The test executes its turns.
 type scaledProxy struct {
 	*Proxy
 	config     *config.Config
@@ -68,7 +70,7 @@
 	generation int64
 }
 
-// newScaledProxy makes a proxy that knows no endpoint yet.
+// newScaledProxy creates a proxy that knows no endpoints yet.
 func newScaledProxy(t *testing.T, loadReports bool) *scaledProxy {
 	t.Helper()
 	single, err := routing.New(routing.Single())
@@ -95,11 +97,11 @@
 	return &scaledProxy{Proxy: p, config: c, now: p.loop.Now()}
 }
 
-// scaledEntries are count entries in three zones, from a number on.
+// scaledEntries returns count entries in three zones, numbered from first.
 func scaledEntries(first, count int, lifecycle string) []discovery.Entry {
 	entries := make([]discovery.Entry, 0, count)
 	for i := first; i < first+count; i++ {
-		const scatter = 2654435761 // so that IDs are in no order
+		const scatter = 2654435761 // spreads the IDs, so that they are not sorted
 		entries = append(entries, discovery.Entry{
 			ID: fmt.Sprintf("s-%08x", uint32(i)*scatter), HostPort: "127.0.0.1:1", Zone: string(rune('a' + i%3)),
 			MachineType: "m2", Lifecycle: lifecycle, Weight: 1,
@@ -113,13 +115,13 @@
 	p.onList(discovery.List{Generation: p.generation, Reset: kind != balancer.DeltaList, Instances: entries}, kind)
 }
 
-// nextEpoch lets a change of the list take effect in the tables.
+// nextEpoch advances the time until a change of the list takes effect in the tables.
 func (p *scaledProxy) nextEpoch() {
 	p.now += 2 * p.settings.Rules.OverloadWindow
 	p.pools.active[0].balancer.Handle(p.now, balancer.Timer{})
 }
 
-// measureTurns makes each kind of turn that depends on the list once.
+// measureTurns executes and measures each kind of turn that depends on the list once.
 func measureTurns(t *testing.T, costs *turnCosts, endpoints int, loadReports bool) {
 	p := newScaledProxy(t, loadReports)
 	part := endpoints / 12
@@ -150,13 +152,13 @@
 	costs.measure(t, "pool swap back", func() { p.applyConfig(p.config.Settings, p.config.LoadIsLatency, p.config.Routes) })
 }
 
-// zonePools is a table that divides the endpoints by their zones.
+// zonePools returns a table that divides the endpoints by their zones.
 func zonePools(t *testing.T) *routing.Table {
 	t.Helper()
 	table, err := routing.New(routing.Set{
 		Pools: []routing.Pool{
 			{Name: "first", Select: routing.Select{Zones: []string{"a"}}},
-			{Name: "second", Select: routing.Select{Zones: []string{"b"}}}, // and nobody has those of the third zone
+			{Name: "second", Select: routing.Select{Zones: []string{"b"}}}, // no pool contains the endpoints of the third zone
 		},
 		Routes: []routing.Route{{Name: "all", To: []routing.SplitShare{{Pool: "first", PPM: routing.Whole}}}},
 	})
@@ -166,7 +168,8 @@
 	return table
 }
 
-// TestTurnsStayShortWithLargeLists: with 3,200 endpoints no turn takes 5 ms of processor time, and none grows faster than n log n.
+// TestTurnsStayShortWithLargeLists checks that with 3,200 endpoints no turn takes 5 ms of processor time, and that no
+// turn's cost grows faster than n log n.
 func TestTurnsStayShortWithLargeLists(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -189,10 +192,10 @@
 	}
 }
 
-// measuredSizes are the sizes of lists that are measured.
+// measuredSizes are the list sizes at which turns are measured.
 var measuredSizes = []int{200, smallEndpoints, boundedEndpoints, largestEndpoints}
 
-// scaledCosts are the costs of turns by the size of the list.
+// scaledCosts maps list sizes to the costs of turns.
 type scaledCosts map[int]*turnCosts
 
 func (c scaledCosts) measureRound(t *testing.T, endpoints int, loadReports bool) {
@@ -203,11 +206,11 @@
 	measureTurns(t, c[endpoints], endpoints, loadReports)
 }
 
-// violations are the bounds that are passed.
+// violations describes the bounds that turns exceed.
 func (c scaledCosts) violations() (texts []string) {
 	for _, name := range c[boundedEndpoints].names {
 		if cost := c[boundedEndpoints].least[name]; cost >= metrics.LongTurn {
-			texts = append(texts, fmt.Sprintf("%s takes %v with %d endpoints, %v at most", name, cost, boundedEndpoints, metrics.LongTurn))
+			texts = append(texts, fmt.Sprintf("%s takes %v with %d endpoints, want less than %v", name, cost, boundedEndpoints, metrics.LongTurn))
 		}
 		small, largest := c[smallEndpoints].least[name], c[largestEndpoints].least[name]
 		if growth := float64(largest) / float64(small); growth > maxGrowth && largest > metrics.LongTurn/10 {
@@ -218,7 +221,7 @@
 	return texts
 }
 
-// table has a line a turn: the costs in milliseconds by size.
+// table returns a line per turn, with the costs in milliseconds by list size.
 func (c scaledCosts) table() (lines []string) {
 	for _, name := range c[boundedEndpoints].names {
 		line := fmt.Sprintf("%-26s", name)
--- a/internal/proxy/turns.go
+++ b/internal/proxy/turns.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 )
 
-// Names of turns, by the work whose length depends on lists, routes or connections.
+// Causes of the event loop's turns whose length depends on the number of endpoints, routes or connections.
 const (
 	turnEndpointList evloop.Cause = "endpoint list"
 	turnReload       evloop.Cause = "reload"
@@ -19,21 +19,21 @@
 	turnDrain        evloop.Cause = "drain"
 )
 
-// turnLogInterval is how often a long turn is logged at most.
+// turnLogInterval is the minimum time between two log entries about long turns.
 const turnLogInterval = time.Second
 
-// turnObserver counts and logs the turns of the event loop that keep others waiting.
+// turnObserver counts and logs the long turns and hold-ups of the event loop.
 type turnObserver struct {
 	log           *logging.Logger
 	endpoints     endpointTable
 	loopMetrics   metrics.Loop
-	lastLogAt     time.Duration // of a long turn
-	unloggedTurns int           // long turns since
+	lastLogAt     time.Duration // when a long turn was last logged
+	unloggedTurns int           // long turns since lastLogAt
 }
 
 var _ evloop.Observer = (*turnObserver)(nil)
 
-// TurnEnded is part of evloop.Observer.
+// TurnEnded implements evloop.Observer.
 func (o *turnObserver) TurnEnded(turn evloop.Turn) {
 	if !o.loopMetrics.RecordTurn(string(turn.Cause), turn.Length) {
 		return
@@ -48,7 +48,7 @@
 	o.unloggedTurns = 0
 }
 
-// CaughtUp is part of evloop.Observer.
+// CaughtUp implements evloop.Observer.
 func (o *turnObserver) CaughtUp(heldUp time.Duration) {
 	o.loopMetrics.RecordHoldUp(heldUp)
 	o.log.Warn("event loop: was held up", zap.Duration("length", heldUp), zap.Int("endpoints", len(o.endpoints)))
