--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -14,7 +14,7 @@
 const (
 	// firstRequestTimeout is the time after connecting within which a client must send its complete request. Bytes that
 	// trickle in do not extend it, because a faulty client must be closed within 3 s. Readiness checks are answered at
-	// once and need no longer.
+	// once and need no more time.
 	firstRequestTimeout = 2500 * time.Millisecond
 	// maxReadinessChecks is the number of readiness checks that one connection may send.
 	maxReadinessChecks = 8
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -110,7 +110,7 @@
 	if a.endpoint.drainingSince == 0 || s.request.PreviousEndpoint != "" {
 		return true
 	}
-	// A resumed connection is already open at the draining endpoint and may continue there for the grace period.
+	// A resumed connection is already open at the draining endpoint and may continue there until DrainGrace has passed.
 	return s.request.Resumed && now-a.endpoint.drainingSince < s.proxy.settings.Rules.DrainGrace
 }
 
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -23,7 +23,7 @@
 	latency endpointLatency
 }
 
-// endpointLatency is the state for latency reports about an endpoint.
+// endpointLatency is what the proxy knows about an endpoint's latency.
 type endpointLatency struct {
 	samples        []time.Duration // latencies of messages since the last report
 	reportedSlow   bool            // whether the last report found the endpoint slow
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -30,12 +30,12 @@
 // latencyTracker holds the data from which latencies are derived, in addition to the endpoints' own samples.
 type latencyTracker struct {
 	zoneFloor   map[string]time.Duration // the lowest latency seen in a zone, which is that of the network
-	withSamples map[*endpoint]bool       // the endpoints that have samples
+	sampled map[*endpoint]bool       // the endpoints that have samples
 	reportedAt  time.Duration
 }
 
 func newLatencyTracker() latencyTracker {
-	return latencyTracker{zoneFloor: map[string]time.Duration{}, withSamples: map[*endpoint]bool{}}
+	return latencyTracker{zoneFloor: map[string]time.Duration{}, sampled: map[*endpoint]bool{}}
 }
 
 func (t *latencyTracker) observe(e *endpoint, latency time.Duration) {
@@ -47,13 +47,13 @@
 
 func (t *latencyTracker) addSample(e *endpoint, latency time.Duration) {
 	e.latency.samples = append(e.latency.samples, latency)
-	t.withSamples[e] = true
+	t.sampled[e] = true
 }
 
 // drainSampled returns the endpoints that have samples, sorted by ID, and clears the set of these endpoints.
 func (t *latencyTracker) drainSampled() []*endpoint {
-	sampled := slices.SortedFunc(maps.Keys(t.withSamples), func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
-	clear(t.withSamples)
+	sampled := slices.SortedFunc(maps.Keys(t.sampled), func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
+	clear(t.sampled)
 	return sampled
 }
 
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -7,10 +7,10 @@
 )
 
 // Descriptors are reserved in two steps, so that a flood of clients locks out neither operators nor service discovery.
-// With fewer than requestReserve left, requests are rejected, because the admitted ones need some of those for their
-// connections to endpoints. With fewer than internalReserve left, clients wait in the kernel's queue and no attempt is
-// dialed. These last descriptors are for the admin server's clients, the calls to service discovery, the loop's own
-// descriptors and the standard files.
+// With fewer than requestReserve left, requests are rejected, because the admitted requests still need descriptors for
+// their connections to endpoints. With fewer than internalReserve left, clients wait in the kernel's queue and no
+// attempt is dialed. The last descriptors are for the admin server's clients, the calls to service discovery, the
+// loop's own descriptors and the standard files.
 const (
 	requestReserve  = 32
 	internalReserve = 24
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -42,7 +42,8 @@
 		p.events.handle(s.pool, balancer.Established{ID: s.id, Endpoint: a.endpoint.id, Attempt: a.number, Latency: latency})
 	}
 	s.request = nil
-	s.table = nil                                       // a connection must not keep a table in memory that is no longer active
+	// A connection must not keep a table in memory that is no longer active.
+	s.table = nil
 	wasMigrated := s.downstreamState() != stateRelaying // while the balancer handled the event
 	if s.buffered != nil && !wasMigrated {
 		early := s.buffered
@@ -200,7 +201,7 @@
 	s.close(status, s.proxy.protocol.MigrateMessage())
 }
 
-// close closes both sides of an established connection. It sends last to the client before.
+// close sends last to the client and closes both sides of an established connection.
 func (s *session) close(status balancer.Status, last []byte) {
 	a := s.attempt
 	s.proxy.sessions.removeEstablished(s)
