--- a/balancer/handover_state.go
+++ b/balancer/handover_state.go
@@ -72,11 +72,11 @@
 // State returns what a successor needs. Its list of endpoints is in no particular order.
 func (b *Balancer) State() State {
 	state := b.CaptureState()
-	state.FindOwners()
+	state.ComputeOwners()
 	return state
 }
 
-// CaptureState is State without the owners of slots, which FindOwners adds: finding them takes long.
+// CaptureState is State without the owners of slots, which ComputeOwners adds: finding them takes long.
 func (b *Balancer) CaptureState() State {
 	state := State{
 		StartedAt:          b.startedAt,
@@ -108,7 +108,7 @@
 		state.ZoneTables[zone] = encodeMembers(table, endpointIndex)
 	}
 	for zone, outlier := range b.zoneOutliers {
-		state.ZoneOutliers[zone] = OutlierRecord{Failures: outlier.failures, RetryAt: outlier.retryAt}
+		state.ZoneOutliers[zone] = OutlierRecord{Failures: outlier.failures, RetryAt: outlier.ejectedUntil}
 	}
 	for _, generation := range []map[uint64]*endpointState{b.clientEndpoints[1], b.clientEndpoints[0]} {
 		for client, endpoint := range generation {
@@ -138,7 +138,7 @@
 		Cell:               e.cell,
 		Phase:              e.phase,
 		Size:               e.size,
-		Outlier:            OutlierRecord{Failures: e.failures, RetryAt: e.retryAt},
+		Outlier:            OutlierRecord{Failures: e.failures, RetryAt: e.ejectedUntil},
 		StartedAt:          e.startedAt,
 		LastResetAt:        e.lastResetAt,
 		CrashSuspected:     e.crashSuspected,
@@ -151,16 +151,16 @@
 	}
 }
 
-// FindOwners replaces the members of tables by the owners of their slots, but in tables that are too large for that. It uses nothing
+// ComputeOwners replaces the members of tables by the owners of their slots, but in tables that are too large for that. It uses nothing
 // but the state, so it may run beside the Balancer.
-func (s *State) FindOwners() {
-	claims := make([]claim, len(s.Endpoints))
+func (s *State) ComputeOwners() {
+	weightedEndpoints := make([]weightedMember, len(s.Endpoints))
 	for i := range s.Endpoints {
-		claims[i] = claim{salt: hashing.NewSalt(hashing.String(s.Endpoints[i].ID)), size: s.Endpoints[i].Size}
+		weightedEndpoints[i] = weightedMember{salt: hashing.NewSalt(hashing.String(s.Endpoints[i].ID)), size: s.Endpoints[i].Size}
 	}
-	compact := s.Table.findOwners(claims)
+	compact := s.Table.computeOwners(weightedEndpoints)
 	for zone, table := range s.ZoneTables {
-		compact = table.findOwners(claims) || compact
+		compact = table.computeOwners(weightedEndpoints) || compact
 		s.ZoneTables[zone] = table
 	}
 	if compact {
@@ -168,11 +168,11 @@
 	}
 }
 
-// findOwners replaces the members of a table and of its earlier forms, and reports whether any has kept them. claims are those of
-// the state's endpoints, by index.
-func (t *TableState) findOwners(claims []claim) (compact bool) {
+// computeOwners replaces the members of a table and of its earlier forms, and reports whether any has kept them. weightedEndpoints
+// holds the state's endpoints, by index.
+func (t *TableState) computeOwners(weightedEndpoints []weightedMember) (compact bool) {
 	if t.Previous != nil {
-		compact = t.Previous.findOwners(claims)
+		compact = t.Previous.computeOwners(weightedEndpoints)
 	}
 	if len(t.Members) == 0 {
 		return compact
@@ -181,13 +181,13 @@
 	if slots > maxEncodedOwners {
 		return true
 	}
-	memberClaims := make([]claim, len(t.Members))
+	weightedMembers := make([]weightedMember, len(t.Members))
 	for i, member := range t.Members {
-		memberClaims[i] = claims[member]
+		weightedMembers[i] = weightedEndpoints[member]
 	}
 	t.Owners = make([]int, slots)
 	for slot := range t.Owners {
-		t.Owners[slot] = t.Members[strongestClaim(slot, memberClaims)]
+		t.Owners[slot] = t.Members[rendezvousOwner(slot, weightedMembers)]
 	}
 	t.Members = nil
 	return compact
--- a/balancer/load_learning.go
+++ b/balancer/load_learning.go
@@ -53,7 +53,7 @@
 	}
 	interval := loadreport.ReportInterval(b.now-b.startedAt, b.settings.Rules.OverloadWindow, b.loadReports.FleetLoad(b.now))
 	for _, endpoint := range b.reportingEndpoints() {
-		if !b.isEjected(endpoint) && b.loadReports.ReportDue(endpoint.id, endpoint.size, b.now, interval) {
+		if !b.isEjected(endpoint) && b.loadReports.MarkRequestedIfDue(endpoint.id, endpoint.size, b.now, interval) {
 			b.emit(HealthCheck{Endpoint: endpoint.id})
 		}
 	}
@@ -75,7 +75,7 @@
 	if len(ready) <= maxReportingEndpoints {
 		return ready
 	}
-	node := hashing.Combine(reportSampleSalt, uint64(b.settings.Self))
+	node := hashing.Combine(reportSampleSalt, uint64(b.settings.NodeIndex))
 	sampledFraction := sampledEndpoints / float64(len(ready))
 	var reporting []*endpointState
 	for _, endpoint := range ready {
@@ -92,10 +92,10 @@
 // applyLoadReport follows an endpoint's report of its load; one without a load, or with a senseless one, is ignored.
 func (b *Balancer) applyLoadReport(result HealthCheckResult) {
 	endpoint := b.endpoints[result.Endpoint]
-	load, reported := result.Load[ReportLoad]
+	load, reported := result.Load[UtilizationMetric]
 	if endpoint == nil || !reported || !(load >= 0 && load <= maxReportedLoad) {
 		return
 	}
-	b.loadReports.RecordReport(endpoint.id, endpoint.size, b.now, load, result.Load[ReportConnections])
+	b.loadReports.RecordReport(endpoint.id, endpoint.size, b.now, load, result.Load[ConnectionsMetric])
 	b.rebalanceByReport(endpoint, load)
 }
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -29,9 +29,9 @@
 
 // latencyTracker holds the data from which latencies are derived, in addition to the endpoints' own samples.
 type latencyTracker struct {
-	zoneFloor   map[string]time.Duration // the lowest latency seen in a zone, which is that of the network
-	sampled map[*endpoint]bool       // the endpoints that have samples
-	reportedAt  time.Duration
+	zoneFloor  map[string]time.Duration // the lowest latency seen in a zone, which is that of the network
+	sampled    map[*endpoint]bool       // the endpoints that have samples
+	reportedAt time.Duration
 }
 
 func newLatencyTracker() latencyTracker {
--- a/internal/proxy/protocol.go
+++ b/internal/proxy/protocol.go
@@ -30,7 +30,7 @@
 	LoadQuery() []byte
 	// ParseLoadReport parses the answer to a load query. load contains the values that it reports, if any. ok is false
 	// if message is not such an answer.
-	ParseLoadReport(message []byte) (load balancer.Load, ok bool)
+	ParseLoadReport(message []byte) (load balancer.LoadReport, ok bool)
 
 	// RejectMessage returns a final answer that allows the client to retry after retryAfter.
 	RejectMessage(retryAfter time.Duration) []byte
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -34,7 +34,7 @@
 	s.countOutcome(completed)
 	p.sessions.addEstablished(s)
 	s.answered = true
-	s.setUsage(usesOpen)
+	s.setUsage(usageOpen)
 	if previous := s.request.PreviousEndpoint; previous != "" {
 		p.events.handle(s.pool, balancer.Adopted{Request: s.balancerRequest(), Endpoint: previous})
 	} else {
@@ -205,7 +205,7 @@
 func (s *session) close(status balancer.Status, last []byte) {
 	a := s.attempt
 	s.proxy.sessions.removeEstablished(s)
-	s.setUsage(usesNothing)
+	s.setUsage(usageNone)
 	s.closeDownstream(last)
 	// Data of the client may still be waiting for an endpoint that reads slowly.
 	conn := a.conn
