--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -20,7 +20,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The tests in this file pin the encodings that two processes exchange during a hot restart, and the telemetry. A
+// The golden tests pin the encodings that two processes exchange during a hot restart, and the telemetry. A
 // program version with older Go names wrote the fixtures in testdata/golden. They must never be rewritten, because
 // during an upgrade one of the two processes runs an older version.
 
--- a/internal/proxy/load_query.go
+++ b/internal/proxy/load_query.go
@@ -43,14 +43,14 @@
 
 func (q *loadQueryQueue) beginBatch() {
 	q.scheduled = false
-	some := q.pending[:min(len(q.pending), loadQueriesPerTurn)]
-	q.pending = q.pending[len(some):]
+	batch := q.pending[:min(len(q.pending), loadQueriesPerTurn)]
+	q.pending = q.pending[len(batch):]
 	if len(q.pending) > 0 {
 		q.schedule()
 	} else {
 		q.pending = nil
 	}
-	for _, query := range some {
+	for _, query := range batch {
 		q.begin(query.pool, query.endpointID)
 	}
 }
--- a/internal/proxy/turn_cost_test.go
+++ b/internal/proxy/turn_cost_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The test in this file limits the cost of a turn of the event loop, depending on the size of the endpoint list.
+// TestTurnsStayShortWithLargeLists limits the cost of a turn of the event loop by the size of the endpoint list.
 
 const (
 	// boundedEndpoints is the size of the largest list that operators run. With it every turn must take less than
