--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -63,7 +63,9 @@
 	a.candidate = nil
 	if authorization.Allowed {
 		unleased := authorization.State == fleetconfig.Disconnected || authorization.State == fleetconfig.Starting
-		if writing && unleased { // counted only before a write, since authorize is called several times
+		if writing && unleased {
+			// Counted once per attempt, right before its write. The lease client's own counter includes every call of
+			// Authorize.
 			a.counters.ServedDisconnected++
 		}
 		return 0, true
