--- a/internal/proxy/hotrestart_peer.go
+++ b/internal/proxy/hotrestart_peer.go
@@ -11,7 +11,7 @@
 // maxHeartbeatBytes bounds a received heartbeat, and the heartbeats queued for a slow process.
 const maxHeartbeatBytes = 1 << 20
 
-var errHeartbeatTooLong = errors.New("heartbeat exceeds 1 MiB")
+var errHeartbeatTooLong = errors.New("heartbeat exceeds its size limit")
 
 // heartbeat is the message that the processes send each other, one JSON object per line. Processes of different releases
 // exchange it, so the names of its JSON members must not change.
--- a/internal/proxy/hotrestart_successor.go
+++ b/internal/proxy/hotrestart_successor.go
@@ -17,7 +17,7 @@
 	maxFailedTransfers = 10
 )
 
-var errNoHeartbeat = errors.New("no heartbeat within 10s")
+var errNoHeartbeat = errors.New("no heartbeat before the timeout")
 
 // successorProcess is the process to which this one has handed over.
 type successorProcess struct {
--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -23,8 +23,8 @@
 	// tooLongQuorum is how many replicas must report a version as too long before it is rejected. With fewer replicas, all
 	// must report it.
 	tooLongQuorum = 2
-	// maxTextHeapDivisor limits a version's text to the heap limit divided by it, because decoding takes up to six times the
-	// text's size in addition to the text.
+	// maxTextHeapDivisor bounds the text of a version: it may take 1/8 of the heap limit, because decoding needs up to six times
+	// the text's size in addition to the text.
 	maxTextHeapDivisor = 8
 	// maxTextOverheadBytes is how many bytes a version's text may hold in addition to its body.
 	maxTextOverheadBytes = 1 << 20
