--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,9 +5,8 @@
 	"example.org/micafront/balancer/hashing"
 )
 
-// This file decides whether new connections are admitted.
-
-// Salts make the draws by which a client's or an endpoint's hash decides different things independent.
+// Salts for hashing.Uniform. Each decision has its own salt, so that decisions about the same client or endpoint are
+// independent of one another.
 const (
 	admissionSalt uint64 = iota
 	quotaSalt
@@ -15,7 +14,7 @@
 	reportSampleSalt
 )
 
-// updateAdmission adjusts the admission rate by the stress of this node's connections, twice within OverloadWindow.
+// updateAdmission adjusts the admission rate to the stress of this node's connections, twice per OverloadWindow.
 func (b *Balancer) updateAdmission() {
 	elapsed := b.now - b.admissionUpdatedAt
 	if elapsed < b.settings.Rules.OverloadWindow/2 {
@@ -27,9 +26,9 @@
 	b.admissionUpdatedAt = b.now
 }
 
-// admit tells whether a request is admitted. A client gets the same answer at each node and at each retry, so that
-// retries don't raise what is admitted; classes with a low priority for their load are rejected first, and before them
-// what is beyond a tenant's quota.
+// admit reports whether a request is admitted. A client gets the same answer from every node and on every retry, so
+// that retries don't raise the admitted load. Connections beyond a tenant's quota are rejected first, then those of
+// classes with a low priority for their load.
 func (b *Balancer) admit(req *request) bool {
 	if b.admissionRate >= 1 && !b.settings.LoadReports || req.Resumed || b.probeTrafficDue() {
 		return true
@@ -49,19 +48,20 @@
 	return hashing.Uniform(req.clientHash, admissionSalt) < admission.AdmittedFraction(b.admissionRate, rank)
 }
 
-// priorityDensity is a class's priority for the load of its connections.
+// priorityDensity returns the priority weight of a class divided by the expected load of one of its connections.
 func (b *Balancer) priorityDensity(class *Class) float64 {
 	return class.PriorityWeight / b.expectedLoad(class)
 }
 
-// isOverQuota tells whether a request counts as beyond its tenant's quota: with load reports all of a tenant's do until
-// it is within, else always the same clients.
+// isOverQuota reports whether a request counts as beyond its tenant's quota. With load reports, every request of a
+// tenant beyond its quota does. Without them only part of the tenant's clients do, always the same ones.
 func (b *Balancer) isOverQuota(req *request) bool {
 	fraction := b.overQuotaFraction(req)
 	return fraction > 0 && (b.settings.LoadReports || hashing.Uniform(req.clientHash, quotaSalt) > 1-fraction)
 }
 
-// overQuotaFraction is the part of a tenant's connections at this node beyond its quota; 0 without a quota.
+// overQuotaFraction returns the fraction of a tenant's connections at this node that exceeds its quota; 0 without a
+// quota.
 func (b *Balancer) overQuotaFraction(req *request) float64 {
 	quota, known := b.tenantQuotas[req.Tenant]
 	if !known {
@@ -70,8 +70,8 @@
 	return quota.OverQuotaFraction(b.activeCount, b.activeByTenant[req.Tenant], b.settings.Nodes)
 }
 
-// probeTrafficDue tells that nothing has been sent for an OverloadWindow: whoever comes is admitted then, whatever the
-// load, since a node that rejects everything learns of no recovery.
+// probeTrafficDue reports whether no attempt was sent for an OverloadWindow. The next request is then admitted whatever
+// the load, because a node that rejects every request would never notice a recovery.
 func (b *Balancer) probeTrafficDue() bool {
 	return b.now-b.lastAttemptAt >= b.settings.Rules.OverloadWindow
 }
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// This file is the life of a request: its attempts, retries and final answer.
+// Request handling: attempts, retries and the final answer.
 
 func (b *Balancer) handleRequest(event Request) {
 	if b.requests[event.ID] != nil {
 		return
 	}
 	req := b.newRequest(event)
-	// The timer is early enough that the answer is out before the client leaves.
+	// The timer fires early, so that the answer is sent before the client gives up.
 	remaining := req.Deadline - b.settings.Rules.AnswerSlack/2 - b.now
 	if remaining <= 0 {
 		b.rejectOrFail(req, NoTimeLeft)
@@ -40,7 +40,7 @@
 	b.startDrain(endpoint)
 }
 
-// sendNextAttempt sends the next attempt, or answers where there is none.
+// sendNextAttempt sends the next attempt, or the final answer if no attempts or no time are left.
 func (b *Balancer) sendNextAttempt(req *request) {
 	remaining := req.Deadline - b.now
 	switch {
@@ -49,12 +49,12 @@
 	case remaining <= b.settings.Rules.AnswerSlack:
 		b.rejectOrFail(req, NoTimeLeft)
 	default:
-		b.attemptSelected(req, remaining)
+		b.sendToSelectedEndpoint(req, remaining)
 	}
 }
 
-// attemptSelected sends an attempt to the endpoint that is selected for it, or answers where there is none.
-func (b *Balancer) attemptSelected(req *request, remaining time.Duration) {
+// sendToSelectedEndpoint sends an attempt to the selected endpoint, or the final answer if no endpoint can be selected.
+func (b *Balancer) sendToSelectedEndpoint(req *request, remaining time.Duration) {
 	endpoint := b.selectEndpoint(req)
 	switch {
 	case endpoint != nil:
@@ -66,7 +66,8 @@
 	}
 }
 
-// maxAttempts is how many attempts a request may have: the limit, or less where it carries one of its own.
+// maxAttempts returns the maximum number of attempts for a request: the configured limit, or the request's own if
+// lower.
 func (b *Balancer) maxAttempts(req *request) int {
 	if req.MaxAttempts > 0 {
 		return min(req.MaxAttempts, b.settings.Limits.Attempts)
@@ -74,8 +75,8 @@
 	return b.settings.Limits.Attempts
 }
 
-// startAttempt sends an attempt. One that may be followed by another gets half of the remaining time, or ConnectTimeout
-// where that is longer.
+// startAttempt sends an attempt. If another attempt may follow, the timeout is the longer of half the remaining time
+// and ConnectTimeout.
 func (b *Balancer) startAttempt(req *request, endpoint *endpointState, remaining time.Duration) {
 	timeout := remaining - b.settings.Rules.AnswerSlack/2
 	if req.attempts+1 < b.maxAttempts(req) {
@@ -105,7 +106,7 @@
 	b.rememberEndpoint(req)
 	b.markAnswered(req)
 	b.recordSuccess(req.endpoint)
-	b.startDrain(req.endpoint) // it may drain since the attempt was sent
+	b.startDrain(req.endpoint) // the endpoint may have begun to drain during the attempt
 }
 
 func (b *Balancer) handleAttemptEnd(event AttemptEnded) {
@@ -115,7 +116,7 @@
 	}
 	endpoint := req.endpoint
 	if req.established && (req.migrating || event.Status != Canceled) {
-		b.forgetEndpoint(req) // a cancel alone may mean that its packets go through another node now
+		b.forgetEndpoint(req) // a cancellation alone may mean that the client's packets now arrive at another node
 	}
 	b.removeActive(req)
 	if !event.Status.NeverExecuted() && req.executedOn == nil {
@@ -123,7 +124,7 @@
 		req.executedAt = req.sentAt
 	}
 	b.recordAttemptStatus(req, endpoint, event.Status)
-	// Whatever the status, the next trial may be sent.
+	// A trial is over whatever its status, so the next one may be sent.
 	endpoint.trialInFlight = false
 	b.zoneOutlier(endpoint).trialInFlight = false
 	if event.Final || req.established || req.answered {
@@ -133,7 +134,7 @@
 	b.sendNextAttempt(req)
 }
 
-// recordAttemptStatus takes the evidence on an endpoint that an ended attempt gives.
+// recordAttemptStatus updates the outlier and overload state of an endpoint from the status of an ended attempt.
 func (b *Balancer) recordAttemptStatus(req *request, endpoint *endpointState, status Status) {
 	switch status {
 	case OK:
@@ -155,7 +156,7 @@
 	}
 }
 
-// rejectOrFail gives the final answer: a rejection where a retry is known to be safe, else a failure.
+// rejectOrFail sends the final answer: a rejection if the client can safely retry the request, otherwise a failure.
 func (b *Balancer) rejectOrFail(req *request, reason AnswerReason) {
 	if req.answered {
 		return
@@ -174,14 +175,15 @@
 	b.markAnswered(req)
 }
 
-// mayReject tells whether the client may repeat a request wherever it likes.
+// mayReject reports whether the client can safely repeat a request at any endpoint.
 func (b *Balancer) mayReject(req *request) bool {
 	neverExecuted := req.executedOn == nil && req.endpoint == nil
 	discardedEverywhere := req.class.Effect == Keyed && req.class.DedupScope == ScopeAll
 	return req.class.Effect == Safe || neverExecuted || discardedEverywhere
 }
 
-// mayRetryOn tells whether another attempt at an endpoint is allowed after those so far.
+// mayRetryOn reports whether another attempt may be sent to an endpoint. Once an attempt may have been executed, a
+// keyed request is retried only within its deduplication window and scope, and an unsafe one is not retried.
 func (b *Balancer) mayRetryOn(req *request, endpoint *endpointState) bool {
 	if req.executedOn == nil || req.class.Effect == Safe {
 		return true
@@ -198,7 +200,7 @@
 	return true
 }
 
-// cancelAttempt gives up an attempt that serves nobody any more.
+// cancelAttempt cancels an attempt whose result is no longer needed. Established connections are not canceled.
 func (b *Balancer) cancelAttempt(req *request) {
 	if req.endpoint != nil && !req.established && b.settings.Limits.Cancel {
 		b.emit(Cancel{ID: req.ID, Attempt: req.attempts - 1})
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -1,20 +1,21 @@
 package balancer
 
-// This file sums up what the fleet can do.
+// Capacity of the fleet and of this node's zone.
 
 // epsilon keeps divisors above zero.
 const epsilon = 1e-9
 
-// Zones are taken to have like traffic. One with less than its part of the capacity sends keys to other zones: soon where
-// it has just lost some, with the connections that it has, else only when more would overload it.
+// Zones are assumed to have similar traffic. A zone with less than its share of the fleet's capacity sends keys to other
+// zones. A zone that has just lost capacity does so early, because its remaining endpoints already hold connections; any
+// other zone does so only when more keys would overload it.
 const (
-	settledZoneSlack   = 2
-	shrunkenZoneSlack  = 1.25
-	shrunkenZoneFactor = 0.75 // of the settled share; below that the zone has lost endpoints
+	stableZoneSlack       = 2
+	shrunkenZoneSlack     = 1.25
+	shrunkenZoneThreshold = 0.75 // fraction of baselineLocalShare; a zone below it has lost endpoints
 )
 
-// recomputeCapacity sums once an epoch what the fleet can do now: the load of an endpoint that is warming up or ejected
-// is carried by the others, which must not look full for it.
+// recomputeCapacity sums the capacity that the fleet and this zone have now, once per epoch. Endpoints that are warming
+// up count in part and ejected ones not at all, so that the endpoints that carry their load don't appear full.
 func (b *Balancer) recomputeCapacity(ready []*endpointState) {
 	b.fleetCapacity = 0
 	b.localCapacity = 0
@@ -36,13 +37,14 @@
 		b.baselineLocalShare = localShare
 	}
 	slack := shrunkenZoneSlack
-	if localShare >= shrunkenZoneFactor*b.baselineLocalShare {
-		slack = settledZoneSlack
+	if localShare >= shrunkenZoneThreshold*b.baselineLocalShare {
+		slack = stableZoneSlack
 	}
 	b.localKeyFraction = slack * localShare
 }
 
-// overloadedShare is the part of the fleet, by size, that admits less than half of its keys because of overload.
+// overloadedShare returns the fraction of the fleet, by size, that is sent less than half of its keys because of
+// overload.
 func (b *Balancer) overloadedShare() float64 {
 	total, overloaded := 0.0, 0.0
 	for _, endpoint := range b.readyEndpoints() {
--- a/balancer/draining.go
+++ b/balancer/draining.go
@@ -1,13 +1,15 @@
 package balancer
 
-// This file migrates connections off draining endpoints.
+// Migration of connections off draining endpoints.
 
-// drainSteps is in how many parts the connections of a draining endpoint are migrated, over DrainGrace: all at once
-// would reconnect at the same time, to endpoints that have yet to take over the share of the draining one.
+// drainSteps is the number of steps, spread over DrainGrace, in which the connections of a draining endpoint are
+// migrated. In a single step all clients would reconnect at the same time, to endpoints that have yet to take over the
+// share of the draining one.
 const drainSteps = 10
 
-// startDrain schedules the migration of what is established at a draining endpoint, before it stops and resets that.
-// It begins with the next epoch, when the table has other endpoints for its keys; earlier, groups would be scattered.
+// startDrain schedules the migration of the established connections of a draining endpoint, before the endpoint stops
+// and resets them. Migration begins with the next epoch, when the slot table assigns the endpoint's keys to other
+// endpoints; earlier, groups would be scattered.
 func (b *Balancer) startDrain(endpoint *endpointState) {
 	if endpoint.phase != Draining || endpoint.drainStepsLeft > 0 || len(endpoint.active) == 0 {
 		return
@@ -17,8 +19,8 @@
 	b.setTimer(drainTimerPrefix+endpoint.id, b.nextEpochAt()-b.now)
 }
 
-// drainStep migrates one part. While new clients are rejected it waits for a time: migrated ones would be rejected
-// elsewhere, and the draining endpoint still serves them.
+// drainStep migrates one part of the connections. While the admission rate is below 1 it waits until drainForcedAt,
+// because migrated clients would be rejected elsewhere and the draining endpoint still serves them.
 func (b *Balancer) drainStep(endpoint *endpointState) {
 	if endpoint.phase != Draining {
 		endpoint.drainStepsLeft = 0 // ready again, or removed with all its connections
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -6,33 +6,33 @@
 	"example.org/micafront/balancer/hashing"
 )
 
-// This file holds what a node knows of one endpoint. It decides nothing.
+// State and accounting of endpoints. Decisions are made in other files.
 
-// outlierState counts the failures of an endpoint, or of the way to a zone, since the last success, and the half-open
-// trials that follow them, as in a circuit breaker.
+// outlierState is the circuit breaker of an endpoint or of the path to a zone: the failures since the last success, and
+// the half-open trials that follow them.
 type outlierState struct {
 	failures      int
 	ejectedUntil  Instant // 0: no failure since the last success
-	trialInFlight bool    // the one request that probes for a recovery is out
+	trialInFlight bool    // the only request that tests for a recovery is in flight
 }
 
-// endpointState is an endpoint, as service discovery lists it and as this node finds it.
+// endpointState is an endpoint, as service discovery lists it and as this node observes it.
 type endpointState struct {
 	id    string
-	hash  uint64 // of the id
-	phase Phase  // setPhase changes it
+	hash  uint64 // hash of id
+	phase Phase  // changed only by setPhase
 
-	inReadyList      bool   // it is one of the ready list's as that was last read
-	lastListedUpdate uint64 // which of the updates named it last
+	inReadyList      bool   // whether the ready list contained it when last read
+	lastListedUpdate uint64 // number of the latest update that lists it
 
 	size      float64 // relative capacity
 	zone      string
 	cell      int
-	startedAt Instant // of its latest start as far as known; 0: long ago
+	startedAt Instant // latest known start; 0: long ago
 	outlierState
 
 	active     []*request // attempts in flight and connections of this node
-	activeLoad float64    // of those, in mean connections
+	activeLoad float64    // sum over active, in mean connections
 
 	drainStepsLeft int     // 0: not draining, or all connections have been migrated
 	drainForcedAt  Instant // when migration begins even if the admission rate is below 1
@@ -41,15 +41,15 @@
 	lastResetAt    Instant // when an established connection was last reset
 
 	messageLatency   time.Duration // as last reported
-	messageLatencyAt Instant       // when that was; 0: never
+	messageLatencyAt Instant       // time of that report; 0: none
 
-	admittedFraction   float64 // of its keys, below 1 under overload, as of admittedFractionAt
+	admittedFraction   float64 // fraction of its keys that it is sent, as of admittedFractionAt; below 1 under overload
 	admittedFractionAt Instant
 	slowStartTokens    float64 // token bucket of slow start, as of slowStartTokensAt
 	slowStartTokensAt  Instant
 }
 
-// newEndpoint registers an endpoint that is not listed yet.
+// newEndpoint adds an endpoint that was not listed before. The caller sets its phase.
 func (b *Balancer) newEndpoint(id string) *endpointState {
 	endpoint := &endpointState{id: id, hash: hashing.String(id), phase: Removed, admittedFraction: 1}
 	b.refillSlowStart(endpoint)
@@ -57,13 +57,13 @@
 	return endpoint
 }
 
-// refillSlowStart starts an endpoint's token bucket at a random level.
+// refillSlowStart sets an endpoint's token bucket to a random level.
 func (b *Balancer) refillSlowStart(endpoint *endpointState) {
 	endpoint.slowStartTokens = b.random.Float64()
 	endpoint.slowStartTokensAt = b.now
 }
 
-// resetProcessState forgets what was known of an earlier process of the endpoint.
+// resetProcessState clears what was observed of an earlier process of the endpoint.
 func (e *endpointState) resetProcessState() {
 	e.outlierState = outlierState{}
 	e.crashSuspected = false
@@ -71,7 +71,7 @@
 	e.messageLatency = 0
 }
 
-// established lists the connections at an endpoint, without those whose clients have been asked to migrate.
+// established returns the connections at an endpoint, except those whose clients have been asked to migrate.
 func (e *endpointState) established() []*request {
 	var open []*request
 	for _, req := range e.active {
@@ -82,7 +82,7 @@
 	return open
 }
 
-// zoneOutlier is the outlier state of the way to an endpoint's zone.
+// zoneOutlier returns the outlier state of the path to an endpoint's zone.
 func (b *Balancer) zoneOutlier(endpoint *endpointState) *outlierState {
 	zone := b.zoneOutliers[endpoint.zone]
 	if zone == nil {
@@ -92,12 +92,12 @@
 	return zone
 }
 
-// isLocal tells whether an endpoint is one of the local table's.
+// isLocal reports whether an endpoint is in this node's zone and that zone has a table.
 func (b *Balancer) isLocal(endpoint *endpointState) bool {
 	return !b.localTable.isEmpty() && endpoint.zone == b.settings.Zone
 }
 
-// addActive counts an attempt or a connection at an endpoint.
+// addActive assigns a request to an endpoint and counts it there.
 func (b *Balancer) addActive(req *request, endpoint *endpointState) {
 	req.endpoint = endpoint
 	req.activeIndex = len(endpoint.active)
@@ -122,7 +122,7 @@
 	b.activeLoad -= req.load
 	req.endpoint = nil
 	req.load = 0
-	// Sums of floating-point numbers drift; they start afresh where nothing is left.
+	// Floating-point sums drift. They are reset to 0 when nothing is active.
 	if last == 0 {
 		endpoint.activeLoad = 0
 	}
@@ -138,7 +138,7 @@
 	req.load = load
 }
 
-// pruneRemoved forgets removed endpoints without connections of this node.
+// pruneRemoved deletes removed endpoints that have no active requests of this node.
 func (b *Balancer) pruneRemoved() {
 	for id, endpoint := range b.endpoints {
 		if endpoint.phase == Removed && len(endpoint.active) == 0 {
--- a/balancer/endpoint_update.go
+++ b/balancer/endpoint_update.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// This file follows service discovery.
+// Endpoint updates from service discovery.
 
-// applyEndpointUpdate applies a list, or the failure to get one.
+// applyEndpointUpdate applies an endpoint list, or schedules a retry if the list could not be fetched.
 func (b *Balancer) applyEndpointUpdate(update EndpointUpdate) {
 	if update.Kind == ListFailed {
 		b.scheduleWatchRetry()
@@ -17,7 +17,7 @@
 		b.watchFailures = 0
 	}
 	if len(b.endpoints) == 0 {
-		b.endpoints = make(map[string]*endpointState, len(update.Entries)) // of this size at once
+		b.endpoints = make(map[string]*endpointState, len(update.Entries)) // allocated once, at the final size
 	}
 	b.updates++
 	for i := range update.Entries {
@@ -31,7 +31,7 @@
 	}
 }
 
-// removeUnlisted removes the endpoints that the present update, a whole list, does not name.
+// removeUnlisted removes the endpoints that are missing from the current update, which is a complete list.
 func (b *Balancer) removeUnlisted() {
 	for _, endpoint := range b.endpoints {
 		if endpoint.lastListedUpdate != b.updates && endpoint.phase != Removed {
@@ -50,7 +50,7 @@
 		b.setPhase(endpoint, entry.Phase)
 		b.startDrain(endpoint)
 	}
-	// The first size is kept while the endpoint owns slots: one that changes from list to list must not move keys.
+	// The first size is kept while the endpoint owns slots. A size that changes from list to list must not move keys.
 	if endpoint.size == 0 {
 		endpoint.size = 1
 		if entry.Size > 0 && !math.IsInf(entry.Size, 0) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// startWithFirstList builds the tables and starts the periodic work.
+// startWithFirstList builds the slot tables and starts the periodic work.
 func (b *Balancer) startWithFirstList() {
 	b.started = true
 	b.startedAt = b.now
@@ -81,18 +81,20 @@
 	b.recomputeCapacity(ready)
 	b.scheduleLoadReports()
 	if b.settings.Subscribe {
-		// All nodes may start at once: the delay spreads the calls, which a registry of fixed size answers in turn.
+		// All nodes may start at once. A random delay spreads their calls, because a registry of fixed size answers them
+		// one after another.
 		spread := min(b.settings.Rules.DiscoveryInterval/4, maxFirstWatchDelay)
 		b.setTimer(watchTimer, time.Duration(b.random.Float64()*float64(spread)))
 	}
 }
 
+// maxFirstWatchDelay makes a node subscribe soon after its start, however long DiscoveryInterval is.
 const maxFirstWatchDelay = 2500 * time.Millisecond
 
-// maxWatchDoublings bounds the backoff of the watch to four times its first pause.
+// maxWatchDoublings limits the backoff of watch retries to four times the first pause.
 const maxWatchDoublings = 2
 
-// scheduleWatchRetry subscribes again, later each time and with jitter, always within DiscoveryInterval.
+// scheduleWatchRetry schedules a new subscription with exponential backoff and jitter, always within DiscoveryInterval.
 func (b *Balancer) scheduleWatchRetry() {
 	if !b.settings.Subscribe || b.watchRetryPending {
 		return
--- a/balancer/load_learning.go
+++ b/balancer/load_learning.go
@@ -8,17 +8,18 @@
 	"example.org/micafront/balancer/loadreport"
 )
 
-// This file learns what connections and endpoints are loaded with.
+// Observed loads of connections and endpoints.
 
-// meanLoadDivisor is the part by which mean loads move: connections of one class differ by several times.
+// meanLoadDivisor is the inverse of the weight of one report in the moving averages of connection loads. The weight is
+// low because the loads of connections of one class differ by several times.
 const meanLoadDivisor = 32
 
 // minMeanLoad keeps relative loads finite.
 const minMeanLoad = 1e-12
 
-// observeLoad follows a report of a connection's load.
+// observeLoad records a report of a connection's load.
 func (b *Balancer) observeLoad(req *request, load float64) {
-	for _, class := range []string{"", req.class.Name} { // "": over all classes
+	for _, class := range []string{"", req.class.Name} { // "" is the mean over all classes
 		if mean, known := b.meanLoads[class]; known {
 			b.meanLoads[class] = mean + (load-mean)/meanLoadDivisor
 		} else {
@@ -28,7 +29,8 @@
 	b.setRequestLoad(req, load/max(b.meanLoads[""], minMeanLoad))
 }
 
-// expectedLoad is the load of a class's connection in mean connections; 1 where none was reported.
+// expectedLoad returns the mean load of a class's connections, in mean connections of all classes; 1 if none was
+// reported.
 func (b *Balancer) expectedLoad(class *Class) float64 {
 	if mean := b.meanLoads[class.Name]; mean > 0 {
 		return mean / b.meanLoads[""]
@@ -36,7 +38,8 @@
 	return 1
 }
 
-// placementLoad is what a request adds to an endpoint, in mean connections: more where it is the first of its group.
+// placementLoad returns the load that a request adds to an endpoint, in mean connections. The first request of a group
+// at an endpoint also adds the cost of the group.
 func (b *Balancer) placementLoad(req *request, endpoint *endpointState) float64 {
 	sameGroup := func(other *request) bool { return other != req && other.Group == req.Group }
 	if req.Group == "" || slices.ContainsFunc(endpoint.active, sameGroup) {
@@ -45,8 +48,8 @@
 	return b.expectedLoad(req.class) + loadreport.GroupCost
 }
 
-// scheduleLoadReports asks for the load reports that are due, and again after a pause with jitter, so that nodes don't
-// ask in step.
+// scheduleLoadReports requests the load reports that are due and sets the timer for the next round. Jitter keeps the
+// nodes from sending their requests at the same time.
 func (b *Balancer) scheduleLoadReports() {
 	if !b.settings.LoadReports {
 		return
@@ -61,15 +64,17 @@
 }
 
 const (
-	// maxReportingEndpoints is up to how many endpoints all are asked for their load. Each costs a connection that is kept, and an
-	// answer every interval, and neither may grow with the list.
+	// maxReportingEndpoints is the list length up to which all endpoints are asked for their load. Each endpoint costs
+	// a persistent connection and an answer per interval, and neither cost may grow with the list.
 	maxReportingEndpoints = 256
-	// sampledEndpoints is of how many others a node asks in a larger list, in the mean: the fleet's load is estimated by them.
+	// sampledEndpoints is the mean number of other endpoints that a node asks in a longer list, to estimate the load of
+	// the fleet.
 	sampledEndpoints = 128
 )
 
-// reportingEndpoints are the endpoints that are asked for their load, by ID: all, or in a large list those that have connections
-// of this node and a sample. The sample differs from node to node and is the same from time to time, so that connections last.
+// reportingEndpoints returns the endpoints that are asked for their load, sorted by ID: all of a short list; of a long
+// one those with active requests of this node and a sample. The sample differs between nodes but is the same over time,
+// so that connections can be kept.
 func (b *Balancer) reportingEndpoints() []*endpointState {
 	ready := b.readyEndpoints()
 	if len(ready) <= maxReportingEndpoints {
@@ -86,10 +91,10 @@
 	return reporting
 }
 
-// maxReportedLoad is beyond any load that an endpoint can mean.
+// maxReportedLoad is the highest load that is accepted in a report; more can only be an error.
 const maxReportedLoad = 1e6
 
-// applyLoadReport follows an endpoint's report of its load; one without a load, or with a senseless one, is ignored.
+// applyLoadReport processes an endpoint's load report. A report without a load, or with an invalid one, is ignored.
 func (b *Balancer) applyLoadReport(result HealthCheckResult) {
 	endpoint := b.endpoints[result.Endpoint]
 	load, reported := result.Load[ReportLoad]
--- a/balancer/loadreport/thresholds.go
+++ b/balancer/loadreport/thresholds.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// ReportInterval is how often an endpoint is asked for a report: once within overloadWindow, the time in which overload
-// does harm, while the fleet has little load; three times as often once it has more; ten times in the first window after a
-// node's start, when nothing is known and all clients reconnect at once.
+// ReportInterval returns the interval at which an endpoint is asked for a report: overloadWindow, the time in which
+// overload does harm, while the fleet load is low, and a third of it above that. In the first window after a node's
+// start it is a tenth, because nothing is known yet and all clients reconnect at once.
 func ReportInterval(sinceStart, overloadWindow time.Duration, fleetLoad float64) time.Duration {
-	const littleLoad = 0.45
+	const lowFleetLoad = 0.45
 	switch {
 	case sinceStart < overloadWindow:
 		return overloadWindow / 10
-	case fleetLoad < littleLoad:
+	case fleetLoad < lowFleetLoad:
 		return overloadWindow
 	}
 	return overloadWindow / 3
 }
 
-// LoadBound is the load up to which a key stays with its first endpoint. Consistent hashing with bounded loads (Mirrokni,
-// Thorup, Zadimoghaddam 2016) bounds each server by a constant times the mean; here that constant is 1.1. Groups are then
-// on few endpoints, and none of those is far above the others. Below the least bound nothing queues anywhere; above the
-// greatest one messages begin to be late as loads swing.
+// LoadBound returns the load up to which a key stays with its first endpoint. Consistent hashing with bounded loads
+// (Mirrokni, Thorup, Zadimoghaddam 2016) bounds the load of each server by a constant times the mean; here the constant
+// is 1.1. Each group is then on few endpoints, none of which is loaded far above the others. Below the lowest bound, no
+// endpoint queues work; above the highest one, messages begin to be late when loads fluctuate.
 func LoadBound(meanLoad float64) float64 {
-	const factor, least, greatest = 1.1, 0.3, 0.65
-	return math.Min(math.Max(factor*meanLoad, least), greatest)
+	const factor, lowest, highest = 1.1, 0.3, 0.65
+	return math.Min(math.Max(factor*meanLoad, lowest), highest)
 }
 
-// ExcessFraction is the part of an endpoint's connections that should leave it, by its load. Above its capacity work
-// queues up and none of the connections is served in time; as loads swing, it is relieved down to three quarters.
+// ExcessFraction returns the fraction of an endpoint's connections that should be migrated off it at a load. Above its
+// capacity, work queues up and no connection is served in time. Loads fluctuate, so the target is three quarters of the
+// capacity.
 func ExcessFraction(load float64) float64 {
 	const capacity, target = 1, 0.75
 	if load <= capacity {
--- a/balancer/loadreport/tracker.go
+++ b/balancer/loadreport/tracker.go
@@ -1,8 +1,10 @@
-// Package loadreport evaluates the load reports of endpoints: when to ask for one, what the load is by the time that a
-// connection arrives, how far an endpoint may be loaded above the mean, and how much should leave an overloaded one.
-// Package balancer decides by it. It has no I/O and no clock.
+// Package loadreport evaluates the load reports of endpoints. It decides when to request a report, estimates the
+// current load from the last report, and determines how far an endpoint's load may exceed the mean and how much load
+// should leave an overloaded endpoint. Package balancer bases its placement and migration decisions on it. It performs
+// no I/O and reads no clock.
 //
-// Loads are fractions of what an endpoint, or the fleet, can serve: 1 is all of it. Connections count in mean ones.
+// Loads are fractions of the capacity of an endpoint or of the fleet: 1 is full capacity. Numbers of connections are in
+// mean connections, each with the mean load of all connections.
 package loadreport
 
 import (
@@ -13,165 +15,169 @@
 	"time"
 )
 
-// GroupCost is what an endpoint pays for a group as soon as it has any of its connections, in mean connections. The
-// settings tell only that groups cost something (FamilyInfo.Groups); both operators' site files say 3. Between 2 and
-// 5 decisions do not differ by what can be measured (docs/results/second-site.md).
+// GroupCost is the load of a group on every endpoint that holds at least one of its connections, in mean connections.
+// The settings say only that groups have a cost (FamilyInfo.Groups); both operators' site files give 3. Decisions
+// hardly depend on the value between 2 and 5 (docs/results/second-site.md).
 const GroupCost = 3
 
-// quotaHeadroom is the capacity of the fleet over the connections that tenants' quotas promise: the rest pays for groups.
+// quotaHeadroom is the capacity of the fleet divided by the connections that tenants' quotas promise. The excess covers
+// the cost of groups.
 const quotaHeadroom = 1.5
 
-// LoadRecord is what is known of one endpoint's load.
+// LoadRecord contains what this node knows of the load of one endpoint.
 type LoadRecord struct {
 	Size           float64       // relative capacity
-	ReportedLoad   float64       `json:"Told"`    // by the last report
-	SentLoad       float64       `json:"Sent"`    // what this node has added since
-	ConnectionLoad float64       `json:"Each"`    // what one mean connection adds; 0: not reported yet
-	ReportedAt     time.Duration `json:"ToldAt"`  // when the last report came; 0: none did
-	RequestedAt    time.Duration `json:"AskedAt"` // when a report was last asked for; 0: never
+	ReportedLoad   float64       `json:"Told"`    // in the last report
+	SentLoad       float64       `json:"Sent"`    // added by this node since the last report
+	ConnectionLoad float64       `json:"Each"`    // of one mean connection; 0: not reported yet
+	ReportedAt     time.Duration `json:"ToldAt"`  // time of the last report; 0: none
+	RequestedAt    time.Duration `json:"AskedAt"` // time of the last request for a report; 0: never
 }
 
-// Tracker holds the evidence on all endpoints. The zero value knows nothing; Configure comes first.
+// Tracker holds the load records of all endpoints. The zero value must be set up with Configure before use.
 type Tracker struct {
 	byEndpoint       map[string]*LoadRecord
-	sorted           []tracked // of byEndpoint, by ID, so that sums don't depend on the order of a map
-	totalSize        float64   // of all endpoints; 0: it has changed and is to be summed again
+	sorted           []trackedEndpoint // byEndpoint sorted by ID, so that sums don't depend on the map order
+	totalSize        float64           // of all endpoints; 0: must be computed again
 	nodes            float64
-	maxAge           time.Duration // older evidence says nothing of the fleet: the endpoint is no longer asked
-	fleetConnections float64       // mean connections that fill the fleet by the tenants' quotas; 0: unknown
+	maxAge           time.Duration // FleetLoad ignores older reports: the endpoint is no longer asked
+	fleetConnections float64       // mean connections that fill the fleet, derived from the quotas; 0: unknown
 }
 
-// tracked is an endpoint's evidence with its ID.
-type tracked struct {
+// trackedEndpoint is the load record of an endpoint with its ID.
+type trackedEndpoint struct {
 	id     string
 	record *LoadRecord
 }
 
-func compareTracked(t tracked, id string) int { return cmp.Compare(t.id, id) }
+func compareTrackedID(t trackedEndpoint, id string) int { return cmp.Compare(t.id, id) }
 
-// Configure takes what follows from the settings: the number of nodes, the time in which overload does harm, and how many
-// connections the tenants' quotas promise in all, 0 where they do not say.
+// Configure sets the parameters that follow from the settings: the number of nodes, the time in which overload does
+// harm, and the total number of connections that the tenants' quotas promise, 0 if unknown.
 func (t *Tracker) Configure(nodes int, overloadWindow time.Duration, quotaConnections float64) {
 	t.nodes = float64(nodes)
 	t.maxAge = 2 * overloadWindow
 	t.fleetConnections = quotaConnections * quotaHeadroom
 }
 
-// record returns an endpoint's record, new if there is none.
+// record returns the load record of an endpoint, and creates it if necessary.
 func (t *Tracker) record(id string, size float64) *LoadRecord {
-	evidence := t.byEndpoint[id]
-	if evidence == nil {
+	record := t.byEndpoint[id]
+	if record == nil {
 		if t.byEndpoint == nil {
 			t.byEndpoint = map[string]*LoadRecord{}
 		}
-		evidence = &LoadRecord{}
-		t.byEndpoint[id] = evidence
-		position, _ := slices.BinarySearchFunc(t.sorted, id, compareTracked)
-		t.sorted = slices.Insert(t.sorted, position, tracked{id, evidence})
+		record = &LoadRecord{}
+		t.byEndpoint[id] = record
+		position, _ := slices.BinarySearchFunc(t.sorted, id, compareTrackedID)
+		t.sorted = slices.Insert(t.sorted, position, trackedEndpoint{id, record})
 	}
-	if evidence.Size != size {
-		evidence.Size = size
+	if record.Size != size {
+		record.Size = size
 		t.totalSize = 0
 	}
-	return evidence
+	return record
 }
 
-// RecordReport takes a report: the load, and how many connections the endpoint has. What was sent since it was asked for
-// is in it or will be in the next one.
+// RecordReport records a report: the load of an endpoint and its number of connections. Load that was sent after the
+// report was requested is part of it or of the next one.
 func (t *Tracker) RecordReport(id string, size float64, now time.Duration, load, connections float64) {
-	evidence := t.record(id, size)
-	evidence.ReportedLoad = load
-	evidence.SentLoad = 0
-	evidence.ReportedAt = now
+	record := t.record(id, size)
+	record.ReportedLoad = load
+	record.SentLoad = 0
+	record.ReportedAt = now
 	if connections >= 1 && load > 0 {
-		// Connections come in groups, each of which costs: one, or two where there are several connections.
+		// The number of groups is not reported. A single connection has one group; several are assumed to have two.
 		groups := math.Min(connections, 2)
-		evidence.ConnectionLoad = load / (connections + GroupCost*groups)
+		record.ConnectionLoad = load / (connections + GroupCost*groups)
 	}
 }
 
-// RecordSent counts what this node sends an endpoint, in mean connections with the cost of the group.
+// RecordSent adds the load of a request that this node sent to an endpoint, in mean connections with the cost of its
+// group.
 func (t *Tracker) RecordSent(id string, size, connections float64) {
-	evidence := t.record(id, size)
-	evidence.SentLoad += connections * t.connectionLoad(evidence)
+	record := t.record(id, size)
+	record.SentLoad += connections * t.connectionLoad(record)
 }
 
-// connectionLoad is what one mean connection adds. Where no report has told, it follows from the tenants' quotas.
-func (t *Tracker) connectionLoad(evidence *LoadRecord) float64 {
-	if evidence.ConnectionLoad > 0 || t.fleetConnections == 0 {
-		return evidence.ConnectionLoad
+// connectionLoad returns the load of one mean connection. Until an endpoint reports it, it is derived from the tenants'
+// quotas.
+func (t *Tracker) connectionLoad(record *LoadRecord) float64 {
+	if record.ConnectionLoad > 0 || t.fleetConnections == 0 {
+		return record.ConnectionLoad
 	}
 	if t.totalSize == 0 {
 		for _, entry := range t.sorted {
 			t.totalSize += entry.record.Size
 		}
 	}
-	return t.totalSize / t.fleetConnections / evidence.Size
+	return t.totalSize / t.fleetConnections / record.Size
 }
 
-// ExpectedLoad is an endpoint's load by now, with so many more mean connections: what it reported, and what all nodes
-// are likely to have sent since. Clients are spread evenly over a zone's nodes, and zones differ, so half of the nodes are
-// taken to have sent as much as this one.
+// ExpectedLoad returns the estimated load of an endpoint after it takes a number of additional mean connections: the
+// reported load, what all nodes have probably sent since, and the additional connections. Clients are spread evenly
+// over a zone's nodes but zones differ, so half of the nodes are assumed to have sent as much as this one.
 func (t *Tracker) ExpectedLoad(id string, size, connections float64) float64 {
-	evidence := t.record(id, size)
-	return t.presentLoad(evidence) + connections*t.connectionLoad(evidence)
+	record := t.record(id, size)
+	return t.currentLoad(record) + connections*t.connectionLoad(record)
 }
 
-// presentLoad is the load by now.
-func (t *Tracker) presentLoad(evidence *LoadRecord) float64 {
-	likeNodes := math.Max(t.nodes/2, 1)
-	return evidence.ReportedLoad + likeNodes*evidence.SentLoad
+// currentLoad returns the estimated load of an endpoint: the reported load and what all nodes have probably sent since.
+func (t *Tracker) currentLoad(record *LoadRecord) float64 {
+	sendingNodes := math.Max(t.nodes/2, 1)
+	return record.ReportedLoad + sendingNodes*record.SentLoad
 }
 
-// FleetLoad is what is asked of the fleet over what it can serve, by the reports that are fresh and what was sent since;
-// 0 where nothing is known.
+// FleetLoad returns the load of the fleet as a fraction of its capacity, from the recent reports and what was sent
+// since; 0 if nothing is known.
 func (t *Tracker) FleetLoad(now time.Duration) float64 {
-	asked, capacity := 0.0, 0.0
+	demand, capacity := 0.0, 0.0
 	for _, entry := range t.sorted {
-		evidence := entry.record
-		if evidence.ReportedAt == 0 || now-evidence.ReportedAt > t.maxAge {
+		record := entry.record
+		if record.ReportedAt == 0 || now-record.ReportedAt > t.maxAge {
 			continue
 		}
-		capacity += evidence.Size
-		asked += evidence.Size * t.presentLoad(evidence)
+		capacity += record.Size
+		demand += record.Size * t.currentLoad(record)
 	}
-	return asked / math.Max(capacity, 1e-9)
+	return demand / math.Max(capacity, 1e-9)
 }
 
-// MarkRequestedIfDue tells whether to ask an endpoint for a report now, so that it is asked once per interval, and notes it if so.
+// MarkRequestedIfDue reports whether a report of an endpoint should be requested now, and if so records the time of the
+// request. It returns true at most once per interval.
 func (t *Tracker) MarkRequestedIfDue(id string, size float64, now, interval time.Duration) bool {
-	evidence := t.record(id, size)
-	if evidence.RequestedAt != 0 && now-evidence.RequestedAt < interval {
+	record := t.record(id, size)
+	if record.RequestedAt != 0 && now-record.RequestedAt < interval {
 		return false
 	}
-	evidence.RequestedAt = now
+	record.RequestedAt = now
 	return true
 }
 
-// Remove drops the evidence on an endpoint.
+// Remove deletes the load record of an endpoint.
 func (t *Tracker) Remove(id string) {
-	if position, found := slices.BinarySearchFunc(t.sorted, id, compareTracked); found {
+	if position, found := slices.BinarySearchFunc(t.sorted, id, compareTrackedID); found {
 		t.sorted = slices.Delete(t.sorted, position, position+1)
 		t.totalSize = 0
 		delete(t.byEndpoint, id)
 	}
 }
 
-// Snapshot returns a copy of all evidence, by endpoint ID; Restore takes it back.
+// Snapshot returns a copy of all load records, by endpoint ID, for Restore.
 func (t *Tracker) Snapshot() map[string]LoadRecord {
 	all := map[string]LoadRecord{}
-	for id, evidence := range t.byEndpoint {
-		all[id] = *evidence
+	for id, record := range t.byEndpoint {
+		all[id] = *record
 	}
 	return all
 }
 
-// Restore replaces all load records with those of a Snapshot.
+// Restore replaces all load records with those of a snapshot.
 func (t *Tracker) Restore(all map[string]LoadRecord) {
 	t.byEndpoint = nil
 	t.sorted = nil
 	t.totalSize = 0
-	for _, id := range slices.Sorted(maps.Keys(all)) { // in this order each is added at the end
+	for _, id := range slices.Sorted(maps.Keys(all)) { // sorted IDs are always appended
 		*t.record(id, all[id].Size) = all[id]
 	}
 }
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// This file ejects endpoints, and zones, to which attempts fail.
+// Ejection of endpoints and zones to which attempts fail.
 
-// zoneEjectionThreshold is how many endpoints of a zone must fail in a row, without a success between, for the zone to
-// be ejected. With a quarter of the endpoints down, three in a row are under 2% of chance.
+// zoneEjectionThreshold is the number of endpoints of a zone that must fail in a row, without a success in between, for
+// the zone to be ejected. With a quarter of the endpoints down, the probability of three failures in a row is below 2%.
 const zoneEjectionThreshold = 3
 
-// isEjected tells that an endpoint, or the way to its zone, waits for its next trial.
+// isEjected reports whether an endpoint can't be used now because it or its zone is ejected or has a recovery trial in
+// flight.
 func (b *Balancer) isEjected(endpoint *endpointState) bool {
 	zone := b.zoneOutlier(endpoint)
 	return b.now < endpoint.ejectedUntil || endpoint.failures > 0 && endpoint.trialInFlight ||
 		zone.failures >= zoneEjectionThreshold && (b.now < zone.ejectedUntil || zone.trialInFlight)
 }
 
-// recordSuccess ends an ejection. An endpoint that recovers from a crash warms up, whatever the list says so far.
+// recordSuccess ends an ejection. An endpoint that recovers from a suspected crash starts to warm up, even if service
+// discovery has not listed the restart yet.
 func (b *Balancer) recordSuccess(endpoint *endpointState) {
 	if endpoint.crashSuspected {
 		endpoint.startedAt = b.now
@@ -30,8 +32,9 @@
 	*b.zoneOutlier(endpoint) = outlierState{}
 }
 
-// recordFailure ejects an endpoint. Where a zone is cut off, waiting for each of its endpoints to fail would cost every
-// client a timeout, so endpoints that fail in a row eject the whole zone. An only zone is no worse than another.
+// recordFailure ejects an endpoint. Endpoints that fail in a row eject their whole zone: if a zone is unreachable,
+// waiting for each of its endpoints to fail would cost every client a timeout. A zone without an alternative is not
+// ejected.
 func (b *Balancer) recordFailure(endpoint *endpointState, status Status) {
 	wasReset := b.now-endpoint.lastResetAt < b.settings.Rules.OverloadWindow
 	if status == ConnectFailed && len(endpoint.active) == 0 && (endpoint.failures > 0 || wasReset) {
@@ -43,9 +46,11 @@
 	b.eject(&endpoint.outlierState)
 }
 
+// maxEjectionDoublings limits the exponent of the backoff.
 const maxEjectionDoublings = 10
 
-// eject counts a failure and sets the time of the next trial: it doubles with each failure and differs from node to node.
+// eject counts a failure and sets the time of the next trial. The pause doubles with each failure, up to twice
+// OverloadWindow, and jitter makes it differ between nodes.
 func (b *Balancer) eject(outlier *outlierState) {
 	outlier.failures++
 	outlier.trialInFlight = false
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -6,13 +6,14 @@
 	"example.org/micafront/balancer/admission"
 )
 
-// This file is the evidence of overload at single endpoints, where they don't report their load: message latency,
-// rejections and resets. It lowers the fraction of its keys that an endpoint is sent and migrates connections.
+// Overload detection for endpoints that don't report their load, based on message latency, rejections and resets.
+// Overload lowers the fraction of its keys that an endpoint is sent and migrates connections off it.
 
-// minAdmittedFraction keeps a few keys on an overloaded endpoint, so that nodes go on learning of it.
+// minAdmittedFraction keeps a few keys on an overloaded endpoint, so that nodes notice when it recovers.
 const minAdmittedFraction = 0.05
 
-// currentAdmittedFraction is the fraction of its keys that an endpoint is sent. It recovers as slowly as one warms up.
+// currentAdmittedFraction returns the fraction of its keys that an endpoint is sent. After an overload it recovers
+// linearly, from 0 to 1 in WarmUp.
 func (b *Balancer) currentAdmittedFraction(endpoint *endpointState) float64 {
 	if endpoint.admittedFraction < 1 {
 		elapsed := b.now - endpoint.admittedFractionAt
@@ -23,14 +24,16 @@
 	return endpoint.admittedFraction
 }
 
-// halveAdmittedFraction follows a rejection by an endpoint, or a reset.
+// halveAdmittedFraction halves the fraction of its keys that an endpoint is sent, after a rejection or reset by the
+// endpoint.
 func (b *Balancer) halveAdmittedFraction(endpoint *endpointState) {
 	endpoint.admittedFraction = max(b.currentAdmittedFraction(endpoint)/2, minAdmittedFraction)
 }
 
-// recordReset follows the reset of an established connection. An endpoint with too much queued resets connections one by
-// one: it is sent less but not ejected, else a whole group would leave and overload the next one. Where a reset is the
-// only sign of overload, many of the other connections are migrated too: they are served late, and reset next.
+// recordReset records the reset of an established connection. An endpoint with too much queued work resets connections
+// one by one. It is sent fewer keys but is not ejected, because an ejection would move a whole group to the next
+// endpoint and overload that one. If resets are the only sign of overload, many of the other connections are migrated
+// too: they are served late and would be reset next.
 func (b *Balancer) recordReset(endpoint *endpointState) {
 	b.halveAdmittedFraction(endpoint)
 	stress := admission.ResetStress(b.now, endpoint.messageLatencyAt, b.settings.Rules.OverloadWindow)
@@ -41,12 +44,12 @@
 	}
 }
 
-// observeLatency follows a latency report, of which each endpoint sends about one a second. The admitted fraction falls
-// from 1, at a third of the shortest message objective, to the minimum at the objective, where its connections are
-// worth nothing.
+// observeLatency processes a latency report; each endpoint sends about one a second. The admitted fraction falls from
+// 1, at a third of the shortest message objective, to the minimum at the objective, where a connection has no value to
+// its client.
 func (b *Balancer) observeLatency(endpoint *endpointState, latency time.Duration) {
 	objective := float64(b.minMessageObjective)
-	if objective == 0 || b.settings.LoadReports { // load reports say the same, and earlier
+	if objective == 0 || b.settings.LoadReports { // load reports show overload earlier
 		return
 	}
 	fraction := max(min((objective-float64(latency))/(objective*2/3), 1), minAdmittedFraction)
@@ -55,7 +58,7 @@
 
 	window := b.settings.Rules.OverloadWindow
 	previous, elapsed := endpoint.messageLatency, b.now-endpoint.messageLatencyAt
-	if elapsed > 3*window { // without reports in between it was well a window ago
+	if elapsed > 3*window { // after a gap in the reports, assume zero latency one window ago
 		previous, elapsed = 0, window
 	}
 	endpoint.messageLatency = latency
@@ -64,18 +67,22 @@
 	b.relieveOverload(endpoint, float64(latency)/objective, growth)
 }
 
-// fleetOverloadThreshold is the overloaded share past which the fleet as a whole is short of capacity: what one endpoint
-// sheds then overloads the next.
+// fleetOverloadThreshold is the overloaded share above which the fleet as a whole is short of capacity. Connections
+// that are migrated off one endpoint then overload the next.
 const fleetOverloadThreshold = 0.25
 
-// minLatencyGrowth keeps some of a recovering endpoint in use.
+// minLatencyGrowth bounds the migrated fraction, so that a recovering endpoint keeps some of its connections.
 const minLatencyGrowth = -0.9
 
-// relieveOverload migrates connections off an endpoint whose messages are late, which would last as long as they live.
-// slowness is the latency over the objective, growth the rise of the latency over time. Work queues up by what exceeds an
-// endpoint's capacity, so growth measures that excess; all nodes learn of it within a second, and each migrates the same
-// part of its own connections, and what is queued, to be gone in half a window, in which migrated clients are back. If
-// the fleet is short a third of that goes; if the endpoint is ejected as well, all. The least priority for load goes first.
+// relieveOverload migrates connections off an endpoint whose messages are late. Otherwise the messages would stay late
+// for as long as the connections live. slowness is the latency divided by the objective; growth is the change of the
+// latency divided by the time in which it occurred.
+//
+// Work queues up at the rate by which it exceeds the endpoint's capacity, so growth measures the excess. All nodes
+// observe it within a second, and each migrates the same fraction of its own connections: the excess, and enough to
+// empty the queue within half an OverloadWindow, in which the migrated clients reconnect. If the fleet is short of
+// capacity, a third of that fraction is migrated. If the endpoint or its zone fails attempts as well, all connections
+// are migrated. Connections with the lowest priority for their load go first.
 func (b *Balancer) relieveOverload(endpoint *endpointState, slowness, growth float64) {
 	growth = max(growth, minLatencyGrowth)
 	queued := 2 * float64(endpoint.messageLatency) / float64(b.settings.Rules.OverloadWindow)
@@ -85,6 +92,6 @@
 	} else if b.overloadedShare() > fleetOverloadThreshold {
 		fraction /= 3
 	}
-	lateness := min(max(2*slowness-1, 0), 1) // from 0 at half the objective to 1 at all of it
+	lateness := min(max(2*slowness-1, 0), 1) // 0 at half the objective, 1 at the objective
 	b.migrateLoad(endpoint, fraction*lateness*endpoint.activeLoad, byPriorityDensity)
 }
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Reconfigure replaces the settings, or on an error keeps those in force. Requests keep the class that they came under,
-// and what has been learned of the fleet stays.
+// Reconfigure replaces the settings. Invalid settings return an error and leave the previous ones in force. Requests
+// keep the class under which they arrived, and the observed state of the fleet is kept.
 func (b *Balancer) Reconfigure(now Instant, settings Settings) ([]Action, error) {
 	if err := settings.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -33,13 +33,13 @@
 	return b.actions, nil
 }
 
-// rescaleEpochs converts epoch numbers to the grid of a new epoch length.
+// rescaleEpochs converts epoch numbers to the new epoch length.
 func (b *Balancer) rescaleEpochs(previousLength time.Duration) {
 	b.lastChangeEpoch = int64(time.Duration(b.lastChangeEpoch) * previousLength / b.epochLength())
 	b.lastEpoch = b.currentEpoch()
 }
 
-// rebuildZoneTables follows a change of this node's zone, or of whether zones have tables.
+// rebuildZoneTables rebuilds the zone tables after a change of this node's zone or of whether zones have tables.
 func (b *Balancer) rebuildZoneTables() {
 	b.localTable = &slotTable{}
 	b.baselineLocalShare = 0
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,33 +2,34 @@
 
 import "example.org/micafront/balancer/hashing"
 
-// This file holds what a node knows of one request. It decides nothing.
+// State of requests. Decisions are made in other files.
 
-// request is a client's request until its last attempt has ended, or an established connection until its end.
+// request is a client's request until its last attempt has ended, or an established connection until it ends.
 type request struct {
 	Request
 	class      *Class
-	keyHash    uint64 // of the group, or of a part of it, else of the client
+	keyHash    uint64 // hash of the group or a part of it; without a group, clientHash
 	clientHash uint64
-	timerToken string // of the deadline's timer
+	timerToken string // token of the deadline timer
 
 	attempts    int
-	attempted   []*endpointState // where attempts went, in order
+	attempted   []*endpointState // endpoints of the attempts, in order
 	endpoint    *endpointState   // of the attempt in flight or the established connection; nil: none
-	activeIndex int              // in that endpoint's active list
-	sentAt      Instant          // of the latest attempt
-	load        float64          // in mean connections, as far as known; counted while it has an endpoint
+	activeIndex int              // in endpoint.active
+	sentAt      Instant          // send time of the latest attempt
+	load        float64          // in mean connections; 0 without an endpoint
 
 	established     bool
 	migrating       bool // its client has been asked to reconnect elsewhere
-	answered        bool // nothing is owed to the client any more
-	admissionDenied bool // it may only go to its own endpoint, and only where that is well
+	answered        bool // the client needs no further answer
+	admissionDenied bool // only its first candidate may take it, and only if not overloaded
 
 	executedAt Instant        // send time of the first attempt that may have been executed
-	executedOn *endpointState // and its endpoint; nil: none may have been
+	executedOn *endpointState // endpoint of that attempt; nil: none may have been executed
 }
 
-// activeAttempt returns the request of an attempt that is in flight or established, nil if it is not the latest one.
+// activeAttempt returns the request of an attempt that is in flight or established, or nil if the attempt has ended or
+// is not the latest one.
 func (b *Balancer) activeAttempt(id string, attempt int) *request {
 	req := b.requests[id]
 	if req == nil || req.endpoint == nil || attempt != req.attempts-1 {
@@ -37,7 +38,7 @@
 	return req
 }
 
-// newRequest registers a request. A class that the settings don't name is treated as the first one.
+// newRequest registers a request. A class that is missing from the settings is treated as the first one.
 func (b *Balancer) newRequest(event Request) *request {
 	req := &request{Request: event, class: b.classes[event.Class]}
 	if req.class == nil {
@@ -55,7 +56,7 @@
 	return req
 }
 
-// markAnswered notes that the client is owed nothing any more.
+// markAnswered records that the client needs no further answer. A request without an attempt in flight is deleted.
 func (b *Balancer) markAnswered(req *request) {
 	req.answered = true
 	delete(b.deadlineTimers, req.timerToken)
@@ -64,10 +65,11 @@
 	}
 }
 
-// maxClientEndpoints bounds each of the two generations of clientEndpoints, the newer of which comes first.
+// maxClientEndpoints limits the size of each of the two generations of clientEndpoints. The newer generation is the
+// first.
 const maxClientEndpoints = 4096
 
-// rememberEndpoint notes the endpoint of a client's connection, forgetEndpoint that it is no longer there.
+// rememberEndpoint records the endpoint of a client's connection, for connections that resume at this node later.
 func (b *Balancer) rememberEndpoint(req *request) {
 	if !b.settings.PassThrough {
 		return
@@ -79,6 +81,7 @@
 	b.clientEndpoints[0][req.clientHash] = req.endpoint
 }
 
+// forgetEndpoint deletes the recorded endpoint of a client whose connection is no longer there.
 func (b *Balancer) forgetEndpoint(req *request) {
 	for _, generation := range b.clientEndpoints {
 		delete(generation, req.clientHash)
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -1,8 +1,9 @@
 package balancer
 
-// This file brings started endpoints up to their capacity slowly.
+// Slow start of endpoints that have just started.
 
-// warmUpFraction is the part of its capacity that an endpoint surely has by now, growing linearly over WarmUp.
+// warmUpFraction returns the fraction of its capacity that an endpoint is certain to have by now. It grows linearly
+// over WarmUp.
 func (b *Balancer) warmUpFraction(endpoint *endpointState) float64 {
 	if endpoint.startedAt == 0 {
 		return 1
@@ -15,21 +16,24 @@
 	return initial + (1-initial)*max(float64(age)/float64(warmUp), 0)
 }
 
-// assumedHeadroom is how many times its steady state of connections a warm endpoint is taken to hold at most: nothing
-// reports that.
+// assumedHeadroom is the assumed ratio between the connections that a warm endpoint can hold and those that it holds in
+// the steady state. Endpoints don't report this ratio.
 const assumedHeadroom = 4
 
-// Of the connections that an OverloadWindow may bring, sustainedFraction comes at a steady rate and the rest, a quarter
-// of that, in bursts.
+// Of the connections that are allowed per OverloadWindow, the fill rate of the token bucket grants sustainedFraction. The
+// size of the bucket grants the rest, a quarter of that, for bursts.
 const (
 	sustainedFraction = 0.8
 	burstDivisor      = 4
 )
 
-// hasSlowStartBudget tells whether the token bucket of a warming endpoint has a token: many returning clients, or a large
-// group, could overload it. It accepts connections as fast as fills it over its warm-up; all nodes together must stay
-// under OverloadFactor times that. Each node's rate follows from what it has active itself: many nodes see too few
-// arrivals each to tell a rate. Buckets start at random levels, so that the nodes' tokens come due one by one.
+// hasSlowStartBudget reports whether the token bucket of a warming endpoint holds a token. Without the bucket,
+// returning clients or a large group could overload the endpoint.
+//
+// The endpoint can accept connections at the rate that fills it over its warm-up. All nodes together must stay under
+// OverloadFactor times that rate. Each node derives its part from its own active connections, because with many nodes
+// each one sees too few arrivals to measure a rate. Buckets start at random levels, so that the nodes' tokens become
+// available at different times.
 func (b *Balancer) hasSlowStartBudget(endpoint *endpointState) bool {
 	warmUpFraction := b.warmUpFraction(endpoint)
 	if warmUpFraction >= 1 {
@@ -45,14 +49,15 @@
 	return endpoint.slowStartTokens >= 1
 }
 
-// steadyStateConnections is how many of this node's connections, with the next one, an endpoint has once it is warm.
+// steadyStateConnections returns how many of this node's connections, including the next one, a warm endpoint would
+// hold.
 func (b *Balancer) steadyStateConnections(endpoint *endpointState) float64 {
 	totalSize := b.fleetTable.totalSize()
 	if b.isLocal(endpoint) {
-		// A zone that has lost endpoints never had all these connections on those that are left.
+		// In a zone that has lost endpoints, the remaining ones never held all of the zone's connections.
 		totalSize = max(b.localTable.totalSize(), totalSize/float64(b.zoneCount))
 	} else if !b.localTable.isEmpty() {
-		totalSize *= float64(b.zoneCount) // it is the other zones' to warm up: it gets only what spills over
+		totalSize *= float64(b.zoneCount) // nodes of the endpoint's own zone warm it up; this node only sends it spillover
 	}
 	return float64(b.activeCount+1) * endpoint.size / max(totalSize, endpoint.size)
 }
