--- a/balancer/admission/quota_test.go
+++ b/balancer/admission/quota_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// One tenant sends five times its share while all send twice as much: connections beyond the quotas belong to that tenant,
-// and none of those within their quotas are taken for it.
+// All tenants send twice their share, and one of them five times that. The connections beyond the quotas must be
+// attributed to that tenant, and none to tenants within their quotas.
 func TestOnlyTheExcessiveTenantIsOverQuota(t *testing.T) {
 	shares := []float64{0.35, 0.31, 0.23, 0.11}
 	for seed := range uint64(50) {
@@ -25,9 +25,9 @@
 			overQuota := Quota{Share: share}.OverQuotaFraction(active, activeOf[i], 1) * float64(activeOf[i])
 			switch beyond := float64(activeOf[i]) - share*float64(active); {
 			case i == excessive && overQuota < beyond*0.8:
-				t.Errorf("seed %d: %.0f of %.0f connections beyond the quota are found", seed, overQuota, beyond)
+				t.Errorf("seed %d: %.0f connections count as beyond the quota, want %.0f", seed, overQuota, beyond)
 			case i != excessive && overQuota > 0:
-				t.Errorf("seed %d: tenant %d is within its quota, and %.0f of its connections count as beyond", seed, i, overQuota)
+				t.Errorf("seed %d: tenant %d is within its quota, but %.0f of its connections count as beyond it", seed, i, overQuota)
 			}
 		}
 	}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -8,9 +8,9 @@
 	"example.org/micafront/balancer/hashing"
 )
 
-// While the fleet as a whole is overloaded the admission rate falls, the same clients are rejected at every node, and the
-// rate recovers.
-func TestOverloadLowersAdmissionRateAlikeAndRecovers(t *testing.T) {
+// While the whole fleet is overloaded, the admission rate falls and every node rejects the same clients, so that
+// retries at another node don't succeed. The rate recovers after the overload.
+func TestOverloadLowersAdmissionRateAndRecovers(t *testing.T) {
 	a, b := startBalancer(t, testSettings(), testEndpoints(4), 1), startBalancer(t, testSettings(), testEndpoints(4), 2)
 	overloadAllEndpoints(a, 40, 200*ms, 4)
 	overloadAllEndpoints(b, 40, 200*ms, 4)
@@ -21,18 +21,18 @@
 		node.now, node.lastAttemptAt = now, now // an attempt was just sent, so that no probe traffic is due
 		return !node.admit(&request{Request: req, class: &node.settings.Classes[0], clientHash: hashing.String(req.Key)})
 	}
-	some := 0
+	rejections := 0
 	for i := range 200 {
 		x, y := rejected(a, 7*sec, i), rejected(b, 7*sec, i)
 		if x != y {
 			t.Fatalf("client %d is admitted at one node and not at the other", i)
 		}
 		if x {
-			some++
+			rejections++
 		}
 	}
-	if some == 0 {
-		t.Fatal("an overloaded fleet rejects nobody")
+	if rejections == 0 {
+		t.Fatal("an overloaded fleet rejects no client")
 	}
 	for now := 8 * sec; now < 60*sec; now += sec {
 		a.Handle(now, Timer{})
@@ -42,8 +42,8 @@
 	}
 }
 
-// A low admission rate stops spillover at once; it must not keep clients off an endpoint that is well, such as one that
-// has just recovered, because others are overloaded. It rises as soon as the others are well again.
+// A low admission rate must stop spillover at once. It must not keep clients off an endpoint that is not overloaded,
+// such as one that has just recovered, because others are overloaded. It rises as soon as the others recover.
 func TestDeniedAdmissionStopsSpilloverOnly(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(4), 1)
 	for i := range 60 {
@@ -64,19 +64,19 @@
 	b.lastAttemptAt = 5 * sec // an attempt was just sent, so that no probe traffic is due
 	for i := range 400 {
 		req := testRequest(1000+i, 5*sec)
-		own := b.fleetTable.lookup(hashing.String(req.Key))
+		firstCandidate := b.fleetTable.lookup(hashing.String(req.Key))
 		actions := b.Handle(5*sec, req)
 		if endpoint := sentTo(actions); endpoint == "" {
 			rejected++
 		} else {
 			sent[endpoint]++
-			if endpoint != own.id && !b.admit(&request{Request: req, class: &b.settings.Classes[0], clientHash: hashing.String(req.Key)}) {
-				t.Errorf("%s went to %s, not to its own endpoint, without admission", req.Key, endpoint)
+			if endpoint != firstCandidate.id && !b.admit(&request{Request: req, class: &b.settings.Classes[0], clientHash: hashing.String(req.Key)}) {
+				t.Errorf("%s was denied admission and sent to %s, which is not its first candidate", req.Key, endpoint)
 			}
 			b.Handle(5*sec, AttemptEnded{ID: req.ID, Endpoint: endpoint, Status: OK, Final: true})
 		}
-		if own.id == endpointID(3) && sentTo(actions) != own.id {
-			t.Errorf("%s was kept off the endpoint that is well", req.Key)
+		if firstCandidate.id == endpointID(3) && sentTo(actions) != firstCandidate.id {
+			t.Errorf("%s was not sent to its first candidate, which is not overloaded", req.Key)
 		}
 	}
 	if rejected < 100 || sent[endpointID(3)] < 50 {
@@ -90,26 +90,26 @@
 	}
 }
 
-// The classes with the least priority for their load are rejected first.
+// The classes with the lowest priority for their load are rejected first.
 func TestAdmissionPrefersPriorityDensity(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(4), 1)
 	b.admissionRate, b.lastAttemptAt = 0.7, b.now
-	in := map[string]int{}
+	admitted := map[string]int{}
 	for i := range 1000 {
 		for c := range b.settings.Classes {
 			req := &request{class: &b.settings.Classes[c], clientHash: hashing.Mix64(uint64(i))}
 			if b.admit(req) {
-				in[req.class.Name]++
+				admitted[req.class.Name]++
 			}
 		}
 	}
-	if in["light"] < 650 || in["light"] > 750 || in["heavy"] >= in["light"]*8/10 {
-		t.Errorf("admitted %v of 1000 each", in)
+	if admitted["light"] < 650 || admitted["light"] > 750 || admitted["heavy"] >= admitted["light"]*8/10 {
+		t.Errorf("admitted %v of 1000 each", admitted)
 	}
 }
 
-// A node at a low admission rate sends probe traffic all the same, whoever the clients are, so that it learns of a
-// recovery: one attempt in each OverloadWindow at least, and hardly more.
+// A node with a low admission rate must still send probe traffic, even if all of its clients are denied admission.
+// Otherwise it would never notice a recovery. It sends at least one attempt per OverloadWindow and hardly more.
 func TestLowAdmissionRateSendsProbeTraffic(t *testing.T) {
 	for seed := range uint64(20) {
 		b := startBalancer(t, testSettings(), testEndpoints(4), seed)
@@ -122,7 +122,7 @@
 			}
 		}
 		sent, last, longest := 0, 8*sec, time.Duration(0)
-		for i := range 160 { // 20 a second, all of one client that is not admitted
+		for i := range 160 { // 20 a second, all from one client that is denied admission
 			now := 8*sec + time.Duration(i)*50*ms
 			b.admissionRate, b.stress = minAdmittedFraction, 0
 			for _, endpoint := range b.endpoints {
@@ -136,18 +136,18 @@
 			}
 		}
 		if longest = max(longest, 16*sec-last); longest > 2*b.settings.Rules.OverloadWindow || sent > 40 {
-			t.Errorf("seed %d: %d sent in 8 s, none for %v in a row", seed, sent, longest)
+			t.Errorf("seed %d: %d attempts in 8 s, the longest pause was %v", seed, sent, longest)
 		}
 	}
 }
 
-// A tenant far over its quota is rejected first when the admission rate falls; one within its quota is not.
+// When the admission rate falls, a tenant far beyond its quota is rejected first, before one within its quota.
 func TestOverQuotaTenantIsRejectedFirst(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{Name: "greedy", Share: 0.5, Connections: 200}, {Name: "modest", Share: 0.5, Connections: 200}}
 	settings.OverQuotaWeight = 0.1
 	b := startBalancer(t, settings, testEndpoints(4), 1)
-	for i := range 200 { // of about 50 that each may have here, greedy has 150
+	for i := range 200 { // greedy has 150 connections, modest 50; the quota of each is 100 at this node
 		req := testRequest(i, 2*sec)
 		req.Tenant = "greedy"
 		if i%4 == 0 {
@@ -156,25 +156,25 @@
 		establish(b, 2*sec, req)
 	}
 	b.admissionRate = 0.8
-	in := map[string]int{}
+	admitted := map[string]int{}
 	for i := range 1000 {
 		for _, tenant := range []string{"greedy", "modest", "unknown"} {
 			if b.admit(&request{Request: Request{Tenant: tenant}, class: &b.settings.Classes[0], clientHash: hashing.Mix64(uint64(i))}) {
-				in[tenant]++
+				admitted[tenant]++
 			}
 		}
 	}
-	if in["modest"] < 750 || in["unknown"] < 750 || in["greedy"] > in["modest"]*85/100 || in["greedy"] < 400 {
-		t.Errorf("admitted %v of 1000 each", in)
+	if admitted["modest"] < 750 || admitted["unknown"] < 750 || admitted["greedy"] > admitted["modest"]*85/100 || admitted["greedy"] < 400 {
+		t.Errorf("admitted %v of 1000 each", admitted)
 	}
 }
 
-// Under reported overload the least priority for load is rejected first, at once and with a time to retry after; packets
-// of an established connection never are.
+// If endpoints report overload, the class with the lowest priority for its load is rejected first, at once and with a
+// time after which to retry. Packets of an established connection are never rejected.
 func TestReportedOverloadRejectsByPriority(t *testing.T) {
 	for _, c := range []struct {
 		load         float64
-		light, heavy bool // admitted; light has twice the priority
+		light, heavy bool // whether the class is admitted; light has twice the priority
 	}{{0.5, true, true}, {0.8, true, false}, {1.2, false, false}} {
 		b := startWithReports(t, loadReportSettings(), c.load, c.load, c.load)
 		for class, want := range map[string]bool{"light": c.light, "heavy": c.heavy} {
@@ -182,16 +182,16 @@
 			req.ID, req.Class = class, class
 			actions := b.Handle(2*sec, req)
 			if got := sentTo(actions) != ""; got != want {
-				t.Errorf("at %v a %s one: %+v", c.load, class, actions)
+				t.Errorf("load %v: %s request sent: %v, want %v; actions %+v", c.load, class, got, want, actions)
 			}
 			if rejected := actionsOf[Reject](actions); !want && (len(rejected) != 1 || rejected[0].RetryAfter <= 0) {
-				t.Errorf("at %v a %s one: %+v", c.load, class, actions)
+				t.Errorf("load %v: a %s request was not rejected with a retry time: %+v", c.load, class, actions)
 			}
 		}
 		req := testRequest(9, 2*sec)
 		req.Resumed = true
 		if actions := b.Handle(2*sec, req); sentTo(actions) == "" {
-			t.Errorf("at %v packets of an established connection: %+v", c.load, actions)
+			t.Errorf("load %v: packets of an established connection were not sent: %+v", c.load, actions)
 		}
 	}
 }
--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The deadline of a request counts, not its class's timeout.
+// The deadline of a request applies, not the timeout of its class. At the deadline the client gets its only answer, and
+// the attempt in flight is canceled.
 func TestRequestDeadlineIsAnsweredOnce(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(4), 1)
 	req := testRequest(1, 2*sec)
@@ -16,7 +17,7 @@
 		t.Fatalf("timers %v", timers)
 	}
 	if send := actionsOf[Send](actions)[0]; send.Timeout <= 0 || send.Timeout > 300*ms {
-		t.Errorf("attempt may take %v of 300ms", send.Timeout)
+		t.Errorf("attempt timeout is %v, but the deadline is in 300ms", send.Timeout)
 	}
 	actions = b.Handle(2*sec+timers[0].Delay, Timer{Token: timers[0].Token})
 	if len(actionsOf[Reject](actions)) != 1 || len(actionsOf[Cancel](actions)) != 1 {
@@ -34,10 +35,10 @@
 	endpoint := sentTo(b.Handle(2*sec, req))
 	b.Handle(3*sec, AttemptEnded{ID: req.ID, Endpoint: endpoint, Status: OK, Final: true})
 	if actions := b.Handle(3*sec, ClientDisconnected{ID: req.ID}); len(actions) != 0 {
-		t.Errorf("got %v", actions)
+		t.Errorf("disconnect after the final attempt: actions %v", actions)
 	}
 	if actions := b.Handle(3*sec, ClientDisconnected{ID: "never seen"}); len(actions) != 0 {
-		t.Errorf("got %v", actions)
+		t.Errorf("disconnect of an unknown request: actions %v", actions)
 	}
 }
 
@@ -48,11 +49,11 @@
 		t.Fatalf("an adopted connection needs no action, got %v", actions)
 	}
 	if b.activeCount != 1 {
-		t.Error("not counted")
+		t.Errorf("%d active connections, want 1", b.activeCount)
 	}
 	actions = b.Handle(3*sec, AttemptEnded{ID: "o", Endpoint: endpointID(1), Status: Reset, Final: true})
 	if len(actions) != 0 || b.activeCount != 0 || len(b.requests) != 0 {
-		t.Errorf("got %v, active %d", actions, b.activeCount)
+		t.Errorf("after the reset: actions %v, %d active", actions, b.activeCount)
 	}
 }
 
@@ -101,14 +102,15 @@
 	}
 }
 
-// A keyed request can't be rejected while its only attempt may be executed.
+// A keyed request with zone scope must fail at its deadline, not be rejected, while its only attempt may be executed: a
+// retry in another zone could execute it twice.
 func TestKeyedZoneDeadlineFails(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Effect, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = Keyed, ScopeZone, sec
 	b := startBalancer(t, settings, testEndpoints(4), 1)
 	actions := b.Handle(2*sec, testRequest(1, 2*sec))
-	tm := actionsOf[SetTimer](actions)[0]
-	if actions = b.Handle(2*sec+tm.Delay, Timer{Token: tm.Token}); len(actionsOf[Fail](actions)) != 1 || len(actionsOf[Reject](actions)) != 0 {
-		t.Errorf("got %v", actions)
+	timer := actionsOf[SetTimer](actions)[0]
+	if actions = b.Handle(2*sec+timer.Delay, Timer{Token: timer.Token}); len(actionsOf[Fail](actions)) != 1 || len(actionsOf[Reject](actions)) != 0 {
+		t.Errorf("at the deadline: actions %v", actions)
 	}
 }
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// In a growing fleet endpoints that warm up must not make the others look full, and nobody is rejected.
-func TestGrowthRejectsNobody(t *testing.T) {
+// While a fleet grows, endpoints that warm up must not make the others appear full, so no request is rejected.
+func TestGrowingFleetRejectsNoRequest(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(10), 1)
 	now, rejected, live := 2*sec, 0, []Request{}
 	for i := range 3000 {
@@ -25,11 +25,12 @@
 		}
 	}
 	if rejected > 0 {
-		t.Errorf("%d of 3000 rejected while the fleet grows", rejected)
+		t.Errorf("%d of 3000 requests rejected while the fleet grows", rejected)
 	}
 }
 
-// While all endpoints are down answers stay in time, and traffic returns with the endpoints.
+// While all endpoints are down, every request is answered in time. After the endpoints recover, requests are served
+// again.
 func TestAllCapacityLost(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(6), 1)
 	now := 2 * sec
@@ -41,7 +42,7 @@
 			endpoint := sentTo(actions)
 			if endpoint == "" {
 				if len(actionsOf[Reject](actions)) != 1 {
-					t.Fatalf("no answer: %v", actions)
+					t.Fatalf("request %d was neither sent nor rejected: %v", i, actions)
 				}
 				return false
 			}
@@ -56,13 +57,13 @@
 		serve(i, false)
 	}
 	served := 0
-	for i := range 2500 { // trials wait up to 6 s, and what crashed then warms up for 10 s
+	for i := range 2500 { // ejections last up to 6 s, and crashed endpoints then warm up for 10 s
 		if serve(5000+i, true) && i >= 2000 {
 			served++
 		}
 	}
 	if served < 495 {
-		t.Errorf("%d of the last 500 served, twenty seconds after all recovered", served)
+		t.Errorf("%d of the last 500 requests served, 20 s after all endpoints recovered", served)
 	}
 }
 
@@ -71,7 +72,7 @@
 	for i := range 5 {
 		actions := b.Handle(2*sec, testRequest(i, 2*sec))
 		if len(actionsOf[Send](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
-			t.Fatalf("got %v", actions)
+			t.Fatalf("without endpoints: actions %v", actions)
 		}
 	}
 	if len(b.requests) != 0 || len(b.deadlineTimers) != 0 {
@@ -79,6 +80,6 @@
 	}
 	b.Handle(3*sec, EndpointUpdate{Entries: testEndpoints(3)})
 	if endpoint := sentTo(b.Handle(5*sec, testRequest(9, 5*sec))); endpoint == "" {
-		t.Error("a fleet that came later is not used")
+		t.Error("endpoints that were listed later are not used")
 	}
 }
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Connections are migrated off a draining endpoint before it stops: from the next epoch on, when the table has other
-// endpoints for them, over DrainGrace, in even parts, each once; and none off one that became ready again. While the
-// admission rate is below 1 they stay for up to DrainGrace more, as they would be rejected elsewhere.
+// Connections are migrated off a draining endpoint before it stops. Migration begins with the next epoch, when the slot
+// table assigns their keys to other endpoints, and is spread over DrainGrace in equal parts; each connection is
+// migrated once. None leaves an endpoint that is ready again. While the admission rate is below 1, migration begins up
+// to DrainGrace later, because the clients would be rejected elsewhere.
 func TestDrainMigratesConnections(t *testing.T) {
 	const count = 40
 	settings := testSettings()
@@ -29,7 +30,7 @@
 			for i := range count {
 				b.Handle(now, Adopted{Request: testRequest(i, now), Endpoint: endpointID(0)})
 			}
-			b.admissionRate, b.admissionUpdatedAt = c.admissionRate, 1000*sec // it is not updated
+			b.admissionRate, b.admissionUpdatedAt = c.admissionRate, 1000*sec // prevents updates of the rate
 			if c.admissionRate < 1 {
 				now += sec - grace/2 // so that waiting starts at the end of an epoch
 			}
@@ -40,7 +41,7 @@
 			if c.readyAgain {
 				b.Handle(now, EndpointUpdate{Kind: DeltaList, Entries: testEndpoints(3)[:1]})
 			}
-			migrated, at := map[string]bool{}, []time.Duration(nil)
+			migrated, migratedAt := map[string]bool{}, []time.Duration(nil)
 			for len(timers) > 0 {
 				now += timers[0].Delay
 				actions := b.Handle(now, Timer{Token: timers[0].Token})
@@ -53,20 +54,21 @@
 						t.Errorf("%s migrated twice", migration.ID)
 					}
 					migrated[migration.ID] = true
-					at = append(at, now-announcedAt)
+					migratedAt = append(migratedAt, now-announcedAt)
 				}
 				timers = actionsOf[SetTimer](actions)
 			}
 			if len(migrated) != c.migrations {
 				t.Fatalf("%d migrated, want %d", len(migrated), c.migrations)
 			}
-			if c.migrations > 0 && (at[0] != c.first || at[count-1] != c.last) {
-				t.Errorf("migrated from %v to %v, want %v to %v", at[0], at[count-1], c.first, c.last)
+			if c.migrations > 0 && (migratedAt[0] != c.first || migratedAt[count-1] != c.last) {
+				t.Errorf("migrated from %v to %v, want %v to %v", migratedAt[0], migratedAt[count-1], c.first, c.last)
 			}
 		})
 	}
 }
 
+// An endpoint that starts to drain during an attempt gets neither new requests nor the retry of that attempt.
 func TestDrainDuringAttempt(t *testing.T) {
 	settings := testSettings()
 	b := startBalancer(t, settings, testEndpoints(4), 1)
@@ -75,7 +77,7 @@
 	b.Handle(2100*ms, EndpointUpdate{Entries: []Endpoint{{ID: endpoint, Phase: Draining}}})
 	for i := range 300 {
 		if got := sentTo(b.Handle(2101*ms, testRequest(100+i, 2101*ms))); got == endpoint {
-			t.Fatal("a new request to a draining endpoint")
+			t.Fatal("a new request was sent to a draining endpoint")
 		}
 	}
 	actions := b.Handle(2400*ms, AttemptEnded{ID: req.ID, Endpoint: endpoint, Status: Full})
--- a/balancer/endpoint_update_test.go
+++ b/balancer/endpoint_update_test.go
@@ -10,25 +10,25 @@
 func TestDiscoveryBackoff(t *testing.T) {
 	settings := testSettings()
 	settings.Subscribe = true
-	var first []time.Duration
+	var firstDelays []time.Duration
 	for i := range 50 {
 		b, _ := New(settings, uint64(i))
 		actions := b.Handle(sec, EndpointUpdate{Kind: CachedList, Entries: testEndpoints(3)})
 		timer := actionsOf[SetTimer](actions)[0]
-		first = append(first, timer.Delay)
+		firstDelays = append(firstDelays, timer.Delay)
 		now, last := sec+timer.Delay, sec
 		for n := range 8 {
 			if now-last > settings.Rules.DiscoveryInterval {
-				t.Fatalf("call %d after %v", n, now-last)
+				t.Fatalf("call %d came %v after the previous one", n, now-last)
 			}
 			last = now
 			actions = b.Handle(now, Timer{Token: timer.Token})
 			if len(actionsOf[Watch](actions)) != 1 {
-				t.Fatalf("call %d: %v", n, actions)
+				t.Fatalf("call %d: got %v, want one Watch", n, actions)
 			}
 			actions = b.Handle(now+10*ms, EndpointUpdate{Kind: ListFailed})
 			if len(actionsOf[SetTimer](actions)) != 1 {
-				t.Fatalf("after failure %d: %v", n, actions)
+				t.Fatalf("after failure %d: got %v, want one SetTimer", n, actions)
 			}
 			timer = actionsOf[SetTimer](actions)[0]
 			now += 10*ms + timer.Delay
@@ -36,15 +36,15 @@
 		b.Handle(now, Timer{Token: timer.Token})
 		actions = b.Handle(now+10*ms, EndpointUpdate{Kind: DeltaList})
 		if len(actionsOf[SetTimer](actions)) != 0 {
-			t.Fatalf("subscribed again though subscribed: %v", actions)
+			t.Fatalf("scheduled a retry although the subscription succeeded: %v", actions)
 		}
 	}
 	spread := map[time.Duration]bool{}
-	for _, d := range first {
-		spread[d/(100*ms)] = true
+	for _, delay := range firstDelays {
+		spread[delay/(100*ms)] = true
 	}
 	if len(spread) < 10 {
-		t.Error("all nodes subscribe at once at their start")
+		t.Error("the first subscriptions of the nodes are not spread over time")
 	}
 }
 
@@ -69,6 +69,7 @@
 	}
 }
 
+// A complete list removes the endpoints that it does not contain. A failed list removes none.
 func TestAbsentFromFullListIsRemoved(t *testing.T) {
 	for _, kind := range []ListKind{FullList, CachedList} {
 		b := startBalancer(t, testSettings(), testEndpoints(4), 1)
@@ -86,23 +87,23 @@
 		used[sentTo(b.Handle(2*sec, testRequest(i, 2*sec)))] = true
 	}
 	if !used[endpointID(3)] {
-		t.Error("a failed call must leave the list as it was")
+		t.Error("a failed list removed an endpoint")
 	}
 }
 
-// While the list is late as the fleet shrinks to five of twelve, each request is answered at once, nothing is sent to an
-// endpoint that the list says drains, and those that have stopped cost each request few attempts.
+// A fleet shrinks from twelve endpoints to five while its endpoint list is late. Each request must be answered at once,
+// none is sent to an endpoint that is listed as draining, and stopped endpoints cost few additional attempts.
 func TestShrinkingFleetWithLateList(t *testing.T) {
 	settings := loadReportSettings()
 	settings.Rules.DrainGrace = sec
 	b := startWithReports(t, settings, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3)
 	stopped, draining, attempts := map[string]bool{}, map[string]bool{}, 0
-	for i := range 400 { // forty a second
+	for i := range 400 { // 40 a second
 		now := 2*sec + Instant(i)*25*ms
 		if i%20 == 0 && len(stopped) < 7 {
 			stopped[endpointID(len(stopped))] = true
 		}
-		if i%20 == 0 && i >= 220 && len(draining) < 7 { // the list says so eleven changes, over five seconds, later
+		if i%20 == 0 && i >= 220 && len(draining) < 7 { // the list announces each stop 5.5 s late
 			id := endpointID(len(draining))
 			draining[id] = true
 			b.Handle(now, EndpointUpdate{Kind: DeltaList, Entries: []Endpoint{{ID: id, Phase: Draining, Size: 1, Zone: b.endpoints[id].zone}}})
@@ -112,18 +113,18 @@
 		actions := b.Handle(now, req)
 		for len(actionsOf[Send](actions)) > 0 {
 			attempts++
-			at := sentTo(actions)
-			if draining[at] {
-				t.Fatalf("request %d was sent to %s, which drains", i, at)
+			endpoint := sentTo(actions)
+			if draining[endpoint] {
+				t.Fatalf("request %d was sent to %s, which drains", i, endpoint)
 			}
-			if !stopped[at] {
-				b.Handle(now, Established{ID: req.ID, Endpoint: at, Attempt: b.requests[req.ID].attempts - 1})
-				b.Handle(now, AttemptEnded{ID: req.ID, Endpoint: at, Attempt: b.requests[req.ID].attempts - 1, Status: OK})
+			if !stopped[endpoint] {
+				b.Handle(now, Established{ID: req.ID, Endpoint: endpoint, Attempt: b.requests[req.ID].attempts - 1})
+				b.Handle(now, AttemptEnded{ID: req.ID, Endpoint: endpoint, Attempt: b.requests[req.ID].attempts - 1, Status: OK})
 				break
 			}
-			actions = b.Handle(now, AttemptEnded{ID: req.ID, Endpoint: at, Attempt: b.requests[req.ID].attempts - 1, Status: ConnectFailed})
+			actions = b.Handle(now, AttemptEnded{ID: req.ID, Endpoint: endpoint, Attempt: b.requests[req.ID].attempts - 1, Status: ConnectFailed})
 		}
-		if q := b.requests[req.ID]; q != nil && !q.answered {
+		if state := b.requests[req.ID]; state != nil && !state.answered {
 			t.Fatalf("request %d has no answer: %+v", i, actions)
 		}
 	}
--- a/balancer/event_world_test.go
+++ b/balancer/event_world_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// eventWorld drives a Balancer with random legal events and checks every rule that its actions must keep.
-type eventWorld struct {
+// eventDriver sends random valid events to a Balancer and checks every action against the rules for actions.
+type eventDriver struct {
 	t                testing.TB
 	rng              *rand.Rand
 	settings         Settings
@@ -16,18 +16,19 @@
 	now              Instant
 	lastEventAt      Instant
 	lastID           int
-	requests         map[string]*worldRequest
-	timers           []worldTimer
+	requests         map[string]*drivenRequest
+	timers           []armedTimer
 	listed           map[string]Endpoint
-	unavailableSince map[string]Instant // when an update said that an endpoint drains or is removed
-	everSeen         map[string]bool
+	unavailableSince map[string]Instant // time of the update that listed an endpoint as draining or removed
+	everListed       map[string]bool
 }
 
-type worldRequest struct {
+// drivenRequest is a request as its client and the endpoints see it.
+type drivenRequest struct {
 	Request
 	answered     bool
 	established  bool
-	concluded    bool
+	concluded    bool // answered, with no attempt in flight
 	attempts     int
 	inFlight     bool
 	endpoint     string
@@ -38,117 +39,119 @@
 	sentAt       Instant
 }
 
-type worldTimer struct {
+type armedTimer struct {
 	at    Instant
 	token string
 }
 
-func (w *eventWorld) handle(event Event) {
-	for _, action := range w.balancer.Handle(w.now, event) {
-		w.check(action)
+func (d *eventDriver) handle(event Event) {
+	for _, action := range d.balancer.Handle(d.now, event) {
+		d.checkAction(action)
 	}
 }
 
-func (w *eventWorld) class(req *worldRequest) Class {
-	for _, class := range w.settings.Classes {
+func (d *eventDriver) class(req *drivenRequest) Class {
+	for _, class := range d.settings.Classes {
 		if class.Name == req.Class {
 			return class
 		}
 	}
-	return w.settings.Classes[0]
+	return d.settings.Classes[0]
 }
 
-func (w *eventWorld) check(action Action) {
-	w.t.Helper()
+func (d *eventDriver) checkAction(action Action) {
+	d.t.Helper()
 	switch action := action.(type) {
 	case Send:
-		req := w.requests[action.ID]
+		req := d.requests[action.ID]
 		if req == nil || req.answered || req.concluded {
-			w.t.Fatalf("send for %q, which has concluded or is unknown", action.ID)
+			d.t.Fatalf("attempt for %q, which has concluded or is unknown", action.ID)
 		}
 		if req.inFlight {
-			w.t.Fatalf("second attempt in flight for %q", action.ID)
+			d.t.Fatalf("second attempt in flight for %q", action.ID)
 		}
-		if !w.everSeen[action.Endpoint] {
-			w.t.Fatalf("send to unknown endpoint %q", action.Endpoint)
+		if !d.everListed[action.Endpoint] {
+			d.t.Fatalf("attempt at unknown endpoint %q", action.Endpoint)
 		}
-		if at, ok := w.unavailableSince[action.Endpoint]; ok && w.now > at+w.settings.Rules.DrainGrace {
-			w.t.Fatalf("send to %s, unavailable for %v", action.Endpoint, w.now-at)
+		if at, ok := d.unavailableSince[action.Endpoint]; ok && d.now > at+d.settings.Rules.DrainGrace {
+			d.t.Fatalf("attempt at %s, which has been unavailable for %v", action.Endpoint, d.now-at)
 		}
-		if req.attempts++; req.attempts > w.settings.Limits.Attempts {
-			w.t.Fatalf("%q: attempt %d", action.ID, req.attempts)
+		if req.attempts++; req.attempts > d.settings.Limits.Attempts {
+			d.t.Fatalf("%q: attempt %d exceeds the limit", action.ID, req.attempts)
 		}
-		class, entry := w.class(req), w.listed[action.Endpoint]
-		if req.executed && (class.Effect == Unsafe || class.Effect == Keyed && (w.now-req.executedAt > class.DedupWindow ||
+		class, entry := d.class(req), d.listed[action.Endpoint]
+		if req.executed && (class.Effect == Unsafe || class.Effect == Keyed && (d.now-req.executedAt > class.DedupWindow ||
 			class.DedupScope != ScopeAll && entry.Zone != req.executedZone || class.DedupScope == ScopeCell && entry.Cell != req.executedCell)) {
-			w.t.Fatalf("%q of effect %v resent where it may be executed twice", action.ID, class.Effect)
+			d.t.Fatalf("%q of effect %v was sent to an endpoint that may execute it a second time", action.ID, class.Effect)
 		}
 		if action.Timeout < 0 {
-			w.t.Fatalf("negative timeout")
+			d.t.Fatalf("negative timeout")
 		}
-		req.inFlight, req.endpoint, req.sentAt = true, action.Endpoint, w.now
+		req.inFlight, req.endpoint, req.sentAt = true, action.Endpoint, d.now
 	case Reject:
-		req := w.final(action.ID)
-		class := w.class(req)
+		req := d.recordAnswer(action.ID)
+		class := d.class(req)
 		if (req.executed || req.inFlight) && class.Effect != Safe && (class.Effect != Keyed || class.DedupScope != ScopeAll) {
-			w.t.Fatalf("%q rejected though it may have been executed", action.ID)
+			d.t.Fatalf("%q was rejected although it may have been executed", action.ID)
 		}
 	case Fail:
-		w.final(action.ID)
+		d.recordAnswer(action.ID)
 	case Cancel:
-		if req := w.requests[action.ID]; !w.settings.Limits.Cancel || req == nil || action.Attempt >= req.attempts || action.Attempt < 0 {
-			w.t.Fatalf("cancel of %q attempt %d", action.ID, action.Attempt)
+		if req := d.requests[action.ID]; !d.settings.Limits.Cancel || req == nil || action.Attempt >= req.attempts || action.Attempt < 0 {
+			d.t.Fatalf("unexpected cancel of %q, attempt %d", action.ID, action.Attempt)
 		}
 	case Migrate:
-		if req := w.requests[action.ID]; req == nil || !req.established {
-			w.t.Fatalf("migration of %q, which is not established", action.ID)
+		if req := d.requests[action.ID]; req == nil || !req.established {
+			d.t.Fatalf("migration of %q, which is not established", action.ID)
 		}
 	case SetTimer:
 		if action.Delay <= 0 || action.Delay > 71*time.Minute || action.Token == "" || len(action.Token) > 64 {
-			w.t.Fatalf("timer %+v", action)
+			d.t.Fatalf("invalid timer %+v", action)
 		}
-		w.timers = append(w.timers, worldTimer{w.now + action.Delay, action.Token})
+		d.timers = append(d.timers, armedTimer{d.now + action.Delay, action.Token})
 	case HealthCheck:
-		if !w.settings.Limits.HealthChecks || !w.everSeen[action.Endpoint] {
-			w.t.Fatalf("health check of %q", action.Endpoint)
+		if !d.settings.Limits.HealthChecks || !d.everListed[action.Endpoint] {
+			d.t.Fatalf("unexpected health check of %q", action.Endpoint)
 		}
 	case Watch:
-		if !w.settings.Subscribe {
-			w.t.Fatal("watch where discovery needs no subscription")
+		if !d.settings.Subscribe {
+			d.t.Fatal("watch although Subscribe is off")
 		}
 	case Log:
 	default:
-		w.t.Fatalf("action %T", action)
+		d.t.Fatalf("unknown action %T", action)
 	}
 }
 
-func (w *eventWorld) final(id string) *worldRequest {
-	req := w.requests[id]
+// recordAnswer records the final answer to a request, which must be the only one and in time.
+func (d *eventDriver) recordAnswer(id string) *drivenRequest {
+	req := d.requests[id]
 	if req == nil || req.answered {
-		w.t.Fatalf("second answer, or answer for unknown %q", id)
+		d.t.Fatalf("%q is unknown or already answered", id)
 	}
-	if w.now > req.Deadline+w.settings.Rules.AnswerSlack {
-		w.t.Fatalf("%q answered %v after its deadline", id, w.now-req.Deadline)
+	if d.now > req.Deadline+d.settings.Rules.AnswerSlack {
+		d.t.Fatalf("%q answered %v after its deadline", id, d.now-req.Deadline)
 	}
 	req.answered = true
 	req.concluded = !req.inFlight
 	return req
 }
 
-func (w *eventWorld) list(kind ListKind) {
+// updateEndpoints sends a random endpoint list of a kind.
+func (d *eventDriver) updateEndpoints(kind ListKind) {
 	var update EndpointUpdate
 	update.Kind = kind
 	for i := range 10 {
 		id := endpointID(i)
-		if w.rng.IntN(3) > 0 && kind == DeltaList {
+		if d.rng.IntN(3) > 0 && kind == DeltaList {
 			continue
 		}
-		entry := Endpoint{ID: id, Phase: Phase(w.rng.IntN(6) / 3 * w.rng.IntN(3)), Size: float64(w.rng.IntN(3)),
+		entry := Endpoint{ID: id, Phase: Phase(d.rng.IntN(6) / 3 * d.rng.IntN(3)), Size: float64(d.rng.IntN(3)),
 			Zone: fmt.Sprintf("z%d", i%3), Cell: i / 2}
-		if w.rng.IntN(4) == 0 {
-			entry.StartedAt = w.now - time.Duration(w.rng.IntN(3))*sec
+		if d.rng.IntN(4) == 0 {
+			entry.StartedAt = d.now - time.Duration(d.rng.IntN(3))*sec
 		}
-		if kind != DeltaList && (entry.Phase == Removed || w.rng.IntN(5) == 0) {
+		if kind != DeltaList && (entry.Phase == Removed || d.rng.IntN(5) == 0) {
 			continue
 		}
 		update.Entries = append(update.Entries, entry)
@@ -158,112 +161,115 @@
 	}
 	seen := map[string]bool{}
 	for _, entry := range update.Entries {
-		seen[entry.ID], w.everSeen[entry.ID] = true, true
-		w.listed[entry.ID] = entry
+		seen[entry.ID], d.everListed[entry.ID] = true, true
+		d.listed[entry.ID] = entry
 		if entry.Phase == Ready {
-			delete(w.unavailableSince, entry.ID)
-		} else if _, ok := w.unavailableSince[entry.ID]; !ok {
-			w.unavailableSince[entry.ID] = w.now
+			delete(d.unavailableSince, entry.ID)
+		} else if _, ok := d.unavailableSince[entry.ID]; !ok {
+			d.unavailableSince[entry.ID] = d.now
 		}
 	}
 	if kind == FullList || kind == CachedList {
-		for id := range w.listed {
-			if _, ok := w.unavailableSince[id]; !seen[id] && !ok {
-				w.unavailableSince[id] = w.now
+		for id := range d.listed {
+			if _, ok := d.unavailableSince[id]; !seen[id] && !ok {
+				d.unavailableSince[id] = d.now
 			}
 		}
 	}
-	w.handle(update)
+	d.handle(update)
 }
 
-func (w *eventWorld) step() {
-	w.now += time.Duration(w.rng.IntN(60)) * ms
-	for { // due timers come in order, with the first batch at or after their time
+// step advances the clock, fires the due timers and sends one random event.
+func (d *eventDriver) step() {
+	d.now += time.Duration(d.rng.IntN(60)) * ms
+	for { // due timers fire in order, each up to 5 ms late
 		due := -1
-		for i, tm := range w.timers {
-			if tm.at <= w.now && (due < 0 || tm.at < w.timers[due].at) {
+		for i, timer := range d.timers {
+			if timer.at <= d.now && (due < 0 || timer.at < d.timers[due].at) {
 				due = i
 			}
 		}
 		if due < 0 {
 			break
 		}
-		tm := w.timers[due]
-		w.timers = append(w.timers[:due], w.timers[due+1:]...)
-		end := w.now
-		w.now = max(w.lastEventAt, min(tm.at+5*ms, end))
-		w.lastEventAt = w.now
-		w.handle(Timer{Token: tm.token})
-		w.now = end
+		timer := d.timers[due]
+		d.timers = append(d.timers[:due], d.timers[due+1:]...)
+		end := d.now
+		d.now = max(d.lastEventAt, min(timer.at+5*ms, end))
+		d.lastEventAt = d.now
+		d.handle(Timer{Token: timer.token})
+		d.now = end
 	}
-	w.lastEventAt = w.now
-	for id, req := range w.requests {
-		if !req.answered && !req.established && w.now > req.Deadline+w.settings.Rules.AnswerSlack {
-			w.t.Fatalf("%q was never answered", id)
+	d.lastEventAt = d.now
+	for id, req := range d.requests {
+		if !req.answered && !req.established && d.now > req.Deadline+d.settings.Rules.AnswerSlack {
+			d.t.Fatalf("%q was never answered", id)
 		}
 	}
-	switch w.rng.IntN(12) {
+	switch d.rng.IntN(12) {
 	case 0:
-		w.list(ListKind(w.rng.IntN(4)))
+		d.updateEndpoints(ListKind(d.rng.IntN(4)))
 	case 1, 2, 3, 4:
-		w.lastID++
-		req := Request{ID: fmt.Sprintf("q%d", w.lastID), Class: w.settings.Classes[w.rng.IntN(len(w.settings.Classes))].Name,
-			Key: fmt.Sprintf("k%d", w.rng.IntN(40)), Deadline: w.now + time.Duration(w.rng.IntN(2000))*ms,
-			Resumed: w.rng.IntN(8) == 0, Returning: w.rng.IntN(4) == 0, ClientRetry: w.rng.IntN(4) == 0}
-		if w.rng.IntN(2) == 0 {
-			req.Group = fmt.Sprintf("g%d", w.rng.IntN(5))
+		d.lastID++
+		req := Request{ID: fmt.Sprintf("q%d", d.lastID), Class: d.settings.Classes[d.rng.IntN(len(d.settings.Classes))].Name,
+			Key: fmt.Sprintf("k%d", d.rng.IntN(40)), Deadline: d.now + time.Duration(d.rng.IntN(2000))*ms,
+			Resumed: d.rng.IntN(8) == 0, Returning: d.rng.IntN(4) == 0, ClientRetry: d.rng.IntN(4) == 0}
+		if d.rng.IntN(2) == 0 {
+			req.Group = fmt.Sprintf("g%d", d.rng.IntN(5))
 		}
-		w.requests[req.ID] = &worldRequest{Request: req}
-		w.handle(req)
+		d.requests[req.ID] = &drivenRequest{Request: req}
+		d.handle(req)
 	default:
-		ids := make([]string, 0, len(w.requests))
-		for i := 1; i <= w.lastID; i++ {
-			if w.requests[fmt.Sprintf("q%d", i)] != nil {
+		ids := make([]string, 0, len(d.requests))
+		for i := 1; i <= d.lastID; i++ {
+			if d.requests[fmt.Sprintf("q%d", i)] != nil {
 				ids = append(ids, fmt.Sprintf("q%d", i))
 			}
 		}
 		if len(ids) == 0 {
 			return
 		}
-		id := ids[w.rng.IntN(len(ids))]
-		w.advance(id, w.requests[id])
+		id := ids[d.rng.IntN(len(ids))]
+		d.advanceRequest(id, d.requests[id])
 	}
 }
 
-func (w *eventWorld) advance(id string, req *worldRequest) {
+// advanceRequest sends the next random event of a request.
+func (d *eventDriver) advanceRequest(id string, req *drivenRequest) {
 	if !req.inFlight {
 		if req.concluded {
-			delete(w.requests, id)
+			delete(d.requests, id)
 		}
 		return
 	}
-	switch k := w.rng.IntN(10); {
-	case k < 3 && !req.established && !req.answered:
+	switch choice := d.rng.IntN(10); {
+	case choice < 3 && !req.established && !req.answered:
 		req.established, req.answered = true, true
-		w.handle(Established{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1})
-	case k == 3 && req.established:
-		w.handle(LatencyChanged{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1, Latency: time.Duration(w.rng.IntN(300)) * ms})
-	case k == 4 && req.established:
-		w.handle(LoadChanged{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1, Load: w.rng.Float64()})
-	case k == 5 && !req.answered:
+		d.handle(Established{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1})
+	case choice == 3 && req.established:
+		d.handle(LatencyChanged{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1, Latency: time.Duration(d.rng.IntN(300)) * ms})
+	case choice == 4 && req.established:
+		d.handle(LoadChanged{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1, Load: d.rng.Float64()})
+	case choice == 5 && !req.answered:
 		req.answered = true
-		w.handle(ClientDisconnected{ID: id})
-	case k > 5:
-		st := Status(w.rng.IntN(int(NotSent) + 1))
+		d.handle(ClientDisconnected{ID: id})
+	case choice > 5:
+		status := Status(d.rng.IntN(int(NotSent) + 1))
 		req.inFlight = false
-		if !st.NeverExecuted() && !req.executed {
-			entry := w.listed[req.endpoint]
+		if !status.NeverExecuted() && !req.executed {
+			entry := d.listed[req.endpoint]
 			req.executed, req.executedAt, req.executedZone, req.executedCell = true, req.sentAt, entry.Zone, entry.Cell
 		}
-		final := req.established || req.answered || st == OK
+		final := req.established || req.answered || status == OK
 		if final {
 			req.answered, req.concluded = true, true
 		}
-		w.handle(AttemptEnded{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1, Status: st, Final: final})
+		d.handle(AttemptEnded{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1, Status: status, Final: final})
 	}
 }
 
-func runLegalEvents(t testing.TB, seed uint64, steps int) {
+// runValidEvents runs a number of steps and restarts the Balancer without its state every 1000 steps.
+func runValidEvents(t testing.TB, seed uint64, steps int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	settings := testSettings()
 	settings.Classes = append(settings.Classes,
@@ -272,43 +278,43 @@
 	settings.Subscribe, settings.PassThrough = rng.IntN(2) == 0, rng.IntN(2) == 0
 	settings.Limits.Cancel = rng.IntN(4) > 0
 	settings.Limits.Attempts = 1 + rng.IntN(4)
-	w := &eventWorld{t: t, rng: rng, settings: settings, now: time.Duration(rng.IntN(100)) * sec}
-	boot := func() {
+	d := &eventDriver{t: t, rng: rng, settings: settings, now: time.Duration(rng.IntN(100)) * sec}
+	restart := func() {
 		b, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.balancer, w.requests, w.timers = b, map[string]*worldRequest{}, nil
-		w.listed, w.unavailableSince, w.everSeen = map[string]Endpoint{}, map[string]Instant{}, map[string]bool{}
-		w.list(CachedList)
+		d.balancer, d.requests, d.timers = b, map[string]*drivenRequest{}, nil
+		d.listed, d.unavailableSince, d.everListed = map[string]Endpoint{}, map[string]Instant{}, map[string]bool{}
+		d.updateEndpoints(CachedList)
 	}
-	boot()
+	restart()
 	for i := range steps {
 		if i%1000 == 999 {
-			boot() // killed and restarted
+			restart()
 		}
-		w.step()
+		d.step()
 	}
-	// When everything has ended nothing may be left in memory.
-	for id, req := range w.requests {
+	// No state of requests may remain after all of them have ended.
+	for id, req := range d.requests {
 		if req.inFlight {
-			w.handle(AttemptEnded{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1, Status: Canceled, Final: true})
+			d.handle(AttemptEnded{ID: id, Endpoint: req.endpoint, Attempt: req.attempts - 1, Status: Canceled, Final: true})
 		} else if !req.answered {
-			w.handle(ClientDisconnected{ID: id})
+			d.handle(ClientDisconnected{ID: id})
 		}
 	}
-	if len(w.balancer.requests) != 0 || len(w.balancer.deadlineTimers) != 0 || w.balancer.activeCount != 0 {
-		t.Fatalf("left in memory: %d requests, %d timers, %d active", len(w.balancer.requests), len(w.balancer.deadlineTimers), w.balancer.activeCount)
+	if len(d.balancer.requests) != 0 || len(d.balancer.deadlineTimers) != 0 || d.balancer.activeCount != 0 {
+		t.Fatalf("state remains after all requests have ended: %d requests, %d timers, %d active", len(d.balancer.requests), len(d.balancer.deadlineTimers), d.balancer.activeCount)
 	}
 }
 
-func TestRandomLegalEvents(t *testing.T) {
+func TestRandomValidEvents(t *testing.T) {
 	for seed := range uint64(24) {
-		runLegalEvents(t, seed, 2500)
+		runValidEvents(t, seed, 2500)
 	}
 }
 
-func FuzzLegalEvents(f *testing.F) {
+func FuzzValidEvents(f *testing.F) {
 	f.Add(uint64(1))
-	f.Fuzz(func(t *testing.T, seed uint64) { runLegalEvents(t, seed, 1500) })
+	f.Fuzz(func(t *testing.T, seed uint64) { runValidEvents(t, seed, 1500) })
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -13,7 +13,7 @@
 
 func testSettings() Settings {
 	return Settings{
-		Nodes: 4, // in none of the endpoints' zones: tests of the local table set one
+		Nodes: 4, // Zone is empty, so no endpoint is local; tests of the local table set it
 		Classes: []Class{
 			{Name: "light", LatencyObjective: 300 * ms, Timeout: 2 * sec, MessageObjective: 120 * ms, PriorityWeight: 2},
 			{Name: "heavy", LatencyObjective: 500 * ms, Timeout: 3 * sec, MessageObjective: 120 * ms, PriorityWeight: 1},
@@ -28,20 +28,20 @@
 func endpointID(i int) string { return fmt.Sprintf("s%03d", i) }
 
 func testEndpoints(n int) []Endpoint {
-	var actions []Endpoint
+	var endpoints []Endpoint
 	for i := range n {
-		actions = append(actions, Endpoint{ID: endpointID(i), Size: 1, Zone: fmt.Sprintf("z%d", i%3), Cell: i / 4})
+		endpoints = append(endpoints, Endpoint{ID: endpointID(i), Size: 1, Zone: fmt.Sprintf("z%d", i%3), Cell: i / 4})
 	}
-	return actions
+	return endpoints
 }
 
-func startBalancer(t testing.TB, settings Settings, members []Endpoint, seed uint64) *Balancer {
+func startBalancer(t testing.TB, settings Settings, endpoints []Endpoint, seed uint64) *Balancer {
 	t.Helper()
 	b, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Handle(sec, EndpointUpdate{Kind: CachedList, Entries: members})
+	b.Handle(sec, EndpointUpdate{Kind: CachedList, Entries: endpoints})
 	return b
 }
 
@@ -59,7 +59,7 @@
 	return found
 }
 
-// sentTo returns where a request was first sent, or "" if it was not.
+// sentTo returns the endpoint of the first attempt among actions, or "" if there is none.
 func sentTo(actions []Action) string {
 	if sends := actionsOf[Send](actions); len(sends) > 0 {
 		return sends[0].Endpoint
@@ -67,7 +67,8 @@
 	return ""
 }
 
-// reportLatency reports an endpoint's message latency, by an active request there, and returns how many are migrated.
+// reportLatency reports a message latency of an endpoint through one of its active requests, and returns how many
+// connections are migrated.
 func reportLatency(b *Balancer, now Instant, endpoint string, latency time.Duration) (migrated int) {
 	for _, req := range b.endpoints[endpoint].active {
 		return len(actionsOf[Migrate](b.Handle(now, LatencyChanged{ID: req.ID, Endpoint: endpoint, Latency: latency})))
@@ -75,7 +76,7 @@
 	return 0
 }
 
-// establish sends a request and establishes its connection; it returns the endpoint.
+// establish sends a request and establishes its connection. It returns the endpoint, or "" if the request was not sent.
 func establish(b *Balancer, now Instant, req Request) string {
 	endpoint := sentTo(b.Handle(now, req))
 	if endpoint != "" {
@@ -84,7 +85,7 @@
 	return endpoint
 }
 
-// loadReportSettings are those of a site whose endpoints report their load.
+// loadReportSettings returns the settings of a site whose endpoints report their load.
 func loadReportSettings() Settings {
 	settings := testSettings()
 	settings.Zone, settings.LoadReports = "z0", true
@@ -94,7 +95,7 @@
 	return settings
 }
 
-// startWithReports starts a node whose endpoints have reported these loads.
+// startWithReports starts a node with one endpoint per load and has each endpoint report its load.
 func startWithReports(t testing.TB, settings Settings, loads ...float64) *Balancer {
 	t.Helper()
 	b := startBalancer(t, settings, testEndpoints(len(loads)), 1)
--- a/balancer/load_learning_test.go
+++ b/balancer/load_learning_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Each ready endpoint is requested once in OverloadWindow while the fleet has little load, ten times in the first one; none
-// that drains, and none where the site's endpoints report nothing.
+// A node requests a load report from each ready endpoint once per OverloadWindow while the fleet load is low, and ten
+// times in the first window after its start. It requests none from a draining endpoint, and none if LoadReports is off.
 func TestRequestsLoadReports(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		settings := loadReportSettings()
@@ -14,45 +14,46 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		members := testEndpoints(3)
-		members[2].Phase = Draining
+		endpoints := testEndpoints(3)
+		endpoints[2].Phase = Draining
 		requested := map[string]int{}
 		timers := map[string]Instant{}
-		take := func(now Instant, actions []Action) {
-			for _, p := range actionsOf[HealthCheck](actions) {
-				requested[p.Endpoint]++
+		collect := func(now Instant, actions []Action) {
+			for _, check := range actionsOf[HealthCheck](actions) {
+				requested[check.Endpoint]++
 			}
-			for _, a := range actionsOf[SetTimer](actions) {
-				timers[a.Token] = now + a.Delay
+			for _, timer := range actionsOf[SetTimer](actions) {
+				timers[timer.Token] = now + timer.Delay
 			}
 		}
-		take(sec, b.Handle(sec, EndpointUpdate{Kind: CachedList, Entries: members}))
+		collect(sec, b.Handle(sec, EndpointUpdate{Kind: CachedList, Entries: endpoints}))
 		for now := sec; now < 10*sec; now += 10 * ms {
 			if at, ok := timers[loadReportTimer]; ok && at <= now {
 				delete(timers, loadReportTimer)
-				take(now, b.Handle(now, Timer{Token: loadReportTimer}))
+				collect(now, b.Handle(now, Timer{Token: loadReportTimer}))
 			}
 		}
 		if !reports {
 			if len(requested) > 0 {
-				t.Errorf("requested %v", requested)
+				t.Errorf("requests with LoadReports off: %v", requested)
 			}
 			continue
 		}
 		for _, id := range []string{endpointID(0), endpointID(1)} {
 			if requested[id] < 8 || requested[id] > 14 {
-				t.Errorf("%s was requested %d times", id, requested[id])
+				t.Errorf("%d reports of %s were requested", requested[id], id)
 			}
 		}
 		if requested[endpointID(2)] > 0 {
-			t.Error("a draining endpoint was requested")
+			t.Error("a report of a draining endpoint was requested")
 		}
 	}
 }
 
-// TestLoadQueriesDoNotGrowWithTheList: of a large list a node asks those endpoints for their load that have connections of its own,
-// and some others, the same from time to time and others than another node; of a small one all.
-func TestLoadQueriesDoNotGrowWithTheList(t *testing.T) {
+// The number of endpoints that a node asks for their load must not grow with the list. Of a large list the node asks
+// those that hold its connections and a sample, which is stable over time and differs between nodes. Of a small list it
+// asks all.
+func TestLoadReportRequestsDoNotGrowWithList(t *testing.T) {
 	asked := func(b *Balancer, now Instant) map[string]bool {
 		ids := map[string]bool{}
 		for _, check := range actionsOf[HealthCheck](b.Handle(now, Timer{Token: loadReportTimer})) {
@@ -85,12 +86,12 @@
 	send := actionsOf[Send](b.Handle(11*sec, testRequest(1, 11*sec)))[0]
 	later := asked(b, 20*sec)
 	if !later[send.Endpoint] {
-		t.Errorf("the endpoint of an attempt is not asked")
+		t.Errorf("the endpoint of an active attempt is not asked")
 	}
 	delete(later, send.Endpoint)
 	for id := range later {
 		if !first[id] {
-			t.Errorf("%s is asked later and was not at first", id)
+			t.Errorf("%s is asked later but was not asked at first", id)
 		}
 	}
 }
--- a/balancer/load_model_test.go
+++ b/balancer/load_model_test.go
@@ -6,18 +6,19 @@
 	"testing"
 )
 
-// loadModel is a fleet of endpoints that report their load, and the nodes that send to them.
+// loadModel simulates endpoints that report their load, and the nodes that send requests to them.
 type loadModel struct {
 	t           *testing.T
 	nodes       []*Balancer
 	connections map[string]map[string]Request // by endpoint and request ID
 	endpointOf  map[string]string             // by request ID
-	returning   []returningClient
+	retrying    []retryingClient
 	offered     map[string]int
 	maxLoad     float64
 }
 
-const modelCapacity = 20.0 // mean connections, the cost of groups included, that fill an endpoint of size 1
+// modelCapacity is the capacity of an endpoint of size 1, in mean connections with the cost of groups.
+const modelCapacity = 20.0
 
 func (m *loadModel) load(endpoint string) float64 {
 	groups, n := map[string]bool{}, 0.0
@@ -28,7 +29,7 @@
 	return (n + 3*float64(len(groups))) / modelCapacity
 }
 
-func (m *loadModel) carryOut(node int, now Instant, actions []Action) {
+func (m *loadModel) execute(node int, now Instant, actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Send:
@@ -45,7 +46,7 @@
 	}
 }
 
-// send passes a request to a node, which must give one answer at once: an endpoint or a rejection. Rejected clients
+// send passes a request to a node, which must answer at once with either an attempt or a rejection. Rejected clients
 // retry.
 func (m *loadModel) send(node int, now Instant, req Request) {
 	m.t.Helper()
@@ -53,23 +54,23 @@
 	actions := m.nodes[node].Handle(now, req)
 	rejected := actionsOf[Reject](actions)
 	if len(actionsOf[Send](actions))+len(rejected) != 1 || len(actionsOf[Fail](actions)) > 0 {
-		m.t.Fatalf("request %s got these actions: %+v", req.ID, actions)
+		m.t.Fatalf("request %s: got %+v, want one attempt or rejection", req.ID, actions)
 	}
-	m.carryOut(node, now, actions)
-	for _, a := range rejected {
+	m.execute(node, now, actions)
+	for _, rejection := range rejected {
 		req.ID += "."
-		m.returning = append(m.returning, returningClient{node, now + a.RetryAfter, req})
+		m.retrying = append(m.retrying, retryingClient{node, now + rejection.RetryAfter, req})
 	}
 }
 
-// returningClient is a client that was rejected and retries.
-type returningClient struct {
+// retryingClient is a client that was rejected and retries later.
+type retryingClient struct {
 	node    int
 	at      Instant
 	request Request
 }
 
-// runLoadModel sends requests, 40 each second, and has each endpoint report its load three times a second.
+// runLoadModel sends 40 requests a second and has each endpoint report its load three times a second.
 func runLoadModel(t *testing.T, seed uint64, seconds int, draw func(rng *rand.Rand, i int) Request) *loadModel {
 	settings := loadReportSettings()
 	for _, share := range []float64{0.35, 0.31, 0.23, 0.11} {
@@ -77,40 +78,40 @@
 	}
 	m := &loadModel{t: t, connections: map[string]map[string]Request{}, endpointOf: map[string]string{},
 		offered: map[string]int{}}
-	members := testEndpoints(12)
+	endpoints := testEndpoints(12)
 	for i := range 4 {
 		settings.Zone = fmt.Sprint("z", i%3)
 		b, err := New(settings, seed+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(sec, EndpointUpdate{Kind: CachedList, Entries: members})
+		b.Handle(sec, EndpointUpdate{Kind: CachedList, Entries: endpoints})
 		m.nodes = append(m.nodes, b)
 	}
-	for i := range members {
+	for i := range endpoints {
 		m.connections[endpointID(i)] = map[string]Request{}
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := range seconds * 40 {
 		now := 2*sec + Instant(i)*25*ms
 		if i%13 == 0 {
-			for s := range members {
+			for s := range endpoints {
 				load := m.load(endpointID(s))
 				m.maxLoad = max(m.maxLoad, load)
 				for n, b := range m.nodes {
 					report := Load{ReportLoad: load, ReportConnections: float64(len(m.connections[endpointID(s)]))}
-					m.carryOut(n, now, b.Handle(now, HealthCheckResult{Endpoint: endpointID(s), Load: report}))
+					m.execute(n, now, b.Handle(now, HealthCheckResult{Endpoint: endpointID(s), Load: report}))
 				}
 			}
 		}
 		req := draw(rng, i)
-		again := m.returning
-		m.returning = nil
-		for _, c := range again {
-			if c.at > now {
-				m.returning = append(m.returning, c)
+		waiting := m.retrying
+		m.retrying = nil
+		for _, client := range waiting {
+			if client.at > now {
+				m.retrying = append(m.retrying, client)
 			} else {
-				m.send(c.node, now, c.request)
+				m.send(client.node, now, client.request)
 			}
 		}
 		req.ID, req.Class = fmt.Sprint("r", i), "light"
@@ -120,7 +121,8 @@
 	return m
 }
 
-// Three hot keys carry a quarter of the traffic: no endpoint is overloaded, and each group is on few endpoints.
+// Three hot keys carry a quarter of the traffic. They must not overload any endpoint, and each group must stay on few
+// endpoints.
 func TestHotKeysOverloadNoEndpoint(t *testing.T) {
 	for seed := range uint64(10) {
 		m := runLoadModel(t, seed, 3, func(rng *rand.Rand, i int) Request {
@@ -131,21 +133,22 @@
 			}
 			return req
 		})
-		pairs := 0
-		for _, held := range m.connections {
+		placements := 0 // pairs of a group and an endpoint
+		for _, connections := range m.connections {
 			groups := map[string]bool{}
-			for _, req := range held {
+			for _, req := range connections {
 				groups[req.Group] = true
 			}
-			pairs += len(groups)
+			placements += len(groups)
 		}
-		if m.maxLoad > 1.3 || pairs > 42 { // seven groups; if each were everywhere, 84
-			t.Errorf("seed %d: an endpoint was loaded to %.2f of its capacity, groups are in %d places", seed, m.maxLoad, pairs)
+		if m.maxLoad > 1.3 || placements > 42 { // of 84 for seven groups on twelve endpoints
+			t.Errorf("seed %d: an endpoint was loaded to %.2f of its capacity, groups have %d placements", seed, m.maxLoad, placements)
 		}
 	}
 }
 
-// One tenant sends five times its share while all send twice as much: the others keep at least their share.
+// One tenant sends five times its share to an overloaded fleet. The other tenants must keep at least 80% of their
+// share.
 func TestExcessiveTenantSparesOthers(t *testing.T) {
 	shares := []float64{0.35, 0.31, 0.23, 0.11}
 	for seed := range uint64(8) {
@@ -167,17 +170,17 @@
 			return Request{Tenant: fmt.Sprint(tenant), Key: fmt.Sprint("k", i), Group: fmt.Sprint("g", rng.IntN(8))}
 		})
 		held, all := map[string]int{}, 0
-		for _, on := range m.connections {
-			for _, req := range on {
+		for _, connections := range m.connections {
+			for _, req := range connections {
 				held[req.Tenant]++
 				all++
 			}
 		}
 		for _, share := range shares {
 			name := fmt.Sprint(share)
-			wants := min(share*float64(all), float64(m.offered[name]))
-			if share != excessive && float64(held[name]) < 0.8*wants {
-				t.Errorf("seed %d, excess of %v: %s has %d of %d, wants %.0f", seed, excessive, name, held[name], all, wants)
+			guaranteed := min(share*float64(all), float64(m.offered[name]))
+			if share != excessive && float64(held[name]) < 0.8*guaranteed {
+				t.Errorf("seed %d, tenant %v is excessive: tenant %s holds %d of %d connections, its share is %.0f", seed, excessive, name, held[name], all, guaranteed)
 			}
 		}
 	}
--- a/balancer/loadreport/thresholds_test.go
+++ b/balancer/loadreport/thresholds_test.go
@@ -8,7 +8,7 @@
 func TestExcessFraction(t *testing.T) {
 	for load, want := range map[float64]float64{0.3: 0, 1: 0, 1.25: 0.4, 3: 0.75} {
 		if got := ExcessFraction(load); math.Abs(got-want) > 1e-9 {
-			t.Errorf("at %v: %v, want %v", load, got, want)
+			t.Errorf("ExcessFraction(%v) = %v, want %v", load, got, want)
 		}
 	}
 }
@@ -16,7 +16,7 @@
 func TestLoadBound(t *testing.T) {
 	for mean, want := range map[float64]float64{0: 0.3, 0.5: 0.55, 2: 0.65} {
 		if got := LoadBound(mean); math.Abs(got-want) > 1e-9 {
-			t.Errorf("at a mean of %v: %v, want %v", mean, got, want)
+			t.Errorf("LoadBound(%v) = %v, want %v", mean, got, want)
 		}
 	}
 }
--- a/balancer/outlier_detection_test.go
+++ b/balancer/outlier_detection_test.go
@@ -22,14 +22,14 @@
 			endpoint = sentTo(b.Handle(now, AttemptEnded{ID: req.ID, Endpoint: down, Attempt: attempt, Status: ConnectFailed}))
 		}
 		if endpoint == "" {
-			t.Fatalf("request %d rejected though three endpoints are well", i)
+			t.Fatalf("request %d was rejected although three endpoints are available", i)
 		}
 		b.Handle(now, AttemptEnded{ID: req.ID, Endpoint: endpoint, Attempt: len(b.requests[req.ID].attempted) - 1, Status: OK, Final: true})
 	}
 	if failures > 15 || failures < 3 {
-		t.Errorf("an endpoint that is down got %d attempts in 20 s", failures)
+		t.Errorf("an endpoint that is down got %d attempts in 20 s, want 3 to 15", failures)
 	}
-	// It is used again once it answers.
+	// The endpoint is used again after it recovers.
 	for i := range 4000 {
 		now += 5 * ms
 		req := testRequest(10000+i, now)
@@ -39,29 +39,30 @@
 			return
 		}
 	}
-	t.Error("an endpoint that answers again is never used")
+	t.Error("the endpoint was not used after it recovered")
 }
 
-// The trials of many nodes that saw the same failure at the same moment must not coincide.
+// Many nodes that observe the same failure at the same time must not send their trials at the same time.
 func TestTrialsOfManyNodesAreSpread(t *testing.T) {
 	settings := testSettings()
-	at := map[time.Duration]int{}
+	trials := map[time.Duration]int{} // by interval of 100 ms
 	for i := range 150 {
 		b := startBalancer(t, settings, testEndpoints(4), uint64(i))
 		endpoint := b.endpoints[endpointID(1)]
 		for range 4 {
 			b.recordFailure(endpoint, ConnectFailed)
 		}
-		at[(endpoint.ejectedUntil-b.now)/(100*ms)]++
+		trials[(endpoint.ejectedUntil-b.now)/(100*ms)]++
 	}
-	for slot, n := range at {
+	for interval, n := range trials {
 		if n > 30 {
-			t.Errorf("%d of 150 nodes try within the same 100 ms (slot %d)", n, slot)
+			t.Errorf("%d of 150 nodes send their trials within the same 100 ms (interval %d)", n, interval)
 		}
 	}
 }
 
-// An endpoint that restarted before discovery says so (its connections were reset, it refused new ones) warms up.
+// An endpoint warms up after a restart that service discovery has not listed yet. The node infers the restart because
+// the endpoint reset its connections and then refused new ones.
 func TestUnlistedRestartWarmsUp(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(4), 1)
 	endpoint := b.endpoints[endpointID(1)]
@@ -75,11 +76,11 @@
 	}
 	b.now = 20 * sec
 	if fraction := b.warmUpFraction(endpoint); fraction != 1 {
-		t.Errorf("warm-up fraction %.2f long after", fraction)
+		t.Errorf("warm-up fraction %.2f after the end of the warm-up", fraction)
 	}
 }
 
-// When a zone is unreachable it is ejected whole after a few failures, and the others are used at once.
+// An unreachable zone is ejected as a whole after a few failures, and requests are then sent to the other zones.
 func TestUnreachableZoneIsEjected(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(30), 1)
 	failed, now := 0, 2*sec
@@ -96,11 +97,11 @@
 		}
 	}
 	if failed > 15 {
-		t.Errorf("%d attempts into an unreachable zone, in 3 s, with ten endpoints there", failed)
+		t.Errorf("%d attempts to the ten endpoints of an unreachable zone in 3 s", failed)
 	}
 }
 
-// An endpoint that resets single connections is sent less, but not ejected.
+// An endpoint that resets single connections is sent fewer keys, but is not ejected.
 func TestResetConnectionDoesNotEject(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(4), 1)
 	req := testRequest(1, 2*sec)
@@ -111,7 +112,8 @@
 	}
 }
 
-// Where all endpoints are in one zone, failures in a row do not make a node reject everybody.
+// If all endpoints are in one zone, endpoints that fail in a row must not eject that zone, because the node would then
+// reject every request.
 func TestOnlyZoneIsNotEjected(t *testing.T) {
 	list := testEndpoints(12)
 	for i := range list {
@@ -125,12 +127,12 @@
 			endpoint = sentTo(b.Handle(now, AttemptEnded{ID: fmt.Sprint("r", i), Endpoint: endpoint, Attempt: attempt, Status: ConnectFailed}))
 		}
 		if endpoint == "" {
-			t.Fatalf("request %d is rejected though eight endpoints of twelve are well", i)
+			t.Fatalf("request %d was rejected although eight of twelve endpoints are available", i)
 		}
 	}
 }
 
-// A listed restart has an endpoint warm up and clears the failures of the old process.
+// After a restart that service discovery lists, an endpoint warms up and the failures of its old process are cleared.
 func TestListedRestartWarmsUpAndEndsEjection(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(4), 1)
 	endpoint := b.endpoints[endpointID(2)]
@@ -138,7 +140,7 @@
 		b.recordFailure(endpoint, ConnectFailed)
 	}
 	if !b.isEjected(endpoint) {
-		t.Fatal("five failures did not eject: the test shows nothing")
+		t.Fatal("five failures did not eject the endpoint, so the test can't check the end of the ejection")
 	}
 	b.Handle(4*sec, EndpointUpdate{Entries: []Endpoint{{ID: endpointID(2), Size: 1, Zone: "z2", StartedAt: 4 * sec}}})
 	if fraction := b.warmUpFraction(endpoint); endpoint.failures != 0 || fraction > 0.31 {
@@ -146,6 +148,6 @@
 	}
 	b.Handle(20*sec, EndpointUpdate{Entries: []Endpoint{{ID: endpointID(2), Size: 1, Zone: "z2", StartedAt: 4 * sec}}})
 	if fraction := b.warmUpFraction(endpoint); fraction != 1 {
-		t.Errorf("an old start listed again has it warm up: fraction %.2f", fraction)
+		t.Errorf("an unchanged start time restarted the warm-up: fraction %.2f", fraction)
 	}
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// New settings change the classes, the attempts and the objectives; the table's history, what is known of endpoints and
-// pending requests stay.
+// New settings replace the classes, limits and objectives. The history of the slot table, the state of endpoints and
+// pending requests are kept.
 func TestReconfigure(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(6), 1)
 	req := testRequest(1, sec)
@@ -26,33 +26,33 @@
 	if !slices.Equal(owners, b.fleetTable.allOwners()) || !slices.Contains(owners, b.endpoints["s999"]) || b.endpoints["s999"].slowStartTokens != tokens {
 		t.Errorf("table of %v, tokens %v: changed", b.fleetTable.counts, b.endpoints["s999"].slowStartTokens)
 	}
-	// The old request keeps its class, safe, and is retried; the limit on attempts is the new one.
+	// The pending request keeps its class, which is safe, and is retried. The new limit on attempts applies.
 	actions := b.Handle(4*sec+ms, AttemptEnded{ID: req.ID, Endpoint: first, Status: Timeout})
 	if len(actionsOf[Send](actions)) != 1 {
-		t.Errorf("actions %v", actions)
+		t.Errorf("pending request after a timeout: %v, want one attempt", actions)
 	}
-	n := testRequest(2, 5*sec)
-	n.Class = "new"
-	at := sentTo(b.Handle(5*sec, n))
-	if actions := b.Handle(5*sec+ms, AttemptEnded{ID: n.ID, Endpoint: at, Status: Timeout}); len(actionsOf[Fail](actions)) != 1 {
-		t.Errorf("an unsafe request that may have been executed: %v", actions)
+	unsafeRequest := testRequest(2, 5*sec)
+	unsafeRequest.Class = "new"
+	endpoint := sentTo(b.Handle(5*sec, unsafeRequest))
+	if actions := b.Handle(5*sec+ms, AttemptEnded{ID: unsafeRequest.ID, Endpoint: endpoint, Status: Timeout}); len(actionsOf[Fail](actions)) != 1 {
+		t.Errorf("unsafe request that may have been executed: %v, want a failure", actions)
 	}
-	n = testRequest(3, 5*sec)
-	n.Class = "heavy"
-	at = sentTo(b.Handle(5*sec+2*ms, n))
+	req = testRequest(3, 5*sec)
+	req.Class = "heavy"
+	endpoint = sentTo(b.Handle(5*sec+2*ms, req))
 	for i := range 2 {
-		actions = b.Handle(5*sec+2*ms, AttemptEnded{ID: n.ID, Endpoint: at, Attempt: i, Status: Full})
-		at = sentTo(actions)
+		actions = b.Handle(5*sec+2*ms, AttemptEnded{ID: req.ID, Endpoint: endpoint, Attempt: i, Status: Full})
+		endpoint = sentTo(actions)
 	}
 	if len(actionsOf[Reject](actions)) != 1 {
-		t.Errorf("after the last attempt: %v", actions)
+		t.Errorf("request without attempts left: %v, want a rejection", actions)
 	}
 	if b.minMessageObjective != 50*ms {
-		t.Errorf("shortest objective %v", b.minMessageObjective)
+		t.Errorf("shortest message objective %v, want 50ms", b.minMessageObjective)
 	}
-	bad := settings
-	bad.Classes = nil
-	if _, err := b.Reconfigure(6*sec, bad); err == nil || len(b.settings.Classes) != 2 {
-		t.Errorf("no classes: %v", err)
+	invalid := settings
+	invalid.Classes = nil
+	if _, err := b.Reconfigure(6*sec, invalid); err == nil || len(b.settings.Classes) != 2 {
+		t.Errorf("settings without classes: error %v", err)
 	}
 }
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -9,19 +9,19 @@
 	"example.org/micafront/balancer/hashing"
 )
 
-// slowStartCase is a tier of nodes that sends to two warming endpoints.
+// slowStartCase describes a tier of nodes that sends requests to two warming endpoints.
 type slowStartCase struct {
 	nodes int
-	zoned bool // the two endpoints replace all those of a zone
+	zoned bool // whether the two endpoints replace all endpoints of a zone
 }
 
-// slowStartTier is nodes with the same stream of keys, and the connections that they have.
+// slowStartTier is a tier of nodes that share a stream of keys, with the connections of all nodes.
 type slowStartTier struct {
 	rng         *rand.Rand
 	nodes       []*Balancer
 	lastID      int
-	connections []tierConnection     // the oldest first
-	sends       map[string][]Instant // by endpoint
+	connections []tierConnection     // oldest first
+	sends       map[string][]Instant // times of attempts, by endpoint
 }
 
 type tierConnection struct {
@@ -31,7 +31,7 @@
 	endsAt   Instant
 }
 
-// offer ends the connections that have lived their time and establishes another one at a random node.
+// offer ends the connections whose lifetime is over and establishes a new one at a random node.
 func (tier *slowStartTier) offer(now Instant) {
 	const lifetime = 20 * sec
 	for len(tier.connections) > 0 && tier.connections[0].endsAt <= now {
@@ -47,7 +47,8 @@
 	tier.connections = append(tier.connections, tierConnection{node, req.ID, endpoint, now + lifetime})
 }
 
-// Many nodes with the same stream of keys, whose clients reconnect at once, must not overload a warming endpoint together.
+// Nodes that share a stream of keys, and whose clients reconnect at once, must not overload a warming endpoint
+// together.
 func TestSlowStartBudgetHoldsForManyNodes(t *testing.T) {
 	for _, c := range []slowStartCase{{1, false}, {8, false}, {150, false}, {9, true}, {150, true}} {
 		settings := testSettings()
@@ -61,7 +62,8 @@
 			}
 			tier.nodes = append(tier.nodes, startBalancer(t, settings, endpoints, uint64(i)))
 		}
-		// 1000 connections are on 20 endpoints, which can have four times as many; then two start while many clients return.
+		// 20 endpoints hold 1000 connections and can hold four times as many. Then two endpoints start while many clients
+		// reconnect.
 		const startedAt = 32 * sec
 		for now := 2 * sec; now < startedAt; now += 20 * ms {
 			tier.offer(now)
@@ -74,13 +76,13 @@
 		for _, entry := range endpoints {
 			if entry.Phase = Removed; c.zoned && entry.Zone == "z0" {
 				update = append(update, entry)
-				capacity = 4 * 1000.0 / 15 // as many endpoints are left
+				capacity = 4 * 1000.0 / 15 // 15 endpoints are left
 			}
 		}
 		for _, node := range tier.nodes {
 			node.Handle(startedAt, EndpointUpdate{Entries: update})
 		}
-		for now := startedAt; now < startedAt+10*sec; now += 4 * ms { // five times the usual rate
+		for now := startedAt; now < startedAt+10*sec; now += 4 * ms { // five times the previous rate
 			tier.offer(now)
 		}
 		for _, endpoint := range warming {
@@ -89,7 +91,8 @@
 	}
 }
 
-// checkSlowStart checks what an endpoint, which has such a capacity once it is warm, was sent since its start.
+// checkSlowStart checks the attempts that an endpoint got since its start. capacity is the number of connections that
+// it can hold once it is warm.
 func checkSlowStart(t *testing.T, c slowStartCase, endpoint string, sends []Instant, startedAt Instant, capacity float64) {
 	t.Helper()
 	settings := testSettings()
@@ -103,25 +106,25 @@
 		}
 		warmUpFraction := min(0.15+0.85*(from-startedAt).Seconds()/10, 1)
 		limit := 3 * capacity / 10 * warmUpFraction
-		if overload := float64(received) / (limit + 2*math.Sqrt(limit)); overload > worst { // counted in whole sends
+		if overload := float64(received) / (limit + 2*math.Sqrt(limit)); overload > worst { // allows for the scatter of small counts
 			worst, worstAt = overload, fmt.Sprint(received, limit, from)
 		}
 		if from < startedAt+5*sec {
 			early++
 		}
 	}
-	if worst > 1.2 { // each node may have one send saved up
-		t.Errorf("%+v: %s was sent %.2f of what overloads it: %v", c, endpoint, worst, worstAt)
+	if worst > 1.2 { // each node may have saved one token
+		t.Errorf("%+v: %s got %.2f times the attempts that overload it (attempts, limit, from): %v", c, endpoint, worst, worstAt)
 	}
-	// Half way through the warm-up it must have got some of its share, at few nodes and at many: the others carry the rest
-	// meanwhile.
+	// Halfway through the warm-up the endpoint must have got some of its share, with few nodes and with many. The other
+	// endpoints carry the rest.
 	if early < 14 {
-		t.Errorf("%+v: %s was sent %d in 5 s", c, endpoint, early)
+		t.Errorf("%+v: %s got %d attempts in 5 s, want at least 14", c, endpoint, early)
 	}
 }
 
-// Resumed packets whose connection is guessed to be at an endpoint that has just restarted: most of its connections ended
-// with the old process, and at many nodes at once they would overload it.
+// Resumed packets may belong to a connection at an endpoint that has just restarted, but most of those connections
+// ended with the old process. If many nodes sent all such packets to the endpoint at once, they would overload it.
 func TestResumedPacketsSpareWarmingEndpoint(t *testing.T) {
 	const nodes = 300
 	settings := testSettings()
