--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -151,7 +151,7 @@
 		} else {
 			b.recordFailure(endpoint, status)
 		}
-	case Full:
+	case RejectedByEndpoint:
 		b.halveAdmittedFraction(endpoint)
 	}
 }
@@ -178,17 +178,17 @@
 // mayReject reports whether the client can safely repeat a request at any endpoint.
 func (b *Balancer) mayReject(req *request) bool {
 	neverExecuted := req.executedOn == nil && req.endpoint == nil
-	discardedEverywhere := req.class.Effect == Keyed && req.class.DedupScope == ScopeAll
-	return req.class.Effect == Safe || neverExecuted || discardedEverywhere
+	discardedEverywhere := req.class.Idempotency == IdempotentByKey && req.class.DedupScope == ScopeAll
+	return req.class.Idempotency == Idempotent || neverExecuted || discardedEverywhere
 }
 
 // mayRetryOn reports whether another attempt may be sent to an endpoint. Once an attempt may have been executed, a
 // keyed request is retried only within its deduplication window and scope, and an unsafe one is not retried.
 func (b *Balancer) mayRetryOn(req *request, endpoint *endpointState) bool {
-	if req.executedOn == nil || req.class.Effect == Safe {
+	if req.executedOn == nil || req.class.Idempotency == Idempotent {
 		return true
 	}
-	if req.class.Effect == Unsafe || b.now-req.executedAt > req.class.DedupWindow {
+	if req.class.Idempotency == NotIdempotent || b.now-req.executedAt > req.class.DedupWindow {
 		return false
 	}
 	switch req.class.DedupScope {
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -23,7 +23,7 @@
 	phase Phase  // changed only by setPhase
 
 	inReadyList      bool   // whether the ready list contained it when last read
-	lastListedUpdate uint64 // number of the latest update that lists it
+	lastListedUpdate uint64 // updateCount of the latest update that listed it
 
 	size      float64 // relative capacity
 	zone      string
--- a/balancer/random_events_test.go
+++ b/balancer/random_events_test.go
@@ -80,9 +80,9 @@
 			d.t.Fatalf("%q: attempt %d exceeds the limit", action.ID, req.attempts)
 		}
 		class, entry := d.class(req), d.listed[action.Endpoint]
-		if req.executed && (class.Effect == Unsafe || class.Effect == Keyed && (d.now-req.executedAt > class.DedupWindow ||
+		if req.executed && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && (d.now-req.executedAt > class.DedupWindow ||
 			class.DedupScope != ScopeAll && entry.Zone != req.executedZone || class.DedupScope == ScopeCell && entry.Cell != req.executedCell)) {
-			d.t.Fatalf("%q of effect %v was sent to an endpoint that may execute it a second time", action.ID, class.Effect)
+			d.t.Fatalf("%q with idempotency %v was sent to an endpoint that may execute it a second time", action.ID, class.Idempotency)
 		}
 		if action.Timeout < 0 {
 			d.t.Fatalf("negative timeout")
@@ -91,7 +91,7 @@
 	case Reject:
 		req := d.recordAnswer(action.ID)
 		class := d.class(req)
-		if (req.executed || req.inFlight) && class.Effect != Safe && (class.Effect != Keyed || class.DedupScope != ScopeAll) {
+		if (req.executed || req.inFlight) && class.Idempotency != Idempotent && (class.Idempotency != IdempotentByKey || class.DedupScope != ScopeAll) {
 			d.t.Fatalf("%q was rejected although it may have been executed", action.ID)
 		}
 	case Fail:
@@ -273,8 +273,8 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	settings := testSettings()
 	settings.Classes = append(settings.Classes,
-		Class{Name: "once", LatencyObjective: 200 * ms, Timeout: sec, Effect: Unsafe, PriorityWeight: 1},
-		Class{Name: "keyed", LatencyObjective: 200 * ms, Timeout: sec, Effect: Keyed, DedupScope: Scope(rng.IntN(3)), DedupWindow: 300 * ms, PriorityWeight: 1})
+		Class{Name: "once", LatencyObjective: 200 * ms, Timeout: sec, Idempotency: NotIdempotent, PriorityWeight: 1},
+		Class{Name: "keyed", LatencyObjective: 200 * ms, Timeout: sec, Idempotency: IdempotentByKey, DedupScope: DedupScope(rng.IntN(3)), DedupWindow: 300 * ms, PriorityWeight: 1})
 	settings.Subscribe, settings.PassThrough = rng.IntN(2) == 0, rng.IntN(2) == 0
 	settings.Limits.Cancel = rng.IntN(4) > 0
 	settings.Limits.Attempts = 1 + rng.IntN(4)
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -8,7 +8,7 @@
 // Reconfigure replaces the settings. Invalid settings return an error and leave the previous ones in force. Requests
 // keep the class under which they arrived, and the observed state of the fleet is kept.
 func (b *Balancer) Reconfigure(now Instant, settings Settings) ([]Action, error) {
-	if err := settings.validate(); err != nil {
+	if err := settings.cloneAndValidate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	b.beginEvent(now)
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -16,7 +16,7 @@
 	b.Handle(4*sec, Timer{}) // an epoch later
 	owners, tokens := b.fleetTable.allOwners(), b.endpoints["s999"].slowStartTokens
 	settings := testSettings()
-	settings.Classes = []Class{settings.Classes[1], {Name: "new", LatencyObjective: sec, Timeout: 3 * sec, MessageObjective: 50 * ms, PriorityWeight: 1, Effect: Unsafe}}
+	settings.Classes = []Class{settings.Classes[1], {Name: "new", LatencyObjective: sec, Timeout: 3 * sec, MessageObjective: 50 * ms, PriorityWeight: 1, Idempotency: NotIdempotent}}
 	settings.Limits.Attempts = 2
 	settings.Rules.OverloadWindow = sec
 	if _, err := b.Reconfigure(4*sec, settings); err != nil {
@@ -24,7 +24,7 @@
 	}
 	b.Handle(4*sec+ms, Timer{})
 	if !slices.Equal(owners, b.fleetTable.allOwners()) || !slices.Contains(owners, b.endpoints["s999"]) || b.endpoints["s999"].slowStartTokens != tokens {
-		t.Errorf("table of %v, tokens %v: changed", b.fleetTable.counts, b.endpoints["s999"].slowStartTokens)
+		t.Errorf("table of %v, tokens %v: changed", b.fleetTable.slotCountHistory, b.endpoints["s999"].slowStartTokens)
 	}
 	// The pending request keeps its class, which is safe, and is retried. The new limit on attempts applies.
 	actions := b.Handle(4*sec+ms, AttemptEnded{ID: req.ID, Endpoint: first, Status: Timeout})
@@ -41,7 +41,7 @@
 	req.Class = "heavy"
 	endpoint = sentTo(b.Handle(5*sec+2*ms, req))
 	for i := range 2 {
-		actions = b.Handle(5*sec+2*ms, AttemptEnded{ID: req.ID, Endpoint: endpoint, Attempt: i, Status: Full})
+		actions = b.Handle(5*sec+2*ms, AttemptEnded{ID: req.ID, Endpoint: endpoint, Attempt: i, Status: RejectedByEndpoint})
 		endpoint = sentTo(actions)
 	}
 	if len(actionsOf[Reject](actions)) != 1 {
--- a/balancer/slow_start_model_test.go
+++ b/balancer/slow_start_model_test.go
@@ -155,7 +155,7 @@
 	sum := 0.0
 	for i := range scenario.nodes {
 		settings := m.settings
-		settings.Self = i
+		settings.NodeIndex = i
 		if scenario.zones > 1 {
 			settings.Zone = fmt.Sprintf("z%d", i%scenario.zones)
 		}
--- a/internal/proxy/hotrestart_state.go
+++ b/internal/proxy/hotrestart_state.go
@@ -59,9 +59,9 @@
 // encode returns the text for a successor. With thousands of endpoints that takes tens of milliseconds.
 func (c *capturedState) encode() ([]byte, error) {
 	slices.SortFunc(c.list.Instances, func(a, b discovery.Entry) int { return cmp.Compare(a.ID, b.ID) })
-	c.Balancer.FindOwners()
+	c.Balancer.ComputeOwners()
 	for name, state := range c.Pools {
-		state.FindOwners()
+		state.ComputeOwners()
 		c.Pools[name] = state
 	}
 	encodedList, err := json.Marshal(c.list)
@@ -140,7 +140,7 @@
 	divided := len(state.Pools) > 0 // else the only pool's state has the whole list already
 	for i, pool := range p.pools.active {
 		if restored[i].ok {
-			p.events.executeAll(pool, restored[i].actions)
+			p.events.executeActions(pool, restored[i].actions)
 			updates[i].Members.Kind = balancer.FullList // the pool may have had other endpoints before
 		}
 		if !restored[i].ok || divided {
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -17,17 +17,17 @@
 func (p *Proxy) Reload(c *config.Config) error {
 	return p.loop.Post(func() {
 		p.loop.NameTurn(turnReload)
-		if err := c.Settings.Check(); err != nil { // the caller has checked the file
+		if err := c.Settings.Validate(); err != nil { // the caller has checked the file
 			p.rejectReload(err)
 			return
 		}
 		p.counters.Reloads++
 		p.limits.max = c.MaxDescriptors
 		p.memoryLimitMB = c.MemoryMB
-		p.limitMemory()
+		p.setGCMemoryLimit()
 		p.reloadFleet(c)
 		if p.fleet != nil && p.fleet.hasActiveVersion() {
-			p.applyConfig(withNodeOf(p.settings, &c.Settings), p.loadIsLatency, p.pools.table)
+			p.applyConfig(withNodeIdentity(p.settings, &c.Settings), p.loadIsLatency, p.pools.table)
 			p.log.Info("settings and routes of the fleet's active version stay")
 		} else {
 			p.applyConfig(c.Settings, c.LoadIsLatency, c.Routes)
@@ -48,10 +48,10 @@
 	p.log.Warn("configuration rejected", zap.Error(err))
 }
 
-// withNodeOf returns settings with the zone and the index of own, which are this node's whatever the fleet's version.
-func withNodeOf(settings balancer.Settings, own *balancer.Settings) balancer.Settings {
+// withNodeIdentity returns settings with the zone and the index of own, which are this node's whatever the fleet's version.
+func withNodeIdentity(settings balancer.Settings, own *balancer.Settings) balancer.Settings {
 	settings.Zone = own.Zone
-	settings.Self = own.Self
+	settings.NodeIndex = own.NodeIndex
 	return settings
 }
 
@@ -66,7 +66,7 @@
 
 // applyConfig makes settings and routes the active ones: a file's, or those of a version of the fleet's.
 func (p *Proxy) applyConfig(settings balancer.Settings, loadIsLatency bool, table *routing.Table) {
-	p.drainer.changeSchedule(p.loop.Now(), newShutdownSchedule(p.settings))
+	p.drainer.recordScheduleChange(p.loop.Now(), newShutdownSchedule(p.settings))
 	for _, class := range p.settings.Classes {
 		p.droppedClasses[class.Name] = class
 	}
@@ -98,6 +98,6 @@
 		if err != nil {
 			continue // cannot be: the settings have been checked by the same rules
 		}
-		p.events.executeAll(pool, actions)
+		p.events.executeActions(pool, actions)
 	}
 }
