--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -183,7 +183,8 @@
 }
 
 // mayRetryOn reports whether another attempt may be sent to an endpoint. Once an attempt may have been executed, a
-// keyed request is retried only within its deduplication window and scope, and an unsafe one is not retried.
+// request that is idempotent by key is retried only within its deduplication window and scope, and one that is not
+// idempotent is not retried.
 func (b *Balancer) mayRetryOn(req *request, endpoint *endpointState) bool {
 	if req.executedOn == nil || req.class.Idempotency == Idempotent {
 		return true
--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -57,29 +57,29 @@
 	}
 }
 
-func TestEffectsDecideRetryAndRejection(t *testing.T) {
+func TestIdempotencyDecidesRetryAndRejection(t *testing.T) {
 	type answer struct{ resend, reject bool }
 	for _, c := range []struct {
-		name   string
-		effect Idempotency
-		dedup  DedupScope
-		status Status
-		after  time.Duration
-		want   answer
+		name        string
+		idempotency Idempotency
+		dedup       DedupScope
+		status      Status
+		after       time.Duration
+		want        answer
 	}{
-		{"safe after timeout", Idempotent, ScopeAll, Timeout, 100 * ms, answer{true, false}},
-		{"unsafe after full", NotIdempotent, ScopeAll, RejectedByEndpoint, 100 * ms, answer{true, false}},
-		{"unsafe after timeout", NotIdempotent, ScopeAll, Timeout, 100 * ms, answer{false, false}},
-		{"unsafe after error", NotIdempotent, ScopeAll, AppError, 100 * ms, answer{false, false}},
-		{"keyed, all, in window", IdempotentByKey, ScopeAll, Timeout, 100 * ms, answer{true, false}},
-		{"keyed, all, past window", IdempotentByKey, ScopeAll, Timeout, 700 * ms, answer{false, true}},
-		{"keyed, zone, past window", IdempotentByKey, ScopeZone, Timeout, 700 * ms, answer{false, false}},
-		{"keyed, zone, in window", IdempotentByKey, ScopeZone, Timeout, 100 * ms, answer{true, false}},
-		{"keyed, cell, in window", IdempotentByKey, ScopeCell, Reset, 100 * ms, answer{true, false}},
-		{"keyed, zone, never executed", IdempotentByKey, ScopeZone, ConnectFailed, 700 * ms, answer{true, false}},
+		{"idempotent, after timeout", Idempotent, ScopeAll, Timeout, 100 * ms, answer{true, false}},
+		{"not idempotent, after rejection", NotIdempotent, ScopeAll, RejectedByEndpoint, 100 * ms, answer{true, false}},
+		{"not idempotent, after timeout", NotIdempotent, ScopeAll, Timeout, 100 * ms, answer{false, false}},
+		{"not idempotent, after application error", NotIdempotent, ScopeAll, AppError, 100 * ms, answer{false, false}},
+		{"by key, all, in window", IdempotentByKey, ScopeAll, Timeout, 100 * ms, answer{true, false}},
+		{"by key, all, past window", IdempotentByKey, ScopeAll, Timeout, 700 * ms, answer{false, true}},
+		{"by key, zone, past window", IdempotentByKey, ScopeZone, Timeout, 700 * ms, answer{false, false}},
+		{"by key, zone, in window", IdempotentByKey, ScopeZone, Timeout, 100 * ms, answer{true, false}},
+		{"by key, cell, in window", IdempotentByKey, ScopeCell, Reset, 100 * ms, answer{true, false}},
+		{"by key, zone, never executed", IdempotentByKey, ScopeZone, ConnectFailed, 700 * ms, answer{true, false}},
 	} {
 		settings := testSettings()
-		settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = c.effect, c.dedup, 500*ms
+		settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = c.idempotency, c.dedup, 500*ms
 		b := startBalancer(t, settings, testEndpoints(12), 1)
 		req := testRequest(1, 2*sec)
 		first := b.endpoints[sentTo(b.Handle(2*sec, req))]
@@ -93,7 +93,7 @@
 		if n := len(actionsOf[Fail](actions)) + len(actionsOf[Reject](actions)) + len(actionsOf[Send](actions)); n != 1 {
 			t.Errorf("%s: %d answers or sends", c.name, n)
 		}
-		if next := sentTo(actions); next != "" && c.effect == IdempotentByKey && !c.status.NeverExecuted() {
+		if next := sentTo(actions); next != "" && c.idempotency == IdempotentByKey && !c.status.NeverExecuted() {
 			endpoint := b.endpoints[next]
 			if c.dedup != ScopeAll && endpoint.zone != first.zone || c.dedup == ScopeCell && endpoint.cell != first.cell {
 				t.Errorf("%s: resent outside the dedup scope", c.name)
@@ -102,9 +102,9 @@
 	}
 }
 
-// A keyed request with zone scope must fail at its deadline, not be rejected, while its only attempt may be executed: a
-// retry in another zone could execute it twice.
-func TestKeyedZoneDeadlineFails(t *testing.T) {
+// A request that is idempotent by key within a zone must fail at its deadline, not be rejected, while its only attempt
+// may be executed: a retry in another zone could execute it twice.
+func TestIdempotentByKeyInZoneFailsAtDeadline(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = IdempotentByKey, ScopeZone, sec
 	b := startBalancer(t, settings, testEndpoints(4), 1)
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -26,16 +26,16 @@
 	if !slices.Equal(owners, b.fleetTable.allOwners()) || !slices.Contains(owners, b.endpoints["s999"]) || b.endpoints["s999"].slowStartTokens != tokens {
 		t.Errorf("table of %v, tokens %v: changed", b.fleetTable.slotCountHistory, b.endpoints["s999"].slowStartTokens)
 	}
-	// The pending request keeps its class, which is safe, and is retried. The new limit on attempts applies.
+	// The pending request keeps its class, which is idempotent, and is retried. The new limit on attempts applies.
 	actions := b.Handle(4*sec+ms, AttemptEnded{ID: req.ID, Endpoint: first, Status: Timeout})
 	if len(actionsOf[Send](actions)) != 1 {
 		t.Errorf("pending request after a timeout: %v, want one attempt", actions)
 	}
-	unsafeRequest := testRequest(2, 5*sec)
-	unsafeRequest.Class = "new"
-	endpoint := sentTo(b.Handle(5*sec, unsafeRequest))
-	if actions := b.Handle(5*sec+ms, AttemptEnded{ID: unsafeRequest.ID, Endpoint: endpoint, Status: Timeout}); len(actionsOf[Fail](actions)) != 1 {
-		t.Errorf("unsafe request that may have been executed: %v, want a failure", actions)
+	nonIdempotent := testRequest(2, 5*sec)
+	nonIdempotent.Class = "new"
+	endpoint := sentTo(b.Handle(5*sec, nonIdempotent))
+	if actions := b.Handle(5*sec+ms, AttemptEnded{ID: nonIdempotent.ID, Endpoint: endpoint, Status: Timeout}); len(actionsOf[Fail](actions)) != 1 {
+		t.Errorf("request that is not idempotent and may have been executed: %v, want a failure", actions)
 	}
 	req = testRequest(3, 5*sec)
 	req.Class = "heavy"
