--- a/balancer/admission/admission.go
+++ b/balancer/admission/admission.go
@@ -29,9 +29,9 @@
 	return highest - reserved*(1-rank)
 }
 
-// The admission rate falls while more than tolerableStress of a node's connections are in trouble, and rises otherwise.
-// Uneven groups cause that much stress even in a fleet with ample capacity. The rate never falls below minRate, so that
-// it recovers soon even after a stall of all endpoints.
+// The admission rate falls while more than tolerableStress of a node's connections are served late or reset, and rises
+// otherwise. Uneven groups cause that much stress even in a fleet with ample capacity. The rate never falls below
+// minRate, so that it recovers soon even after a stall of all endpoints.
 const (
 	tolerableStress = 0.15
 	minRate         = 0.1
@@ -39,7 +39,7 @@
 )
 
 // UpdateRate returns the admission rate after a number of seconds during which a fraction of a node's connections was
-// in trouble.
+// served late or reset.
 //
 // A node combines the stress of all its connections, for two reasons. With many nodes, each one has little evidence on
 // a single endpoint. And if the fleet as a whole is short of capacity, spillover from one overloaded endpoint to the
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -7,7 +7,8 @@
 
 // Zones are assumed to have similar traffic. A zone with less than its share of the fleet's capacity sends keys to other
 // zones. A zone that has just lost capacity does so early, because its remaining endpoints already hold connections; any
-// other zone does so only when more keys would overload it.
+// other zone does so only when more keys would overload it. The slack is the factor by which the fraction of keys that
+// try the zone first exceeds the zone's share.
 const (
 	stableZoneSlack       = 2
 	shrunkenZoneSlack     = 1.25
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -20,7 +20,7 @@
 // the steady state. Endpoints don't report this ratio.
 const assumedHeadroom = 4
 
-// Of the connections that are allowed per OverloadWindow, the fill rate of the token bucket grants sustainedFraction. The
+// The fill rate of the token bucket grants sustainedFraction of the connections that are allowed per OverloadWindow. The
 // size of the bucket grants the rest, a quarter of that, for bursts.
 const (
 	sustainedFraction = 0.8
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -146,7 +146,7 @@
 			}
 		}
 	}
-	if fraction := float64(sent) / float64(resumed); fraction < 0.04 || fraction > 0.15 { // 0.09
+	if fraction := float64(sent) / float64(resumed); fraction < 0.04 || fraction > 0.15 { // 0.3 squared is 0.09
 		t.Errorf("%d of %d packets went to an endpoint with a warm-up fraction of 0.3", sent, resumed)
 	}
 }
