--- a/balancer/hashing/hashing_test.go
+++ b/balancer/hashing/hashing_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The results are the same in every version: nodes of two versions place keys alike.
+// Nodes of two versions must place keys alike, so the results are fixed.
 func TestResultsNeverChange(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/balancer/hotkeys/frequency_tracker.go
+++ b/balancer/hotkeys/frequency_tracker.go
@@ -1,21 +1,22 @@
-// Package hotkeys estimates which groups of clients make up how much of a node's traffic. Package balancer splits groups
-// that are too heavy for one endpoint by it. It has no I/O and no clock, and its sums are exact: they don't depend on the
-// order of a map.
+// Package hotkeys estimates the share of each group of clients in a node's traffic. Package balancer uses the estimates to split
+// groups that are too heavy for one endpoint. The package has no I/O and no clock. Its sums are exact, so they don't depend on
+// the iteration order of a map.
 package hotkeys
 
 import "math"
 
-// MaxTotal bounds the memory of the counts: past it all are halved, so that shares also follow the traffic.
+// MaxTotal is the total count, in requests, at which all counts are halved. This bounds the memory of the tracker and lets shares
+// follow changes in the traffic.
 const MaxTotal = 4096
 
-// FrequencyTracker counts the requests of each group. Its fields are for those who encode it; Observe maintains them.
+// FrequencyTracker counts the requests of each group. Observe maintains the fields, which are exported for encoding.
 type FrequencyTracker struct {
-	Counts       map[uint64]float64 // by group hash, whole numbers
+	Counts       map[uint64]float64 // requests by group hash; whole numbers
 	Total        float64            // sum of the counts
-	SumOfSquares float64            // of the counts
+	SumOfSquares float64            // sum of the squares of the counts
 }
 
-// New returns a tracker without counts.
+// New returns an empty tracker.
 func New() FrequencyTracker { return FrequencyTracker{Counts: map[uint64]float64{}} }
 
 // Observe counts a request of a group.
@@ -29,7 +30,7 @@
 	}
 }
 
-// halve halves all counts, rounding down: whole numbers add up exactly in any order, ever longer fractions would not.
+// halve halves all counts and rounds them down. Sums of whole numbers are exact in any order; sums of fractions would not be.
 func (t *FrequencyTracker) halve() {
 	t.Total = 0
 	t.SumOfSquares = 0
@@ -46,16 +47,18 @@
 	}
 }
 
-// The prior of Share is worth as many requests as it takes for a group's own count to outweigh the mean. With fewer,
-// nodes that have seen a dozen requests each split some group or other by chance, each another one, and scatter it.
+// priorRequests is the weight of the mean share in Share, in requests: a group's own count outweighs the mean share once the
+// tracker has counted more requests than that. With less weight, nodes that have seen only a dozen requests each split groups by
+// chance, and each node a different group, which scatters the clients of these groups. priorPairs is the number of pairs among
+// these requests.
 const (
 	priorRequests = 32.0
 	priorPairs    = priorRequests * (priorRequests - 1) / 2
 )
 
-// Share estimates a group's part of all traffic, in [0,1], where so many endpoints share it. A node that has seen little
-// falls back on the mean share of a request's group, which is the chance that two requests are of one group, and that on
-// one part in the number of endpoints.
+// Share estimates the fraction of all traffic that a group has, in [0,1]. With few requests the estimate tends to the mean
+// share of a request's group, which is the probability that two requests are from the same group. The estimate of that mean
+// tends to 1/endpoints, where endpoints is the number of endpoints that serve the traffic.
 func (t *FrequencyTracker) Share(group uint64, endpoints float64) float64 {
 	pairs := t.Total * (t.Total - 1) / 2
 	pairsOfOneGroup := (t.SumOfSquares - t.Total) / 2
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -8,16 +8,17 @@
 	"example.org/micafront/balancer/loadreport"
 )
 
-// This file selects the endpoint of an attempt. A key has a chain of candidates, the same at every node of a zone.
+// Each key has a chain of candidate endpoints, which is the same at all nodes of a zone. selectEndpoint chooses from it.
 
-// maxCandidates bounds the chain: with half of all endpoints out, none of 12 admits in under 0.03% of cases.
+// maxCandidates is the length of a key's chain. With half of all endpoints out, 12 candidates all fail in under 0.03% of
+// cases.
 const maxCandidates = 12
 
-// localCandidates is how many endpoints of the node's own zone a key is offered before the whole fleet's. A third one
-// did harm: what an overloaded endpoint sheds overloads the next one of the zone while other zones have room.
+// localCandidates is the number of candidates from the node's zone that precede those from the whole fleet. With a third
+// one, the load shed by an overloaded endpoint overloads the next endpoint of the zone while other zones have capacity.
 const localCandidates = 2
 
-// selectEndpoint picks the endpoint of a request's next attempt; nil if there is none.
+// selectEndpoint returns the endpoint for a request's next attempt, or nil if no endpoint can take it.
 func (b *Balancer) selectEndpoint(req *request) *endpointState {
 	if req.Resumed && req.attempts == 0 {
 		if endpoint := b.resumedEndpoint(req); endpoint != nil {
@@ -30,21 +31,23 @@
 	return b.selectByHash(req)
 }
 
-// resumedEndpoint is the endpoint that most likely has a resumed connection; nil if it can't be used.
+// resumedEndpoint returns the endpoint that most likely holds a resumed connection, or nil if there is none or it can't be
+// used.
 func (b *Balancer) resumedEndpoint(req *request) *endpointState {
 	endpoint := b.likelyEndpoint(req)
 	if endpoint == nil || endpoint.phase != Ready || b.isEjected(endpoint) {
 		return nil
 	}
-	// One that restarted has lost its connections and is refilled as it warms up: it has about the square of that fraction.
+	// A restarted endpoint has lost its connections and gains new ones as it warms up. The chance that it holds this one
+	// is about the square of its warm-up fraction.
 	if hashing.Uniform(req.clientHash, endpoint.hash) < math.Pow(b.warmUpFraction(endpoint), 2) {
 		return endpoint
 	}
 	return nil
 }
 
-// selectByHash walks the chain to the first endpoint that is not full. All full means that the shares are wrong, as
-// just after a loss of endpoints: the first one takes the request then.
+// selectByHash returns the first endpoint on the chain that is not full. If all are full, the load shares are out of date,
+// as they are just after a loss of endpoints, and the first full endpoint takes the request.
 func (b *Balancer) selectByHash(req *request) *endpointState {
 	var firstFull *endpointState
 	for i := range maxCandidates {
@@ -52,8 +55,8 @@
 		if endpoint == nil {
 			return nil
 		}
-		// Without admission nothing spills over from overloaded endpoints, which would overload the next ones. What
-		// has an endpoint of its own that is well, such as a new one, is served.
+		// A request that was denied admission may only use its first candidate, and only while that endpoint, for example
+		// a new one, is healthy. If it spilled over from an overloaded endpoint, it would overload the next one.
 		if req.admissionDenied && (i > 0 || b.currentAdmittedFraction(endpoint) < 1 || b.isFull(endpoint)) {
 			return nil
 		}
@@ -70,9 +73,9 @@
 	return firstFull
 }
 
-// selectByLoadReports prefers an endpoint of this zone that holds the request's group and is loaded below the bound,
-// then any endpoint below it, then the least loaded one. A group fills endpoint after endpoint along its chain, and each
-// endpoint holds few groups.
+// selectByLoadReports prefers an endpoint in this zone that already serves the request's group and whose load is below the
+// bound, then the first endpoint below the bound, then the least loaded one. A group therefore fills the endpoints of its
+// chain one after another, and each endpoint serves few groups.
 func (b *Balancer) selectByLoadReports(req *request) *endpointState {
 	if req.admissionDenied {
 		return nil
@@ -102,16 +105,18 @@
 	return selected
 }
 
+// mayAttempt reports whether a request's next attempt may go to an endpoint.
 func (b *Balancer) mayAttempt(req *request, endpoint *endpointState) bool {
 	return !slices.Contains(req.attempted, endpoint) && b.mayRetryOn(req, endpoint) && b.admitsKey(req, endpoint)
 }
 
-// admitsKey tells whether an endpoint takes this key now. Every node with like evidence decides alike.
+// admitsKey reports whether an endpoint accepts the request's key now. Nodes with the same observations of the endpoint
+// decide alike.
 func (b *Balancer) admitsKey(req *request, endpoint *endpointState) bool {
 	if endpoint.phase != Ready || b.isEjected(endpoint) {
 		return false
 	}
-	// The part of the keys that a warming endpoint gets runs ahead of its capacity: its budget bounds what it is sent.
+	// The square root admits more keys than a warming endpoint has capacity for; its slow-start budget bounds its requests.
 	fraction := math.Sqrt(b.warmUpFraction(endpoint)) * b.currentAdmittedFraction(endpoint)
 	if fraction < 1 && !b.probeTrafficDue() && hashing.Uniform(req.keyHash, endpoint.hash) >= fraction {
 		return false
@@ -119,8 +124,8 @@
 	return b.hasSlowStartBudget(endpoint)
 }
 
-// isFull tells whether an endpoint has more of this node's load than its fair share and the scatter to be expected.
-// Each node that keeps its own traffic even keeps the sum even; one with next to no traffic is hardly bound.
+// isFull reports whether an endpoint's part of this node's load exceeds its fair share plus the expected random variation.
+// If each node spreads its own load evenly, the total is even too. The bound hardly limits a node with little traffic.
 func (b *Balancer) isFull(endpoint *endpointState) bool {
 	if b.activeCount == 0 {
 		return false
@@ -134,8 +139,8 @@
 	return endpoint.activeLoad >= fairLoad+math.Sqrt(fairLoad*meanLoad)+meanLoad
 }
 
-// candidate is the i-th endpoint on a key's chain. Crossing zones costs at every message, so a key walks the table of
-// its node's zone first and after that the whole fleet's.
+// candidate returns the i-th endpoint on a key's chain, or nil if the tables are empty. Every message that crosses zones
+// has a cost, so the chain begins in the table of the node's zone and continues in the table of the whole fleet.
 func (b *Balancer) candidate(req *request, i int) *endpointState {
 	if b.localTable.isEmpty() || hashing.Uniform(req.clientHash, localTableSalt) >= b.localKeyFraction {
 		return b.fleetTable.lookup(hashing.Candidate(req.keyHash, i))
@@ -146,8 +151,8 @@
 	return b.fleetTable.lookup(hashing.Candidate(req.keyHash, i-localCandidates))
 }
 
-// likelyEndpoint guesses which endpoint holds a connection whose packets now arrive here: the one where this node saw it
-// last, else the one where the node that they came through before will have placed it.
+// likelyEndpoint returns the endpoint that probably holds a connection whose packets now arrive at this node: the endpoint
+// where this node last saw the client, or else the one where the packets' previous node probably placed the connection.
 func (b *Balancer) likelyEndpoint(req *request) *endpointState {
 	for _, generation := range b.clientEndpoints {
 		if endpoint := generation[req.clientHash]; endpoint != nil {
@@ -157,8 +162,8 @@
 	if b.localTable.isEmpty() {
 		return b.lookupEstablished(&b.fleetTable, req.keyHash)
 	}
-	// A load balancer in front keeps to its zone's nodes. Just after a node's start it returns that node's connections;
-	// later, where a node is alone in its zone, what comes is the other zone's.
+	// A load balancer in front of the nodes uses the nodes of its own zone. Just after this node's start it returns the
+	// connections that this node had. Later, if this node is alone in its zone, they come from a node of the other zone.
 	aloneInZone := b.settings.Nodes <= b.zoneCount
 	if aloneInZone && b.now-b.startedAt > b.settings.Rules.OverloadWindow*3/2 && len(b.zoneTables) == 2 {
 		for zone, table := range b.zoneTables {
@@ -170,8 +175,8 @@
 	return b.lookupEstablished(b.localTable, req.keyHash)
 }
 
-// lookupEstablished looks a key up in the table by which its connection was most likely placed. Connections outlive many
-// changes of a table: for a time most of them are where it led before those.
+// lookupEstablished looks up a key in the form of the table that most likely placed its connection. Connections outlive
+// many changes of a table, so for some time after a change most of them are where its previous form placed them.
 func (b *Balancer) lookupEstablished(table *slotTable, keyHash uint64) *endpointState {
 	if table.previous != nil && b.now-b.previousTablesAt < 2*b.settings.Rules.WarmUp {
 		endpoint := table.previous.lookup(keyHash)
@@ -182,21 +187,22 @@
 	return table.lookup(keyHash)
 }
 
-// groupKeyHash counts a request of a group and returns the hash by which it is placed.
+// groupKeyHash returns the hash that places a request of a group. It also counts the request toward the group's traffic,
+// unless the client is returning, retrying or resuming a connection.
 func (b *Balancer) groupKeyHash(req *request) uint64 {
 	group := hashing.String(req.Group)
 	if !req.Returning && !req.ClientRetry && !req.Resumed {
 		b.groupFrequency.Observe(group)
 	}
-	if b.settings.LoadReports { // a group spreads as far as its endpoints report to be loaded
+	if b.settings.LoadReports { // selectByLoadReports spreads a group by the load that its endpoints report
 		return group
 	}
 	return b.splitGroupHash(group, req.clientHash)
 }
 
-// splitGroupHash returns the client's part of a group that is too heavy for one endpoint: the group is split into as many
-// parts as endpoints' worths of traffic it has, each with a hash of its own. The client's part is found by plastic
-// hashing too, so that it rarely changes while the number of parts grows.
+// splitGroupHash returns the key hash for a client of a group. A group that is too heavy for one endpoint is split into
+// about as many parts as it needs endpoints, and each part has its own hash. Plastic hashing assigns clients to parts, so
+// that a client's part rarely changes while the number of parts grows.
 func (b *Balancer) splitGroupHash(group, clientHash uint64) uint64 {
 	owners := b.localTable.expectedOwnerCount
 	if owners == 0 {
@@ -207,8 +213,8 @@
 	if endpointsWorth < 2 {
 		return group
 	}
-	// Powers of two, so that nodes that estimate a little differently still split alike; at least one endpoint's worth
-	// each, since every endpoint that holds any of a group pays for it.
+	// The number of parts is a power of two, so that nodes with slightly different estimates still split alike. Each part
+	// is worth at least one endpoint, because a group has a cost at every endpoint that serves it.
 	var history []int
 	for count := 1; float64(count) <= endpointsWorth; count *= 2 {
 		history = append(history, count)
--- a/balancer/ready_list.go
+++ b/balancer/ready_list.go
@@ -5,19 +5,17 @@
 	"slices"
 )
 
-// This file keeps the list of ready endpoints. It decides nothing.
-
-// readyList are the endpoints that may own slots, by ID. It is brought up to date when it is read: in time that grows with the
-// list, plus the sorting of what has become ready since.
+// readyList holds the ready endpoints, which may own slots, sorted by ID. current applies the changes since its last call. That
+// takes time linear in the length of the list, plus the time to sort the endpoints that have become ready.
 type readyList struct {
 	endpoints []*endpointState
-	changed   []*endpointState // whose phase has changed since, some repeatedly
+	changed   []*endpointState // phase changed since the last call of current; may hold duplicates
 }
 
 // markChanged records that an endpoint's phase has changed.
 func (l *readyList) markChanged(endpoint *endpointState) { l.changed = append(l.changed, endpoint) }
 
-// reset replaces the list by the ready ones among others.
+// reset replaces the list with the ready ones of the given endpoints.
 func (l *readyList) reset(endpoints map[string]*endpointState) {
 	for _, endpoint := range l.endpoints {
 		endpoint.inReadyList = false
@@ -28,7 +26,7 @@
 	}
 }
 
-// current returns the endpoints. The slice is never changed afterwards: tables keep it.
+// current returns the ready endpoints, sorted by ID. The slice is never modified afterwards, because tables retain it.
 func (l *readyList) current() []*endpointState {
 	if len(l.changed) == 0 {
 		return l.endpoints
@@ -54,9 +52,10 @@
 	return l.endpoints
 }
 
+// compareIDs orders endpoints by ID.
 func compareIDs(x, y *endpointState) int { return cmp.Compare(x.id, y.id) }
 
-// mergeByID merges two lists, each in the order of IDs.
+// mergeByID merges two lists that are sorted by ID.
 func mergeByID(x, y []*endpointState) []*endpointState {
 	merged := make([]*endpointState, 0, len(x)+len(y))
 	for len(x) > 0 && len(y) > 0 {
@@ -72,10 +71,10 @@
 	return append(merged, y...)
 }
 
-// readyEndpoints lists the endpoints that may own slots, by ID.
+// readyEndpoints returns the endpoints that may own slots, sorted by ID.
 func (b *Balancer) readyEndpoints() []*endpointState { return b.ready.current() }
 
-// setPhase changes an endpoint's phase.
+// setPhase sets an endpoint's phase and marks the endpoint list as changed.
 func (b *Balancer) setPhase(endpoint *endpointState, phase Phase) {
 	endpoint.phase = phase
 	b.listDirty = true
--- a/balancer/rebalancing.go
+++ b/balancer/rebalancing.go
@@ -8,17 +8,16 @@
 	"example.org/micafront/balancer/loadreport"
 )
 
-// This file migrates load off endpoints that are asked for too much.
-
-// requestOrder compares requests: those that come first are migrated first.
+// requestOrder compares two requests as slices.SortFunc does. Requests that sort first are migrated first.
 type requestOrder func(x, y *request) int
 
-// byPriorityDensity orders by priority weight for load, least first.
+// byPriorityDensity orders requests by priority weight per load, lowest first.
 func byPriorityDensity(x, y *request) int {
 	return cmp.Compare(x.class.PriorityWeight*y.load, y.class.PriorityWeight*x.load)
 }
 
-// migrateLoad migrates connections of so much load. One that is larger than what is left goes with that probability.
+// migrateLoad migrates established connections with a total load of excess, in the given order. If a connection's load
+// exceeds what is left of excess, it is migrated with a probability of the remainder divided by its load.
 func (b *Balancer) migrateLoad(endpoint *endpointState, excess float64, order requestOrder) {
 	connections := endpoint.established()
 	slices.SortStableFunc(connections, order)
@@ -33,8 +32,8 @@
 	}
 }
 
-// rebalanceByReport migrates what a reported load says is too much, and tenants' connections beyond their quotas while
-// the fleet is short.
+// rebalanceByReport migrates connections off an endpoint whose reported load exceeds its capacity. While the fleet is short
+// of capacity, it also migrates connections of tenants beyond their quotas.
 func (b *Balancer) rebalanceByReport(endpoint *endpointState, load float64) {
 	groupLoads := map[string]float64{}
 	overQuotaLoad := 0.0
@@ -48,7 +47,8 @@
 	if endpoint.phase != Ready || excess == 0 {
 		return
 	}
-	// Groups with the least load here go first: each costs the endpoint something.
+	// Connections of the tenants furthest beyond their quotas go first, then those of the groups with the least load here,
+	// because each group has a cost at every endpoint that serves it.
 	b.migrateLoad(endpoint, excess, func(x, y *request) int {
 		return cmp.Or(
 			cmp.Compare(b.overQuotaFraction(y), b.overQuotaFraction(x)),
--- a/balancer/slot_assignment.go
+++ b/balancer/slot_assignment.go
@@ -7,20 +7,20 @@
 	"example.org/micafront/balancer/hashing"
 )
 
-// This file is the hash table: plastic hashing (Natrajan 2020) over slots, the paper's virtual hosts.
+// Plastic hashing (Natrajan 2020) maps keys to slots, which the paper calls virtual hosts. Weighted rendezvous hashing assigns
+// the slots to endpoints.
 
-// An endpoint has minSlotsPerEndpoint slots at least, in the mean. There are minSlots in all, more beyond 128 endpoints:
-// their number hardly ever changes, so that the history, which a node that starts amid a change can't know, hardly ever
-// tells nodes apart.
+// A table has minSlots slots for up to 128 endpoints and more for larger lists, so the number of slots rarely changes. A node
+// that starts during a change does not know the history of that number and may place keys differently from other nodes.
 const (
-	minSlotsPerEndpoint = 16
+	minSlotsPerEndpoint = 16 // mean over all endpoints
 	minSlots            = 2048
 )
 
-// update brings the table up to a list, by ID, and tells whether that changed it. The owner of a slot is the endpoint
-// that wins its rendezvous, so the owners follow from the list alone: a joining endpoint takes slots from all others evenly
-// and keeps them; a leaving one's slots go to all others evenly; and nodes with the same list agree, whatever came before.
-// The list must not be changed afterwards.
+// update replaces the table's members with a list that is sorted by ID, and reports whether the table changed. Rendezvous
+// hashing makes the owners depend on the list alone: a joining endpoint takes slots evenly from all others and keeps them,
+// the slots of a leaving endpoint are spread evenly over all others, and nodes with the same list agree regardless of the
+// lists they had before. The caller must not modify the list afterwards.
 func (t *slotTable) update(ready []*endpointState) bool {
 	if slices.Equal(t.members, ready) {
 		return false
@@ -58,7 +58,7 @@
 		uniform := members[i].salt.Uniform(slotHash)
 		size := members[i].size
 		if uniform/size >= leastDraw {
-			continue // the draw is no less than that: most are skipped without a logarithm
+			continue // this is a lower bound of the draw; it saves most members the logarithm
 		}
 		if draw := -math.Log1p(-uniform) / size; draw < leastDraw {
 			owner, leastDraw = i, draw
--- a/balancer/slot_table.go
+++ b/balancer/slot_table.go
@@ -7,30 +7,29 @@
 	"example.org/micafront/balancer/hashing"
 )
 
-// This file is the hash table of key hashes: a number of slots, each owned by an endpoint. See slot_assignment.go for the
-// owners, table_history.go for the history. It decides nothing.
+// slot_assignment.go assigns the slots of a table to endpoints, and table_history.go decides when a table changes.
 
 // slotTable maps key hashes to endpoints. The zero value is empty.
 //
-// A slot's owner follows from the members alone, so it is found when the slot is first looked up: to find all of them takes
-// slots times members, which grows with the square of the list.
+// A slot's owner depends on the members alone, so owner computes it when the slot is first looked up. To compute all owners
+// takes time proportional to slots times members, which grows with the square of the endpoint list.
 type slotTable struct {
-	slotCountHistory   []int                  // history of the number of slots, the present one last
-	members            []*endpointState       // the endpoints that may own slots, by ID; never changed in place
-	weightedMembers    []weightedMember       // of the members, in their order; nil until a slot is looked up
-	cachedOwners       map[int]*endpointState // of the slots that have been looked up
-	sizePerSlot        float64                // endpoint size that earns one slot
-	expectedOwnerCount int                    // endpoints that are to be expected to own slots
-	previous           *slotTable             // as it was before its latest changes, if retained
+	slotCountHistory   []int                  // numbers of slots over time, the current one last
+	members            []*endpointState       // endpoints that may own slots, sorted by ID; never modified in place
+	weightedMembers    []weightedMember       // in the order of members; nil until a slot is looked up
+	cachedOwners       map[int]*endpointState // by slot, for slots that have been looked up
+	sizePerSlot        float64                // endpoint size per slot
+	expectedOwnerCount int                    // expected number of endpoints that own any slot
+	previous           *slotTable             // the table before its latest changes; nil if not retained
 }
 
-// weightedMember holds what rendezvousOwner needs of an endpoint.
+// weightedMember is an endpoint in weighted rendezvous hashing.
 type weightedMember struct {
-	salt hashing.Salt
-	size float64
+	salt hashing.Salt // of the endpoint's hash
+	size float64      // the weight
 }
 
-// slotCount returns the number of slots.
+// slotCount returns the current number of slots.
 func (t *slotTable) slotCount() int {
 	if len(t.slotCountHistory) == 0 {
 		return 0
@@ -38,10 +37,10 @@
 	return t.slotCountHistory[len(t.slotCountHistory)-1]
 }
 
-// isEmpty reports whether no key has an endpoint.
+// isEmpty reports whether the table has no slots.
 func (t *slotTable) isEmpty() bool { return len(t.slotCountHistory) == 0 }
 
-// lookup returns the endpoint of a key; nil if the table is empty.
+// lookup returns the endpoint of a key, or nil if the table is empty.
 func (t *slotTable) lookup(keyHash uint64) *endpointState {
 	if t.isEmpty() {
 		return nil
@@ -49,7 +48,7 @@
 	return t.owner(plasticSlot(keyHash, t.slotCountHistory))
 }
 
-// owner returns the owner of a slot. It takes time in proportion to the members where the slot has not been looked up yet.
+// owner returns the owner of a slot. The first lookup of a slot takes time proportional to the number of members.
 func (t *slotTable) owner(slot int) *endpointState {
 	if owner := t.cachedOwners[slot]; owner != nil {
 		return owner
@@ -65,7 +64,7 @@
 	return owner
 }
 
-// cacheOwner keeps what has been found for a slot.
+// cacheOwner stores the owner of a slot for later lookups.
 func (t *slotTable) cacheOwner(slot int, owner *endpointState) {
 	if t.cachedOwners == nil {
 		t.cachedOwners = map[int]*endpointState{}
@@ -73,18 +72,18 @@
 	t.cachedOwners[slot] = owner
 }
 
-// totalSize is the size of all owners together.
+// totalSize returns the total size of the members.
 func (t *slotTable) totalSize() float64 { return t.sizePerSlot * float64(t.slotCount()) }
 
-// setMembers replaces the members; the owners of slots are found anew.
+// setMembers replaces the members and discards the cached owners.
 func (t *slotTable) setMembers(members []*endpointState) {
 	t.members = members
 	t.weightedMembers = nil
 	t.cachedOwners = nil
 }
 
-// updateExpectedOwnerCount estimates the number of owners from the members' sizes. An endpoint's number of slots follows a
-// Poisson distribution whose mean is its size in slots, so an endpoint with a mean of only a few slots may own none.
+// updateExpectedOwnerCount computes the expected number of owners. An endpoint's number of slots follows a Poisson
+// distribution whose mean is its size divided by sizePerSlot, so an endpoint with a small mean may own no slot.
 func (t *slotTable) updateExpectedOwnerCount() {
 	expected := 0.0
 	for _, member := range t.members {
@@ -93,7 +92,7 @@
 	t.expectedOwnerCount = int(math.Round(expected))
 }
 
-// resetHistory updates the table and forgets its history.
+// resetHistory updates the table and discards its history.
 func (t *slotTable) resetHistory(ready []*endpointState) {
 	t.update(ready)
 	if count := t.slotCount(); count > 0 {
@@ -101,8 +100,8 @@
 	}
 }
 
-// clone copies a table without its previous form. Both find the same owners, and share those that have been found, until one of
-// them changes.
+// clone returns a copy of the table without its previous form. The table and its copy share members and cached owners until
+// setMembers replaces those of either.
 func (t *slotTable) clone() *slotTable {
 	copied := *t
 	copied.slotCountHistory = slices.Clone(t.slotCountHistory)
@@ -110,7 +109,7 @@
 	return &copied
 }
 
-// recordSlotCount adds a number of slots to the history.
+// recordSlotCount appends a number of slots to the history; 0 clears it.
 func (t *slotTable) recordSlotCount(count int) {
 	switch {
 	case count == 0:
--- a/balancer/table_history.go
+++ b/balancer/table_history.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// This file keeps the tables' history: when they follow the endpoint list, and what is retained of their earlier forms.
+// The tables follow the endpoint list at epoch boundaries and retain their previous forms for some time.
 
-// epochLength is the grid, common to all nodes, on which tables change: within OverloadWindow, in which misplaced work
-// does harm, yet long enough for most updates to reach all nodes in the same epoch.
+// epochLength returns the interval at which tables change, at the same times on all nodes. In a longer epoch misplaced load
+// would do harm. In a shorter one fewer list updates would reach all nodes in the same epoch.
 func (b *Balancer) epochLength() time.Duration { return b.settings.Rules.OverloadWindow }
 
 func (b *Balancer) currentEpoch() int64 { return int64(b.now / b.epochLength()) }
 
 func (b *Balancer) nextEpochAt() Instant { return Instant(b.currentEpoch()+1) * b.epochLength() }
 
-// advanceEpoch brings the tables up to the current epoch with the list as it was at the boundary.
+// advanceEpoch updates the tables once in each epoch, to the endpoint list as of the epoch's start.
 func (b *Balancer) advanceEpoch() {
 	epoch := b.currentEpoch()
 	if epoch == b.lastEpoch || !b.started {
@@ -29,7 +29,7 @@
 		b.lastChangeEpoch = epoch
 		b.updateTables(ready)
 	}
-	// A quiet period is as long as an endpoint warms up: a reset in the middle of growth would move keys twice.
+	// The history is reset after WarmUp without changes to the list: a reset amid growth would move keys twice.
 	quiet := time.Duration(epoch-b.lastChangeEpoch) * b.epochLength()
 	if !b.historyReset && quiet >= b.settings.Rules.WarmUp {
 		b.resetTableHistory(ready)
@@ -37,6 +37,7 @@
 	b.recomputeCapacity(ready)
 }
 
+// updateTables updates all tables to a list of ready endpoints.
 func (b *Balancer) updateTables(ready []*endpointState) {
 	b.retainPreviousTables()
 	changed := b.fleetTable.update(ready)
@@ -48,6 +49,7 @@
 	}
 }
 
+// resetTableHistory discards the history of all tables and forgets removed endpoints without connections.
 func (b *Balancer) resetTableHistory(ready []*endpointState) {
 	b.historyReset = true
 	b.baselineLocalShare = 0
@@ -57,7 +59,8 @@
 	b.pruneRemoved()
 }
 
-// retainPreviousTables keeps the tables as they are before the first of several changes.
+// retainPreviousTables stores a copy of each table as its previous form. Further changes within WarmUp keep that copy, so
+// that it precedes the first of several changes.
 func (b *Balancer) retainPreviousTables() {
 	if b.fleetTable.previous != nil && b.now-b.previousTablesAt < b.settings.Rules.WarmUp {
 		return
@@ -68,9 +71,10 @@
 	}
 }
 
-// forEachZoneTable passes each zone's table its ready endpoints: none where there is one zone only.
+// forEachZoneTable calls visit with the table and the ready endpoints of each zone. The list is empty if all ready endpoints
+// are in one zone, whose table would duplicate the fleet's.
 func (b *Balancer) forEachZoneTable(ready []*endpointState, visit func(*slotTable, []*endpointState)) {
-	if b.settings.Zone == "" || b.settings.LoadReports { // with load reports all zones are used alike
+	if b.settings.Zone == "" || b.settings.LoadReports { // placement by load reports uses the fleet's table only
 		return
 	}
 	byZone := map[string][]*endpointState{}
@@ -92,8 +96,8 @@
 	}
 }
 
-// plasticSlot is the paper's algorithm: follow the history of counts and move a key only when growth puts it on a new
-// slot or shrinkage removes its own.
+// plasticSlot returns the slot of a key by plastic hashing (Natrajan 2020). It follows the history of slot counts and moves
+// a key only when growth assigns it a new slot or shrinkage removes its slot.
 func plasticSlot(keyHash uint64, counts []int) int {
 	count := uint64(counts[0])
 	slot := keyHash % count
@@ -109,9 +113,9 @@
 	return int(slot)
 }
 
-// appendSlotCount appends a count in place of all entries after the first, as the paper suggests. A key that did not move
-// keeps its old count, and each further entry would draw it afresh against that: old endpoints would lose nearly all
-// keys as a fleet grows in steps. With the first and the last count alone shares are even.
+// appendSlotCount replaces all entries of a history after the first by one count, as the paper suggests. With every count in
+// the history, each further count would be another chance for a key to leave an old slot, and the old slots would lose
+// nearly all their keys while a fleet grows in steps. With the first and the last count alone, shares stay even.
 func appendSlotCount(counts []int, count int) []int {
 	base := counts[:1:1]
 	if count == base[0] {
--- a/balancer/table_state.go
+++ b/balancer/table_state.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// This file encodes tables for a State or a Snapshot, and decodes them.
+// Tables are encoded in a State or a Snapshot as a TableState, with the owners of all slots or with their members.
 
-// maxEncodedOwners bounds the slots of a table whose owners are encoded: all of them are found for that, which takes slots times
-// members. It is that of the largest lists which releases knew that read no other form.
+// maxEncodedOwners is the largest number of slots of a table that is encoded with the owners of its slots. Computing them
+// takes time proportional to slots times members. The bound is the number of slots at the largest endpoint lists of the older
+// releases, which read no other form.
 const maxEncodedOwners = 2 * minSlots
 
-// isCompact reports whether a table, or the earlier form that it retains, is encoded by its members.
+// isCompact reports whether a table or its previous form is encoded with its members instead of owners.
 func (t *slotTable) isCompact() bool {
 	return t.slotCount() > maxEncodedOwners || t.previous != nil && t.previous.isCompact()
 }
 
-// hasCompactTable reports whether any table is encoded by its members.
+// hasCompactTable reports whether any table is encoded with its members instead of owners.
 func (b *Balancer) hasCompactTable() bool {
 	for _, table := range b.zoneTables {
 		if table.isCompact() {
@@ -26,8 +27,9 @@
 	return b.fleetTable.isCompact() || b.localTable.isCompact()
 }
 
-// encodeTable encodes a table and its previous forms. It asks for the indices of the owners in the order of the slots,
-// those of the previous form last: a snapshot numbers endpoints as it meets them.
+// encodeTable encodes a table and its previous forms, with owners unless the table is too large. It calls endpointIndex for
+// the owners in the order of their slots and for the previous form last, because a snapshot numbers endpoints in the order
+// of the calls.
 func encodeTable(table *slotTable, endpointIndex func(*endpointState) int) TableState {
 	if table.slotCount() > maxEncodedOwners {
 		return encodeMembers(table, endpointIndex)
@@ -43,7 +45,7 @@
 	return encoded
 }
 
-// encodeMembers encodes a table and its previous forms by their members.
+// encodeMembers encodes a table and its previous forms with their members instead of owners.
 func encodeMembers(table *slotTable, endpointIndex func(*endpointState) int) TableState {
 	encoded := TableState{Counts: slices.Clone(table.slotCountHistory), Owners: []int{}, SlotSize: table.sizePerSlot}
 	if len(table.members) > 0 {
@@ -59,10 +61,10 @@
 	return encoded
 }
 
-// endpointLookup returns the endpoint of an index in an encoded state, never nil without an error.
+// endpointLookup returns the endpoint with an index in an encoded state, or an error if the index is invalid.
 type endpointLookup func(index int) (*endpointState, error)
 
-// decode returns the table that was encoded.
+// decode returns the table of an encoded state. It fails if an endpoint index, the history or the slot size is invalid.
 func (t *TableState) decode(endpointAt endpointLookup) (*slotTable, error) {
 	table := &slotTable{}
 	if t.Previous != nil {
@@ -80,7 +82,7 @@
 		return nil, err
 	}
 	if !t.countsValid() || !finite(t.SlotSize) || t.SlotSize <= 0 {
-		return nil, fmt.Errorf("a table's history %v does not end with its %d slots of %d members, or its slot size %v is out of range",
+		return nil, fmt.Errorf("invalid table: slot count history %v does not match %d owners and %d members, or slot size %v is out of range",
 			t.Counts, len(t.Owners), len(t.Members), t.SlotSize)
 	}
 	table.slotCountHistory = slices.Clone(t.Counts)
@@ -89,8 +91,8 @@
 	return table, nil
 }
 
-// decodeMembers restores the members, or the owners, which are the members then. The owners of a large table are found again
-// when they are needed: they follow from the members, and few of them ever are.
+// decodeMembers restores a table's members, from its owners if it was encoded with them. Owners are cached too, except in a
+// large table, which computes them from the members when their slots are looked up: few slots of a large table ever are.
 func (t *slotTable) decodeMembers(encoded *TableState, endpointAt endpointLookup) error {
 	seen := map[*endpointState]bool{}
 	for i, index := range slices.Concat(encoded.Members, encoded.Owners) {
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// countsValid tells whether the history fits a table with slots.
+// countsValid reports whether the history fits the encoded owners or members.
 func (t *TableState) countsValid() bool {
 	last := len(t.Counts) - 1
 	if last < 0 || slices.Min(t.Counts) < 1 {
