--- a/balancer/rebalancing_test.go
+++ b/balancer/rebalancing_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// Connections of the groups with the least load are migrated off an endpoint that reports more than its capacity, while
-// others have room; a senseless report migrates nobody.
+// An endpoint that reports a load above its capacity, while others have room, loses connections of the groups with the least
+// load first. An invalid report migrates no connections.
 func TestReportedOverloadMigratesSmallGroups(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		load, other float64
-		few, many   bool // of the small group, of the large one
+		name                         string
+		load, other                  float64
+		migratesSmall, migratesLarge bool // whether connections of the small and of the large group migrate
 	}{
 		{"above capacity", 1.1, 0.3, true, false},
 		{"far above", 2.5, 0.3, true, true},
@@ -30,8 +30,8 @@
 		for _, migration := range actionsOf[Migrate](b.Handle(2*sec, result)) {
 			migrated[b.requests[migration.ID].Group]++
 		}
-		if (migrated["few"] > 0) != c.few || migrated["many"] > 5 != c.many || migrated["many"] > 0 && migrated["few"] < 3 {
-			t.Errorf("%s: migrated %v", c.name, migrated)
+		if (migrated["few"] > 0) != c.migratesSmall || migrated["many"] > 5 != c.migratesLarge || migrated["many"] > 0 && migrated["few"] < 3 {
+			t.Errorf("%s: migrated connections by group: %v", c.name, migrated)
 		}
 	}
 }
--- a/balancer/slot_table_model_test.go
+++ b/balancer/slot_table_model_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// naiveOwner finds a slot's owner as releases up to fa0e795 did: whatever the size of a list, placement has not changed.
-func naiveOwner(slot int, ready []*endpointState) *endpointState {
+// referenceOwner computes a slot's owner as releases up to fa0e795 did. Later releases must place keys alike at any list size.
+func referenceOwner(slot int, ready []*endpointState) *endpointState {
 	var owner *endpointState
 	slotHash, least := hashing.Mix64(uint64(slot)+1), math.Inf(1)
 	for _, endpoint := range ready {
@@ -21,9 +21,9 @@
 	return owner
 }
 
-// TestOwnersFollowFromTheListAlone drives a Balancer through random lists, each slot looked up at random times, and compares its
-// table with one that is computed from the list.
-func TestOwnersFollowFromTheListAlone(t *testing.T) {
+// TestOwnersDependOnListAlone applies random list changes to a Balancer, looks up different slots after each of them, and compares
+// the owners with those computed from the current list.
+func TestOwnersDependOnListAlone(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		b, err := New(testSettings(), 1)
 		if err != nil {
@@ -50,23 +50,23 @@
 				}
 			}
 			for slot := range b.fleetTable.slotCount() {
-				if slot%17 == step && b.fleetTable.owner(slot) != naiveOwner(slot, ready) {
-					rt.Fatalf("slot %d has another owner than the list gives", slot)
+				if slot%17 == step && b.fleetTable.owner(slot) != referenceOwner(slot, ready) {
+					rt.Fatalf("slot %d has a different owner than the list determines", slot)
 				}
 			}
 		}
 	})
 }
 
-// TestLargeStateIsHandedOver hands over a table that is too large for the owners of its slots, and expects the successor to
-// place each key alike. An older release must refuse it and not take it for an empty table.
-func TestLargeStateIsHandedOver(t *testing.T) {
+// TestLargeTableHandover hands over a table that is too large to be encoded with the owners of its slots. The successor must place
+// each key alike. An older release must refuse the state and not decode an empty table.
+func TestLargeTableHandover(t *testing.T) {
 	before := startBalancer(t, testSettings(), testEndpoints(700), 1)
 	before.Handle(4*sec, EndpointUpdate{Entries: []Endpoint{{ID: endpointID(3), Phase: Removed}, {ID: endpointID(900), Size: 2}}})
 	before.Handle(7*sec, Timer{})
 	state := before.State()
 	if state.AdmissionRate != 0 || state.CompactAdmissionRate != 1 || len(state.Table.Owners) != 0 {
-		t.Errorf("admission rates %v and %v, %d owners: an older release takes the table to be empty", state.AdmissionRate,
+		t.Errorf("admission rates %v and %v, %d owners: an older release would decode an empty table", state.AdmissionRate,
 			state.CompactAdmissionRate, len(state.Table.Owners))
 	}
 	successor, err := New(testSettings(), 2)
@@ -86,24 +86,25 @@
 			want, got := before.fleetTable.lookup(hash).id, after.fleetTable.lookup(hash).id
 			wantBefore, gotBefore := before.fleetTable.previous.lookup(hash).id, after.fleetTable.previous.lookup(hash).id
 			if want != got || wantBefore != gotBefore {
-				t.Fatalf("%s: key %d is at %s and was at %s, want %s and %s", name, k, got, gotBefore, want, wantBefore)
+				t.Fatalf("%s: key %d is at %s, and at %s in the previous table; want %s and %s", name, k, got, gotBefore, want, wantBefore)
 			}
 		}
 	}
 }
 
-// TestPartsOfOneListPlaceAlike applies a list of 800 at one node at once, at another in parts: both place each key alike.
-func TestPartsOfOneListPlaceAlike(t *testing.T) {
+// TestListInPartsPlacesKeysAlike applies a list of 800 endpoints to one node at once and to another in parts. Both must place each
+// key alike.
+func TestListInPartsPlacesKeysAlike(t *testing.T) {
 	whole := startBalancer(t, testSettings(), testEndpoints(800), 1)
 	parts := startBalancer(t, testSettings(), testEndpoints(100), 2)
 	for part := 1; part < 8; part++ {
 		parts.Handle(Instant(part+3)*sec, EndpointUpdate{Entries: testEndpoints(800)[part*100 : part*100+100]})
 	}
 	parts.Handle(60*sec, Timer{})
-	parts.Handle(120*sec, Timer{}) // the history is forgotten by now
+	parts.Handle(120*sec, Timer{}) // the history is reset by now
 	for k := range 2000 {
 		if want, got := whole.fleetTable.lookup(hashing.Mix64(uint64(k))).id, parts.fleetTable.lookup(hashing.Mix64(uint64(k))).id; want != got {
-			t.Fatalf("key %d is at %s, at %s where the list came in parts", k, want, got)
+			t.Fatalf("key %d is at %s, but at %s on the node that received the list in parts", k, want, got)
 		}
 	}
 }
--- a/balancer/slot_table_test.go
+++ b/balancer/slot_table_test.go
@@ -7,7 +7,7 @@
 	"example.org/micafront/balancer/hashing"
 )
 
-// The paper's table of worked examples.
+// The table of worked examples in the paper on plastic hashing (Natrajan 2020).
 func TestPlasticSlotPaperTable(t *testing.T) {
 	ids := []uint64{280, 78, 111, 354, 417, 361}
 	for _, c := range []struct {
@@ -35,19 +35,19 @@
 		}
 		return at
 	}
-	even := func(name string, at []int, n int) {
+	checkEven := func(name string, at []int, n int) {
 		t.Helper()
-		per := make([]int, n)
-		for _, s := range at {
-			per[s]++
+		keysPerSlot := make([]int, n)
+		for _, slot := range at {
+			keysPerSlot[slot]++
 		}
-		for s, c := range per {
-			if f := float64(c) * float64(n) / count; f < 0.85 || f > 1.15 {
-				t.Errorf("%s: slot %d has %.2f of its share", name, s, f)
+		for slot, keys := range keysPerSlot {
+			if share := float64(keys) * float64(n) / count; share < 0.85 || share > 1.15 {
+				t.Errorf("%s: slot %d has %.2f of its share of the keys, want 0.85 to 1.15", name, slot, share)
 			}
 		}
 	}
-	moved := func(a, b []int) float64 {
+	movedFraction := func(a, b []int) float64 {
 		n := 0
 		for i := range a {
 			if a[i] != b[i] {
@@ -57,11 +57,11 @@
 		return float64(n) / count
 	}
 	base, grown, shrunk := place([]int{50}), place([]int{50, 60}), place([]int{50, 40})
-	even("base", base, 50)
-	even("grown", grown, 60)
-	even("shrunk", shrunk, 40)
-	if m := moved(base, grown); m > 0.18 {
-		t.Errorf("growth 50 to 60 moved %.3f of the keys, want about 1/6", m)
+	checkEven("base", base, 50)
+	checkEven("grown", grown, 60)
+	checkEven("shrunk", shrunk, 40)
+	if fraction := movedFraction(base, grown); fraction > 0.18 {
+		t.Errorf("growth from 50 to 60 slots moved %.3f of the keys, want about 1/6", fraction)
 	}
 	for k := range base {
 		if grown[k] != base[k] && grown[k] < 50 {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Growth in many small steps must leave the old slots their share.
+// After growth in many small steps, the old slots must keep their share of the keys.
 func TestManyStepGrowthStaysEven(t *testing.T) {
 	counts := []int{352}
 	for n := 400; n <= 864; n += 58 {
@@ -91,8 +91,8 @@
 	if got := float64(stayed) / count; got < want*0.95 || got > want*1.05 {
 		t.Errorf("old slots keep %.3f of the keys after growth to %d, want %.3f", got, final, want)
 	}
-	if c := appendSlotCount(counts, 352); len(c) != 1 {
-		t.Errorf("a return to the base count leaves history %v", c)
+	if history := appendSlotCount(counts, 352); len(history) != 1 {
+		t.Errorf("a return to the base count leaves history %v, want 1 entry", history)
 	}
 }
 
@@ -104,18 +104,18 @@
 		}
 	}
 	b := startBalancer(t, testSettings(), entries, 1)
-	big, all := 0, 40000
-	for k := range all {
+	keysOnLarge, keys := 0, 40000
+	for k := range keys {
 		if endpoint := b.fleetTable.lookup(hashing.Mix64(uint64(k))); endpoint.size == 3 {
-			big++
+			keysOnLarge++
 		}
 	}
-	if f := float64(big) / float64(all); f < 0.72 || f > 0.78 {
-		t.Errorf("endpoints with 3/4 of the size own %.3f of the keys", f)
+	if share := float64(keysOnLarge) / float64(keys); share < 0.72 || share > 0.78 {
+		t.Errorf("endpoints with 3/4 of the size own %.3f of the keys, want 0.72 to 0.78", share)
 	}
 }
 
-// Two nodes that get the same updates in different batches and orders within an epoch place every key alike.
+// Two nodes that receive the same updates within an epoch, in different batches and orders, must place every key alike.
 func TestNodesAgreeWithinEpoch(t *testing.T) {
 	settings := testSettings()
 	a, b := startBalancer(t, settings, testEndpoints(12), 1), startBalancer(t, settings, testEndpoints(12), 2)
@@ -131,21 +131,21 @@
 	for k := range 5000 {
 		x, y := a.fleetTable.lookup(hashing.Mix64(uint64(k))), b.fleetTable.lookup(hashing.Mix64(uint64(k)))
 		if x.id != y.id {
-			t.Fatalf("key %d: %s and %s", k, x.id, y.id)
+			t.Fatalf("key %d is at %s on one node and at %s on the other", k, x.id, y.id)
 		}
 		if x.id == endpointID(3) {
-			t.Fatalf("key %d still on an endpoint that is removed", k)
+			t.Fatalf("key %d is on a removed endpoint", k)
 		}
 	}
 }
 
-// Nodes that restart in the middle of a release, each after another change, agree with those that saw all of it: else a
-// group would be scattered over the endpoints of all their tables.
+// Nodes that restart during a rollout, each after a different change of the list, must agree with the nodes that saw all
+// changes. Otherwise a group would be scattered over the endpoints of all their tables.
 func TestRestartedNodesAgreeAtOnce(t *testing.T) {
 	settings := testSettings()
 	members := testEndpoints(12)
-	seen := startBalancer(t, settings, members, 1)
-	nodes := []*Balancer{seen}
+	reference := startBalancer(t, settings, members, 1)
+	nodes := []*Balancer{reference}
 	for step := range 6 {
 		now := Instant(3+2*step) * sec
 		members = append(members[1:], Endpoint{ID: endpointID(30 + step), Size: float64(1 + step%3), StartedAt: now})
@@ -153,28 +153,28 @@
 			b.Handle(now, EndpointUpdate{Kind: FullList, Entries: members})
 			b.Handle(now+sec+100*ms, Timer{})
 		}
-		fresh, _ := New(settings, uint64(step))
-		fresh.Handle(now+sec+200*ms, EndpointUpdate{Kind: CachedList, Entries: members})
-		nodes = append(nodes, fresh)
+		restarted, _ := New(settings, uint64(step))
+		restarted.Handle(now+sec+200*ms, EndpointUpdate{Kind: CachedList, Entries: members})
+		nodes = append(nodes, restarted)
 		for k := range 2000 {
-			want := seen.fleetTable.lookup(hashing.Mix64(uint64(k))).id
+			want := reference.fleetTable.lookup(hashing.Mix64(uint64(k))).id
 			for n, b := range nodes {
 				if got := b.fleetTable.lookup(hashing.Mix64(uint64(k))).id; got != want {
-					t.Fatalf("step %d, key %d: %s at node %d, %s at the one that saw all", step, k, got, n, want)
+					t.Fatalf("step %d, key %d: at %s on node %d, want %s as on the node that saw all changes", step, k, got, n, want)
 				}
 			}
 		}
 	}
 }
 
-// A joining endpoint takes its share from all others and nobody else gains; a leaving one's goes to all others and nobody
-// else's moves.
+// A joining endpoint takes its share of the slots evenly from all others, and no other endpoint gains slots. The slots of a
+// leaving endpoint are spread over all others, and no other slots move.
 func TestUpdateReassignsMinimalSlots(t *testing.T) {
 	var ready []*endpointState
 	for i := range 12 {
 		ready = append(ready, &endpointState{id: endpointID(i), hash: hashing.String(endpointID(i)), size: float64(1 + i%3)})
 	}
-	size := func(list []*endpointState) (sum float64) {
+	totalSize := func(list []*endpointState) (sum float64) {
 		for _, endpoint := range list {
 			sum += endpoint.size
 		}
@@ -184,17 +184,17 @@
 	table.update(ready)
 	joining := &endpointState{id: endpointID(50), hash: hashing.String(endpointID(50)), size: 3}
 	for _, c := range []struct {
-		name  string
-		ready []*endpointState
-		moved func(was, is *endpointState) bool // tells whether it should move
-		share float64                           // of the slots that move
+		name    string
+		ready   []*endpointState
+		mayMove func(was, is *endpointState) bool // reports whether a slot may move
+		share   float64                           // of the slots that move
 	}{
-		{"one joins", append(slices.Clone(ready), joining), func(_, is *endpointState) bool { return is == joining }, 3 / (size(ready) + 3)},
-		{"one leaves", slices.Clone(ready[1:]), func(was, _ *endpointState) bool { return was == ready[0] }, ready[0].size / size(ready)},
+		{"one joins", append(slices.Clone(ready), joining), func(_, is *endpointState) bool { return is == joining }, 3 / (totalSize(ready) + 3)},
+		{"one leaves", slices.Clone(ready[1:]), func(was, _ *endpointState) bool { return was == ready[0] }, ready[0].size / totalSize(ready)},
 	} {
 		before := table.allOwners()
 		if !table.update(c.ready) {
-			t.Errorf("%s: no change", c.name)
+			t.Errorf("%s: the table did not change", c.name)
 		}
 		moved, gained := 0, map[*endpointState]int{}
 		for i, endpoint := range table.allOwners() {
@@ -203,26 +203,26 @@
 			}
 			moved++
 			gained[endpoint]++
-			if !c.moved(before[i], endpoint) {
-				t.Fatalf("%s: slot %d went from %s to %s", c.name, i, before[i].id, endpoint.id)
+			if !c.mayMove(before[i], endpoint) {
+				t.Fatalf("%s: slot %d moved from %s to %s", c.name, i, before[i].id, endpoint.id)
 			}
 		}
-		if f := float64(moved) / float64(len(before)); f < c.share*0.75 || f > c.share*1.25 {
-			t.Errorf("%s: %.3f of the slots moved, want %.3f", c.name, f, c.share)
+		if fraction := float64(moved) / float64(len(before)); fraction < c.share*0.75 || fraction > c.share*1.25 {
+			t.Errorf("%s: %.3f of the slots moved, want %.3f", c.name, fraction, c.share)
 		}
 		if c.name == "one leaves" && len(gained) < 9 {
-			t.Errorf("the slots of a leaving endpoint went to %d others", len(gained))
+			t.Errorf("the slots of a leaving endpoint went to %d others, want at least 9", len(gained))
 		}
 		if c.name == "one joins" {
 			table.update(ready)
 			if !slices.Equal(before, table.allOwners()) {
-				t.Error("the table is not as before when the joining endpoint has left again")
+				t.Error("the owners of slots differ from those before the endpoint joined and left")
 			}
 		}
 	}
 }
 
-// A reset of the history must not migrate established connections.
+// A reset of the table history must not migrate established connections.
 func TestHistoryResetMigratesNothing(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(12), 1)
 	for i := range 200 {
@@ -230,8 +230,8 @@
 	}
 	b.Handle(3*sec, EndpointUpdate{Entries: []Endpoint{{ID: endpointID(30), Size: 1}}})
 	for now := 3 * sec; now < 40*sec; now += sec {
-		if m := actionsOf[Migrate](b.Handle(now, Timer{})); len(m) > 0 {
-			t.Fatalf("%d migrations at %v", len(m), now)
+		if migrations := actionsOf[Migrate](b.Handle(now, Timer{})); len(migrations) > 0 {
+			t.Fatalf("%d migrations at %v, want 0", len(migrations), now)
 		}
 	}
 	if !b.historyReset {
@@ -239,8 +239,8 @@
 	}
 }
 
-// An endpoint far smaller than the others may own no slot. A restored table counts owners as the one that it was made
-// from.
+// An endpoint much smaller than the others may own no slot. A restored table must expect the same number of owners as the table
+// from which it was restored.
 func TestRestoredTableCountsOwnersAlike(t *testing.T) {
 	members := testEndpoints(8)
 	for i := range members[1:] {
@@ -252,6 +252,6 @@
 		t.Fatal(err)
 	}
 	if b.fleetTable.expectedOwnerCount != 7 || restored.fleetTable.expectedOwnerCount != b.fleetTable.expectedOwnerCount {
-		t.Errorf("%d endpoints own slots, %d once restored, want 7", b.fleetTable.expectedOwnerCount, restored.fleetTable.expectedOwnerCount)
+		t.Errorf("%d expected owners, %d in the restored table, want 7", b.fleetTable.expectedOwnerCount, restored.fleetTable.expectedOwnerCount)
 	}
 }
