--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -101,7 +101,7 @@
 		GroupCounts:        map[uint64]float64{2024: 2.025}, GroupTotal: 2.026, GroupSumOfSquares: 2.027,
 		Started: true, ListDirty: true, HistoryReset: true, StartedAt: 2028, LastEpoch: 2029, LastChangeEpoch: 2030,
 		WatchFailures: 2031, WatchRetryPending: true, AdmissionRate: 0.2032, Stress: 0.2033, AdmissionUpdatedAt: 2034, LastAttemptAt: 2035,
-		LoadReports: map[string]loadreport.Evidence{
+		LoadReports: map[string]loadreport.LoadRecord{
 			"s001": {Size: 2.036, ReportedLoad: 2.037, SentLoad: 2.038, ConnectionLoad: 2.039, ReportedAt: 2040, RequestedAt: 2041},
 		},
 	}
@@ -109,12 +109,12 @@
 
 func goldenSettings() Settings {
 	return Settings{
-		Nodes: 2401, Self: 2402, Zone: "east",
+		Nodes: 2401, NodeIndex: 2402, Zone: "east",
 		Classes: []Class{{
-			Name: "light", LatencyObjective: 2403, Timeout: 2404, MessageObjective: 2405, PriorityWeight: 2.406, Effect: Keyed, DedupScope: ScopeZone,
+			Name: "light", LatencyObjective: 2403, Timeout: 2404, MessageObjective: 2405, PriorityWeight: 2.406, Idempotency: IdempotentByKey, DedupScope: ScopeZone,
 			DedupWindow: 2407,
 		}, {
-			Name: "heavy", LatencyObjective: 2408, Timeout: 2409, MessageObjective: 2410, PriorityWeight: 2.411, Effect: Unsafe, DedupScope: ScopeCell,
+			Name: "heavy", LatencyObjective: 2408, Timeout: 2409, MessageObjective: 2410, PriorityWeight: 2.411, Idempotency: NotIdempotent, DedupScope: ScopeCell,
 			DedupWindow: 2412,
 		}},
 		Tenants: []Tenant{{Name: "tenant", PerSecond: 2.413, Share: 0.2414, Connections: 2415}},
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -29,11 +29,11 @@
 // that no balancer is called from within a call of it.
 func (q *eventQueue) handle(pool *endpointPool, event balancer.Event) {
 	q.events = append(q.events, queuedEvent{pool, event})
-	q.executeAll(pool, nil)
+	q.executeActions(pool, nil)
 }
 
-// executeAll executes actions that a balancer returned otherwise than for an event, and then handles the queued events.
-func (q *eventQueue) executeAll(pool *endpointPool, actions []balancer.Action) {
+// executeActions executes actions that a balancer returned otherwise than for an event, and then handles the queued events.
+func (q *eventQueue) executeActions(pool *endpointPool, actions []balancer.Action) {
 	if q.dispatching {
 		return
 	}
@@ -81,11 +81,11 @@
 	case balancer.SetTimer:
 		p.loop.After(action.Delay, func() { p.events.handle(pool, balancer.Timer{Token: action.Token}) })
 	case balancer.Watch:
-		if pool == p.pools.lead {
+		if pool == p.pools.discoveryPool {
 			p.discoveryClient.Watch(action.On)
 		}
-	case balancer.Fetch:
-		if pool == p.pools.lead {
+	case balancer.FetchEndpoints:
+		if pool == p.pools.discoveryPool {
 			p.discoveryClient.Fetch()
 		}
 	case balancer.Log:
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -51,7 +51,7 @@
 		return false
 	}
 	routeName := table.Set.Routes[decision.Route].Name
-	route := p.pools.usageOfRoute(routeName)
+	route := p.pools.ensureRouteUsage(routeName)
 	var verdict routing.Verdict
 	s.policyState, verdict = table.BeginRequest(decision, route.Usage, p.pools.usageIn(table))
 	switch {
@@ -66,7 +66,7 @@
 	s.table = table
 	s.pool = p.pools.active[s.policyState.Pool]
 	s.route = route
-	s.setUsage(usesWaiting)
+	s.setUsage(usageWaiting)
 	if entry := p.log.Check(zap.DebugLevel, "routed"); entry != nil {
 		entry.Write(zap.String("id", s.clientID), zap.String("class", s.class), zap.String("route", routeName),
 			zap.String("pool", s.pool.name), zap.String("policy", s.policyState.Policy.Name))
@@ -88,7 +88,7 @@
 	if s.answered || s.pool != pool {
 		return
 	}
-	if !s.hasNextPool() {
+	if !s.advanceToNextPool() {
 		s.reject(s.retryAfter(delay), reason)
 		return
 	}
@@ -99,8 +99,8 @@
 	p.events.handle(s.pool, s.balancerRequest())
 }
 
-// hasNextPool moves the policy's state on to the next pool, if there is one that may be tried.
-func (s *session) hasNextPool() bool {
+// advanceToNextPool moves the policy's state on to the next pool, if there is one that may be tried.
+func (s *session) advanceToNextPool() bool {
 	p := s.proxy
 	if s.request == nil || s.request.Resumed {
 		return false
