--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -125,7 +125,7 @@
 }
 
 // isFull reports whether an endpoint's part of this node's load exceeds its fair share plus the expected random variation.
-// If each node spreads its own load evenly, the total is even too. The bound hardly limits a node with little traffic.
+// If each node spreads its own load evenly, the fleet's load is even too. The bound hardly limits a node with little traffic.
 func (b *Balancer) isFull(endpoint *endpointState) bool {
 	if b.activeCount == 0 {
 		return false
@@ -204,20 +204,20 @@
 // about as many parts as it needs endpoints, and each part has its own hash. Plastic hashing assigns clients to parts, so
 // that a client's part rarely changes while the number of parts grows.
 func (b *Balancer) splitGroupHash(group, clientHash uint64) uint64 {
-	owners := b.localTable.expectedOwnerCount
-	if owners == 0 {
-		owners = b.fleetTable.expectedOwnerCount
+	ownerCount := b.localTable.expectedOwnerCount
+	if ownerCount == 0 {
+		ownerCount = b.fleetTable.expectedOwnerCount
 	}
-	endpoints := float64(max(owners, 1))
-	endpointsWorth := min(b.groupFrequency.Share(group, endpoints), 1) * endpoints
-	if endpointsWorth < 2 {
+	endpoints := float64(max(ownerCount, 1))
+	endpointsNeeded := min(b.groupFrequency.Share(group, endpoints), 1) * endpoints
+	if endpointsNeeded < 2 {
 		return group
 	}
 	// The number of parts is a power of two, so that nodes with slightly different estimates still split alike. Each part
 	// is worth at least one endpoint, because a group has a cost at every endpoint that serves it.
-	var history []int
-	for count := 1; float64(count) <= endpointsWorth; count *= 2 {
-		history = append(history, count)
+	var partCounts []int
+	for count := 1; float64(count) <= endpointsNeeded; count *= 2 {
+		partCounts = append(partCounts, count)
 	}
-	return hashing.Candidate(hashing.Mix64(group), plasticSlot(clientHash, history))
+	return hashing.Candidate(hashing.Mix64(group), plasticSlot(clientHash, partCounts))
 }
--- a/balancer/rebalancing.go
+++ b/balancer/rebalancing.go
@@ -17,7 +17,7 @@
 }
 
 // migrateLoad migrates established connections with a total load of excess, in the given order. If a connection's load
-// exceeds what is left of excess, it is migrated with a probability of the remainder divided by its load.
+// exceeds what is left of excess, it is migrated with a probability equal to that remainder divided by its load.
 func (b *Balancer) migrateLoad(endpoint *endpointState, excess float64, order requestOrder) {
 	connections := endpoint.established()
 	slices.SortStableFunc(connections, order)
--- a/balancer/table_history.go
+++ b/balancer/table_history.go
@@ -29,7 +29,7 @@
 		b.lastChangeEpoch = epoch
 		b.updateTables(ready)
 	}
-	// The history is reset after WarmUp without changes to the list: a reset amid growth would move keys twice.
+	// The history is reset once the list has not changed for WarmUp, because a reset amid growth would move keys twice.
 	quiet := time.Duration(epoch-b.lastChangeEpoch) * b.epochLength()
 	if !b.historyReset && quiet >= b.settings.Rules.WarmUp {
 		b.resetTableHistory(ready)
--- a/balancer/table_state.go
+++ b/balancer/table_state.go
@@ -8,8 +8,8 @@
 // Tables are encoded in a State or a Snapshot as a TableState, with the owners of all slots or with their members.
 
 // maxEncodedOwners is the largest number of slots of a table that is encoded with the owners of its slots. Computing them
-// takes time proportional to slots times members. The bound is the number of slots at the largest endpoint lists of the older
-// releases, which read no other form.
+// takes time proportional to slots times members. The bound equals the number of slots for the largest endpoint lists that
+// older releases supported; those releases decode owners only.
 const maxEncodedOwners = 2 * minSlots
 
 // isCompact reports whether a table or its previous form is encoded with its members instead of owners.
