--- a/internal/consensus/proposals.go
+++ b/internal/consensus/proposals.go
@@ -12,7 +12,7 @@
 )
 
 // MaxCommand is the most bytes that an encoded command may have: a largest body and its envelope.
-const MaxCommand = fleetconfig.MaxBody + 1<<20
+const MaxCommand = fleetconfig.MaxBodyBytes + 1<<20
 
 // ProposalID identifies a proposal or a confirmation among those of all replicas and their earlier processes.
 type ProposalID struct {
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -14,7 +14,7 @@
 // Bounds of request bodies, in bytes.
 const (
 	maxRenewalBytes      = 64 << 10
-	maxProposalBytes     = fleetconfig.MaxBody + 1<<20
+	maxProposalBytes     = fleetconfig.MaxBodyBytes + 1<<20
 	maxPublicationBytes  = federation.MaxPublicationBytes + 64<<10
 	maxTermsBytes        = 2 << 20 // the federation's own bound is lower
 	maxSmallRequestBytes = 64 << 10
--- a/internal/fleetconfig/body.go
+++ b/internal/fleetconfig/body.go
@@ -9,8 +9,8 @@
 	"io"
 )
 
-// MaxBody is the most bytes that a body's settings, routing and catalog may have together.
-const MaxBody = 64 << 20
+// MaxBodyBytes is the most bytes that a body's settings, routing and catalog may have together.
+const MaxBodyBytes = 64 << 20
 
 // digestFormat starts the digested bytes, so that a later encoding cannot collide with this one.
 const digestFormat = "micafront body 1"
@@ -59,8 +59,8 @@
 		name string
 		raw  *json.RawMessage
 	}{{"settings", &b.Settings}, {"routing", &b.Routing}, {"catalog", &b.Catalog}} {
-		if size += len(*part.raw); size > MaxBody {
-			return b, TooLarge.New(place, "the body has over %d bytes", MaxBody)
+		if size += len(*part.raw); size > MaxBodyBytes {
+			return b, TooLarge.New(place, "the body has over %d bytes", MaxBodyBytes)
 		}
 		canonical, err := canonicalJSON(*part.raw)
 		if err != nil {
@@ -69,8 +69,8 @@
 		size += len(canonical) - len(*part.raw)
 		*part.raw = canonical
 	}
-	if size > MaxBody {
-		return b, TooLarge.New(place, "the body has over %d bytes with its escapes", MaxBody)
+	if size > MaxBodyBytes {
+		return b, TooLarge.New(place, "the body has over %d bytes with its escapes", MaxBodyBytes)
 	}
 	if len(b.Settings) == 0 || b.Settings[0] != '{' {
 		return b, BadBody.New(place+": settings", "it is no JSON object")
--- a/internal/fleetconfig/lease_client_test.go
+++ b/internal/fleetconfig/lease_client_test.go
@@ -36,7 +36,7 @@
 		case SendRenewal:
 			c.renewal, c.sentAt, c.renewals = a, at, c.renewals+1
 			summary = append(summary, "renew")
-		case Prepare:
+		case PrepareVersion:
 			summary = append(summary, fmt.Sprint("prepare ", a.Number))
 		case SwitchVersion:
 			summary = append(summary, fmt.Sprint("switch ", a.Number))
--- a/internal/fleetconfig/lease_client_versions.go
+++ b/internal/fleetconfig/lease_client_versions.go
@@ -75,7 +75,7 @@
 		return nil
 	}
 	lease := c.latestLease
-	for _, next := range []Prepare{
+	for _, next := range []PrepareVersion{
 		{lease.ActiveVersion, lease.ActiveDigest},
 		{lease.ProposedVersion, lease.ProposedDigest},
 	} {
--- a/internal/fleetconfig/leaseholder.go
+++ b/internal/fleetconfig/leaseholder.go
@@ -59,7 +59,7 @@
 	}
 	// RenewalFailed reports that a renewal failed or got no answer before its timeout.
 	RenewalFailed struct{ Seq uint64 }
-	// PrepareDone is the outcome of a Prepare. A nil Rejection means that the proxy can switch to the version. A failed
+	// PrepareDone is the outcome of a PrepareVersion. A nil Rejection means that the proxy can switch to the version. A failed
 	// fetch is no rejection, which would withdraw the version for the whole fleet: the caller fetches again until a
 	// DiscardVersion.
 	PrepareDone struct {
@@ -90,8 +90,8 @@
 		Attempt int
 		Timeout time.Duration // for the answer
 	}
-	// Prepare asks to fetch and prepare a version without acting on it: parse, validate, estimate memory, compile.
-	Prepare struct {
+	// PrepareVersion asks to fetch and prepare a version without acting on it: parse, validate, estimate memory, compile.
+	PrepareVersion struct {
 		Number uint64
 		Digest string
 	}
@@ -109,7 +109,7 @@
 )
 
 func (SendRenewal) leaseholderAction()    {}
-func (Prepare) leaseholderAction()        {}
+func (PrepareVersion) leaseholderAction() {}
 func (SwitchVersion) leaseholderAction()  {}
 func (DiscardVersion) leaseholderAction() {}
 func (SetTimer) leaseholderAction()       {}
--- a/internal/fleetconfig/simulation_test.go
+++ b/internal/fleetconfig/simulation_test.go
@@ -196,7 +196,7 @@
 		switch a := a.(type) {
 		case SendRenewal:
 			p.sendRenewal(a)
-		case Prepare:
+		case PrepareVersion:
 			p.prepare(a)
 		case SwitchVersion:
 			p.switchTo(a.Number)
@@ -231,7 +231,7 @@
 	})
 }
 
-func (p *simulatedProxy) prepare(a Prepare) {
+func (p *simulatedProxy) prepare(a PrepareVersion) {
 	sim := p.sim
 	done := PrepareDone{Number: a.Number}
 	if sim.oneIn(25) {
--- a/internal/fleetconfig/state_machine_test.go
+++ b/internal/fleetconfig/state_machine_test.go
@@ -50,7 +50,7 @@
 func TestStateMachineRejectsInvalidCommands(t *testing.T) {
 	proposal := proposeSettings(`{}`)
 	broken := &Body{Settings: json.RawMessage(`{}`), Routing: json.RawMessage(`{`)}
-	big := json.RawMessage(`"` + strings.Repeat("x", MaxBody) + `"`)
+	big := json.RawMessage(`"` + strings.Repeat("x", MaxBodyBytes) + `"`)
 	activate2 := Command{Activate: &Activate{Number: 2}}
 	joined := []Command{{AddMember: &AddMember{"n", 5}}}
 	tooLarge := &Body{Settings: json.RawMessage(`{}`), Catalog: big}
--- a/internal/fleetsim/proxy.go
+++ b/internal/fleetsim/proxy.go
@@ -30,9 +30,9 @@
 	fleet             *Fleet
 	incarnation       uint64
 	client            fleetconfig.Leaseholder
-	renewalsSentAt    map[uint64]time.Duration // by Renewal.Seq, on the proxy's clock, until they are answered
-	timerAt           time.Duration            // of the client, on the proxy's clock; 0: no timer is set
-	preparing         fleetconfig.Prepare      // in progress; zero: none
+	renewalsSentAt    map[uint64]time.Duration   // by Renewal.Seq, on the proxy's clock, until they are answered
+	timerAt           time.Duration              // of the client, on the proxy's clock; 0: no timer is set
+	preparing         fleetconfig.PrepareVersion // in progress; zero: none
 	prepared          map[uint64]*loadedVersion
 	active            *loadedVersion // nil: none
 	draining          bool
@@ -46,7 +46,7 @@
 	p.client = p.fleet.Hooks.wrapClient(fleetconfig.NewLeaseClient(p.Name, p.incarnation, p.fleet.Terms))
 	p.renewalsSentAt = map[uint64]time.Duration{}
 	p.timerAt = 0
-	p.preparing = fleetconfig.Prepare{}
+	p.preparing = fleetconfig.PrepareVersion{}
 	p.prepared = map[uint64]*loadedVersion{}
 	p.active = nil
 	p.draining = false
@@ -107,7 +107,7 @@
 	switch action := action.(type) {
 	case fleetconfig.SendRenewal:
 		p.sendRenewal(action)
-	case fleetconfig.Prepare:
+	case fleetconfig.PrepareVersion:
 		p.engine.Trace(p.Name, "prepare", action.Number, "")
 		p.preparing = action
 		p.fetch(action, 0)
@@ -117,7 +117,7 @@
 		p.engine.Trace(p.Name, "discard", action.Number, "")
 		delete(p.prepared, action.Number)
 		if p.preparing.Number == action.Number {
-			p.preparing = fleetconfig.Prepare{}
+			p.preparing = fleetconfig.PrepareVersion{}
 		}
 	case fleetconfig.SetTimer:
 		p.setTimer(action.At)
@@ -185,7 +185,7 @@
 
 // fetch gets a version's body from a replica, and prepares it. Without an answer in time it asks the next one, as long as the
 // version is to be prepared.
-func (p *Proxy) fetch(wanted fleetconfig.Prepare, attempt int) {
+func (p *Proxy) fetch(wanted fleetconfig.PrepareVersion, attempt int) {
 	if p.preparing != wanted {
 		return
 	}
@@ -217,7 +217,7 @@
 		if p.preparing != wanted {
 			return
 		}
-		p.preparing = fleetconfig.Prepare{}
+		p.preparing = fleetconfig.PrepareVersion{}
 		loaded, rejection := p.loadWithinLimit(version)
 		if rejection == nil {
 			p.fleet.invariants.checkPrepared(p, loaded)
--- a/internal/proxy/config_subscriber.go
+++ b/internal/proxy/config_subscriber.go
@@ -153,7 +153,7 @@
 	switch action := action.(type) {
 	case fleetconfig.SendRenewal:
 		cs.renew(action)
-	case fleetconfig.Prepare:
+	case fleetconfig.PrepareVersion:
 		cs.loader.prepare(action)
 	case fleetconfig.SwitchVersion:
 		cs.switchTo(action.Number)
--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -57,16 +57,16 @@
 	controlPlane *controlclient.Client
 	counters     *metrics.Fleet
 
-	wanted         fleetconfig.Prepare // that is being fetched or prepared; number 0: none is
-	failedAttempts int                 // to fetch it
-	tooLongAnswers int                 // replicas' that it is too long
-	preparing      bool                // a goroutine prepares a version, maybe one that is no longer wanted
+	wanted         fleetconfig.PrepareVersion // that is being fetched or prepared; number 0: none is
+	failedAttempts int                        // to fetch it
+	tooLongAnswers int                        // replicas' that it is too long
+	preparing      bool                       // a goroutine prepares a version, maybe one that is no longer wanted
 
 	prepared *preparedVersion // nil: none is
 }
 
-// prepare executes the lease client's Prepare.
-func (l *versionLoader) prepare(version fleetconfig.Prepare) {
+// prepare executes the lease client's PrepareVersion.
+func (l *versionLoader) prepare(version fleetconfig.PrepareVersion) {
 	if l.prepared != nil && l.prepared.number == version.Number && l.prepared.digest == version.Digest {
 		l.host.handle(fleetconfig.PrepareDone{Number: version.Number})
 		return
@@ -97,13 +97,13 @@
 		l.prepared = nil
 	}
 	if l.wanted.Number == number {
-		l.wanted = fleetconfig.Prepare{}
+		l.wanted = fleetconfig.PrepareVersion{}
 	}
 }
 
 // startFetch fetches a version, if it is still wanted. While another one is being prepared it waits for the end of that:
 // two would hold twice the memory.
-func (l *versionLoader) startFetch(version fleetconfig.Prepare) {
+func (l *versionLoader) startFetch(version fleetconfig.PrepareVersion) {
 	if l.wanted != version || l.preparing {
 		return
 	}
@@ -121,7 +121,7 @@
 }
 
 // startPreparation prepares a version in a goroutine that ends with it.
-func (l *versionLoader) startPreparation(version fleetconfig.Prepare, text []byte) {
+func (l *versionLoader) startPreparation(version fleetconfig.PrepareVersion, text []byte) {
 	l.preparing = true
 	input := l.host.loaderInput()
 	job := preparation{
@@ -140,7 +140,7 @@
 
 // maxTextBytes bounds the text of a version here.
 func (l *versionLoader) maxTextBytes() int64 {
-	limit := int64(fleetconfig.MaxBody + maxTextOverheadBytes)
+	limit := int64(fleetconfig.MaxBodyBytes + maxTextOverheadBytes)
 	if heapLimit := l.host.heapLimit(); heapLimit > 0 {
 		limit = min(limit, int64(heapLimit/maxTextHeapDivisor))
 	}
@@ -149,7 +149,7 @@
 
 // onFetchFailure tries the next replica after a while. A version that cannot be fetched is not rejected for that; one
 // that is too long is, once two replicas say so, or the only one.
-func (l *versionLoader) onFetchFailure(version fleetconfig.Prepare, err error) {
+func (l *versionLoader) onFetchFailure(version fleetconfig.PrepareVersion, err error) {
 	l.counters.FetchFailures++
 	l.host.warn("fleet: version cannot be fetched yet", zap.Uint64("version", version.Number), zap.Error(err))
 	if controlclient.TooLong.Of(err) {
@@ -170,8 +170,8 @@
 }
 
 // rejectVersion reports that this node cannot hold a version.
-func (l *versionLoader) rejectVersion(version fleetconfig.Prepare, rejection *fleetconfig.Rejection) {
-	l.wanted = fleetconfig.Prepare{}
+func (l *versionLoader) rejectVersion(version fleetconfig.PrepareVersion, rejection *fleetconfig.Rejection) {
+	l.wanted = fleetconfig.PrepareVersion{}
 	l.counters.PrepareRejected++
 	l.log.Warn("fleet: version rejected", zap.Uint64("version", version.Number), zap.String("kind", rejection.Kind),
 		zap.String("cause", rejection.Cause))
@@ -179,7 +179,7 @@
 }
 
 // onPrepared takes the result of a preparation.
-func (l *versionLoader) onPrepared(version fleetconfig.Prepare, prepared *preparedVersion, err error) {
+func (l *versionLoader) onPrepared(version fleetconfig.PrepareVersion, prepared *preparedVersion, err error) {
 	l.preparing = false
 	var rejection rejectionError
 	switch {
@@ -192,7 +192,7 @@
 	case err != nil: // the text is not the version's; another replica may have that
 		l.onFetchFailure(version, err)
 	default:
-		l.wanted = fleetconfig.Prepare{}
+		l.wanted = fleetconfig.PrepareVersion{}
 		l.prepared = prepared
 		l.log.Info("fleet: version prepared", zap.Uint64("version", prepared.number),
 			zap.Uint64("estimated_bytes", prepared.estimate.Live))
--- a/internal/proxy/version_prepare.go
+++ b/internal/proxy/version_prepare.go
@@ -52,7 +52,7 @@
 
 // preparation is the input of the goroutine, which shares nothing that changes.
 type preparation struct {
-	version        fleetconfig.Prepare
+	version        fleetconfig.PrepareVersion
 	text           []byte
 	table          *routing.Table       // the active one
 	activeEstimate memestimate.Estimate // of that table; Live 0: not estimated yet
--- a/internal/proxy/version_prepare_test.go
+++ b/internal/proxy/version_prepare_test.go
@@ -36,7 +36,7 @@
 	prepare := func(limitBytes uint64) (*preparedVersion, fleetconfig.Rejection) {
 		t.Helper()
 		job := preparation{
-			version:    fleetconfig.Prepare{Number: 2, Digest: version.Digest},
+			version:    fleetconfig.PrepareVersion{Number: 2, Digest: version.Digest},
 			text:       text,
 			table:      table,
 			limitBytes: limitBytes,
