--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -57,16 +57,16 @@
 	controlPlane *controlclient.Client
 	counters     *metrics.Fleet
 
-	wanted         fleetconfig.Prepare // being fetched or prepared; number 0: none
-	failedAttempts int                 // failed fetches of wanted
-	tooLongAnswers int                 // answers of replicas that wanted is too long
-	preparing      bool                // a goroutine prepares a version, possibly one that is no longer wanted
+	wanted         fleetconfig.PrepareVersion // being fetched or prepared; number 0: none
+	failedAttempts int                        // failed fetches of wanted
+	tooLongAnswers int                        // answers of replicas that wanted is too long
+	preparing      bool                       // a goroutine prepares a version, possibly one that is no longer wanted
 
 	prepared *preparedVersion // nil: none
 }
 
-// prepare executes the lease client's Prepare action.
-func (l *versionLoader) prepare(version fleetconfig.Prepare) {
+// prepare executes the lease client's PrepareVersion action.
+func (l *versionLoader) prepare(version fleetconfig.PrepareVersion) {
 	if l.prepared != nil && l.prepared.number == version.Number && l.prepared.digest == version.Digest {
 		l.host.handle(fleetconfig.PrepareDone{Number: version.Number})
 		return
@@ -98,13 +98,13 @@
 		l.prepared = nil
 	}
 	if l.wanted.Number == number {
-		l.wanted = fleetconfig.Prepare{}
+		l.wanted = fleetconfig.PrepareVersion{}
 	}
 }
 
 // startFetch fetches a version if it is still wanted. While another version is being prepared it does nothing, because two would
 // need twice the memory; onPrepared calls it again.
-func (l *versionLoader) startFetch(version fleetconfig.Prepare) {
+func (l *versionLoader) startFetch(version fleetconfig.PrepareVersion) {
 	if l.wanted != version || l.preparing {
 		return
 	}
@@ -122,7 +122,7 @@
 }
 
 // startPreparation prepares a version in a goroutine that ends with the preparation.
-func (l *versionLoader) startPreparation(version fleetconfig.Prepare, text []byte) {
+func (l *versionLoader) startPreparation(version fleetconfig.PrepareVersion, text []byte) {
 	l.preparing = true
 	input := l.host.loaderInput()
 	job := preparation{
@@ -141,7 +141,7 @@
 
 // maxTextBytes returns the largest size of a version's text that this process accepts.
 func (l *versionLoader) maxTextBytes() int64 {
-	limit := int64(fleetconfig.MaxBody + maxTextOverheadBytes)
+	limit := int64(fleetconfig.MaxBodyBytes + maxTextOverheadBytes)
 	if heapLimit := l.host.heapLimit(); heapLimit > 0 {
 		limit = min(limit, int64(heapLimit/maxTextHeapDivisor))
 	}
@@ -150,7 +150,7 @@
 
 // onFetchFailure retries at the next replica after a backoff. A failed fetch does not reject the version, except that a version
 // is rejected as too long once tooLongQuorum replicas, or all if there are fewer, report so.
-func (l *versionLoader) onFetchFailure(version fleetconfig.Prepare, err error) {
+func (l *versionLoader) onFetchFailure(version fleetconfig.PrepareVersion, err error) {
 	l.counters.FetchFailures++
 	l.host.warn("fleet: version cannot be fetched yet", zap.Uint64("version", version.Number), zap.Error(err))
 	if controlclient.TooLong.Of(err) {
@@ -171,8 +171,8 @@
 }
 
 // rejectVersion reports to the lease client that this node rejects a version.
-func (l *versionLoader) rejectVersion(version fleetconfig.Prepare, rejection *fleetconfig.Rejection) {
-	l.wanted = fleetconfig.Prepare{}
+func (l *versionLoader) rejectVersion(version fleetconfig.PrepareVersion, rejection *fleetconfig.Rejection) {
+	l.wanted = fleetconfig.PrepareVersion{}
 	l.counters.PrepareRejected++
 	l.log.Warn("fleet: version rejected", zap.Uint64("version", version.Number), zap.String("kind", rejection.Kind),
 		zap.String("cause", rejection.Cause))
@@ -180,7 +180,7 @@
 }
 
 // onPrepared handles the result of a preparation.
-func (l *versionLoader) onPrepared(version fleetconfig.Prepare, prepared *preparedVersion, err error) {
+func (l *versionLoader) onPrepared(version fleetconfig.PrepareVersion, prepared *preparedVersion, err error) {
 	l.preparing = false
 	var rejection rejectionError
 	switch {
@@ -193,7 +193,7 @@
 	case err != nil: // the text is not that of the version; another replica may have the right one
 		l.onFetchFailure(version, err)
 	default:
-		l.wanted = fleetconfig.Prepare{}
+		l.wanted = fleetconfig.PrepareVersion{}
 		l.prepared = prepared
 		l.log.Info("fleet: version prepared", zap.Uint64("version", prepared.number),
 			zap.Uint64("estimated_bytes", prepared.estimate.Live))
