--- a/cmd/micafront/fleet_test.go
+++ b/cmd/micafront/fleet_test.go
@@ -117,7 +117,7 @@
 
 // albumCatalog returns a catalog with one service of two providers; lost is the mesh whose link is lost.
 func albumCatalog(lost string) json.RawMessage {
-	s := catalog.State{Number: 5, Entries: []catalog.Entry{{Name: "album", Owner: "o", Contract: "c", Status: catalog.StatusHeld, Cause: catalog.CauseSole}}}
+	s := catalog.State{Number: 5, Entries: []catalog.Entry{{Name: "album", Owner: "o", Contract: "c", Status: catalog.StatusHeld, Cause: catalog.CauseSoleClaimant}}}
 	for _, zone := range []string{"a", "b"} {
 		mesh := "mesh-" + zone
 		s.Entries[0].Providers = append(s.Entries[0].Providers, catalog.Provider{Mesh: mesh, Zones: []string{zone}, Lost: mesh == lost,
--- a/internal/catalog/aliases.go
+++ b/internal/catalog/aliases.go
@@ -31,7 +31,7 @@
 func (m *mergePass) updateAliasTargets() {
 	for i := range m.names {
 		if d := &m.names[i]; d.hasEntry && d.winner != nil && d.winner.isAlias {
-			d.entry.Alias = m.aliasTarget(d.winner.claims[0])
+			d.entry.AliasOf = m.aliasTarget(d.winner.claims[0])
 		}
 	}
 }
@@ -48,7 +48,7 @@
 		if d.winner != nil && d.winner.isAlias {
 			via = d.winner.claims[0]
 		}
-		return d.entry.Alias, via, true
+		return d.entry.AliasOf, via, true
 	}
 	if d != nil {
 		for _, c := range d.claims {
@@ -66,7 +66,7 @@
 		return "", nil, false
 	}
 	_, ok = m.endedEntry(&nameDecision{name: name, qualifier: mesh, previous: previous})
-	return previous.Alias, nil, ok
+	return previous.AliasOf, nil, ok
 }
 
 // Distances of names that lead to no service. Those of others are the number of aliases from the name to its service.
@@ -95,7 +95,7 @@
 	walk := aliasWalk{pass: m, distances: map[string]int{}}
 	for i := range m.names {
 		d := &m.names[i]
-		if d.hasEntry && d.entry.Alias != "" {
+		if d.hasEntry && d.entry.AliasOf != "" {
 			walk.follow(d.name)
 		}
 		for _, c := range d.claims {
--- a/internal/catalog/bind.go
+++ b/internal/catalog/bind.go
@@ -8,8 +8,8 @@
 	"example.org/micafront/internal/routing"
 )
 
-// Prefix marks a service where routes and policies name pools.
-const Prefix = "service:"
+// ServicePrefix marks a service where routes and policies name pools.
+const ServicePrefix = "service:"
 
 // Bind implements Merger: it is BindFor without a mesh.
 func (r Rules) Bind(set routing.Set, s *State, zone string) (routing.Set, error) {
@@ -61,7 +61,7 @@
 	var names []string
 	seen := map[string]bool{}
 	add := func(pool string) {
-		if name, ok := strings.CutPrefix(pool, Prefix); ok && !seen[name] {
+		if name, ok := strings.CutPrefix(pool, ServicePrefix); ok && !seen[name] {
 			seen[name] = true
 			names = append(names, name)
 		}
@@ -91,7 +91,7 @@
 	state        *State
 	zone         string
 	mesh         string
-	services     map[string]*boundService // by the name in the set, Prefix included; those that failed are not in it
+	services     map[string]*boundService // by the name in the set, ServicePrefix included; those that failed are not in it
 	pools        map[string]*routing.Pool // the set's and new ones, by name
 	newPools     []routing.Pool
 	isNewPool    map[string]bool            // by name
@@ -124,14 +124,14 @@
 	}
 	return b
 }
-func isService(pool string) bool { return strings.HasPrefix(pool, Prefix) }
+func isService(pool string) bool { return strings.HasPrefix(pool, ServicePrefix) }
 
 // bindService makes the pools of a service, which place names; nil where it cannot, which adds an error for each place.
 func (b *binder) bindService(place, prefixedName string) *boundService {
 	if service, ok := b.services[prefixedName]; ok {
 		return service
 	}
-	name := strings.TrimPrefix(prefixedName, Prefix)
+	name := strings.TrimPrefix(prefixedName, ServicePrefix)
 	if b.pools[prefixedName] != nil {
 		b.errs = append(b.errs, PoolNameConflict.New(place, "the site has a pool named %q, which names a service", prefixedName))
 		return nil
@@ -248,7 +248,7 @@
 
 // policyName returns the name of a policy that is made for services from a base policy; base "": from none.
 func policyName(base string, services []string) string {
-	name := Prefix + strings.Join(services, "+")
+	name := ServicePrefix + strings.Join(services, "+")
 	if base == "" {
 		return name
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -94,8 +94,8 @@
 			meshes = append(meshes, mesh)
 		}
 		text := e.Owner + "/" + e.Contract + " " + strings.Join(meshes, ",")
-		if e.Alias != "" {
-			text = ">" + e.Alias + " " + strings.Join(e.PublishedBy, ",")
+		if e.AliasOf != "" {
+			text = ">" + e.AliasOf + " " + strings.Join(e.PublishedBy, ",")
 		}
 		texts[e.Name] = text + " " + e.Status + " " + e.Cause
 	}
@@ -198,7 +198,7 @@
 			continue
 		}
 		for _, name := range []string{"feed.thies", "feed.dakar"} {
-			if e, ok := sc.state.Resolve(name); !ok || "feed."+e.Providers[0].Mesh != name || e.Cause != CauseQualified {
+			if e, ok := sc.state.Resolve(name); !ok || "feed."+e.Providers[0].Mesh != name || e.Cause != CauseQualifiedName {
 				faults = append(faults, fmt.Sprintf("%s: %s is %+v", c.name, name, e))
 			}
 		}
@@ -240,7 +240,7 @@
 	sc.wantEntries("lost", "feed: X/c1 thies! tombstone earlier holder", "feed.thies: X/c1 thies! tombstone qualified",
 		"feed.dakar: Y/c1 dakar held qualified", "both: Z/c1 dakar,thies! held sole")
 	sc.wantFindings("collision feed", "mesh-gone thies")
-	sc.step(Tombstone - time.Minute)
+	sc.step(TombstoneDuration - time.Minute)
 	sc.wantEntries("quarantine", "feed: X/c1 thies! quarantine earlier holder", "feed.thies: X/c1 thies! quarantine qualified",
 		"feed.dakar: Y/c1 dakar held qualified", "both: Z/c1 dakar held sole")
 	if _, ok := sc.state.Resolve("feed"); ok {
@@ -251,7 +251,7 @@
 	returned.step(time.Minute)
 	returned.wantEntries("returned in quarantine", "feed: X/c1 thies held earlier holder", "feed.thies: X/c1 thies held qualified",
 		"feed.dakar: Y/c1 dakar held qualified", "both: Z/c1 dakar,thies held sole")
-	sc.step(Quarantine - time.Microsecond)
+	sc.step(QuarantineDuration - time.Microsecond)
 	if e := sc.state.lookup("feed"); e.Owner != "X" {
 		t.Errorf("quarantine is cut short: %+v", e)
 	}
@@ -272,10 +272,10 @@
 		sc.step(at)
 		sc.wantEntries("removed", "feed: X/c1 thies! tombstone sole", "news: >feed thies tombstone sole")
 	}
-	if e, ok := sc.state.Resolve("news"); !ok || e.Name != "feed" || e.Until != (12*time.Minute).Microseconds() {
+	if e, ok := sc.state.Resolve("news"); !ok || e.Name != "feed" || e.UntilUS != (12*time.Minute).Microseconds() {
 		t.Errorf("news is %+v", e)
 	}
-	sc.step(Tombstone + Quarantine)
+	sc.step(TombstoneDuration + QuarantineDuration)
 	sc.wantEntries("expired")
 }
 
@@ -288,13 +288,13 @@
 	sc.step(time.Second)
 	sc.wantEntries("half updated", "feed: X/c1 thies held earlier holder", "feed.thies: X/c1 thies held qualified",
 		"feed.dakar: X/c2 dakar held qualified")
-	since := sc.state.lookup("feed").Since
+	since := sc.state.lookup("feed").SinceState
 	sc.publish("thies", "feed X c2")
 	sc.step(time.Second)
 	sc.wantEntries("updated", "feed: X/c2 dakar,thies held sole", "feed.thies: X/c2 dakar,thies held qualified",
 		"feed.dakar: X/c2 dakar,thies held qualified")
-	if e := sc.state.lookup("feed"); e.Since != since {
-		t.Errorf("an update made a new owner, since %d", e.Since)
+	if e := sc.state.lookup("feed"); e.SinceState != since {
+		t.Errorf("an update made a new owner, since %d", e.SinceState)
 	}
 	sc.publish("thies")
 	sc.step(time.Second)
@@ -322,10 +322,10 @@
 	sc.wantEntries("drains", "feed: X/c1 thies draining earlier holder", "feed.thies: X/c1 thies draining qualified",
 		"feed.dakar: Y/c1 dakar held qualified")
 	sc.step(time.Hour - time.Minute) // to the moment
-	if e := sc.state.lookup("feed"); e.Status != StatusTombstone || e.Until != (time.Hour+Tombstone).Microseconds() || !e.Ended {
+	if e := sc.state.lookup("feed"); e.Status != StatusTombstone || e.UntilUS != (time.Hour+TombstoneDuration).Microseconds() || !e.Ended {
 		t.Errorf("after its drain: %+v", e)
 	}
-	sc.step(Tombstone + Quarantine)
+	sc.step(TombstoneDuration + QuarantineDuration)
 	sc.wantEntries("free", "feed: Y/c1 dakar held sole", "feed.dakar: Y/c1 dakar held qualified")
 }
 
@@ -348,7 +348,7 @@
 		sc.wantFindings("collision feed", "mesh-gone thies")
 	}
 	sc.returnMesh("thies")
-	sc.step(Tombstone + Quarantine)
+	sc.step(TombstoneDuration + QuarantineDuration)
 	sc.wantEntries("released", "feed: Z/c1 dakar,thies held sole", "feed.thies: Z/c1 dakar,thies held qualified",
 		"feed.dakar: Z/c1 dakar,thies held qualified")
 }
@@ -558,7 +558,7 @@
 		}
 	}
 	e, _ := sc.state.Resolve("feed")
-	if sc.state.Sees("some", e, &e.Providers[0]) || !sc.state.Sees("some", e, &e.Providers[1]) {
+	if sc.state.IsVisible("some", e, &e.Providers[0]) || !sc.state.IsVisible("some", e, &e.Providers[1]) {
 		t.Error("a provider is seen that is not imported, or an imported one is not")
 	}
 	set := routing.Set{Pools: []routing.Pool{{Name: "p"}}, Routes: []routing.Route{{Name: "r", To: []routing.SplitShare{share("service:feed", routing.Whole)}}}}
@@ -657,7 +657,7 @@
 	}
 	sc.inputs.Meshes = nil
 	sc.step(0)
-	sc.step(Tombstone)
+	sc.step(TombstoneDuration)
 	if _, err := sc.rules.Bind(set, sc.state, ""); !UnknownService.Of(err) || !strings.Contains(err.Error(), "quarantine") {
 		t.Errorf("names in quarantine: %v", err)
 	}
@@ -682,7 +682,7 @@
 			}
 		}
 	}
-	sc.step(Tombstone)
+	sc.step(TombstoneDuration)
 	if got := sc.state.Explain("feed"); !strings.Contains(got, "feed was X's") || !strings.Contains(got, "quarantine until 20m0s") {
 		t.Errorf("in quarantine: %q", got)
 	}
@@ -696,7 +696,7 @@
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	s := State{Entries: []Entry{{Name: "a", Alias: "b", Status: StatusHeld}, {Name: "b", Alias: "a", Status: StatusHeld}}}
+	s := State{Entries: []Entry{{Name: "a", AliasOf: "b", Status: StatusHeld}, {Name: "b", AliasOf: "a", Status: StatusHeld}}}
 	if _, ok := s.Resolve("a"); ok || !strings.Contains(s.Explain("a"), "in a row") {
 		t.Error("a cycle resolves")
 	}
@@ -768,7 +768,7 @@
 			next, found := Rules{}.Merge(prev, in, at)
 			check(rt, prev, in, at, next, found)
 			prev = next
-			at += rapid.SampledFrom([]time.Duration{time.Second, time.Minute, Tombstone, Tombstone + Quarantine, time.Hour}).Draw(rt, "later")
+			at += rapid.SampledFrom([]time.Duration{time.Second, time.Minute, TombstoneDuration, TombstoneDuration + QuarantineDuration, time.Hour}).Draw(rt, "later")
 		}
 	})
 }
@@ -819,7 +819,7 @@
 			if ok == strings.Contains(why, "means nothing") && !strings.Contains(why, "then means nothing") {
 				rt.Fatalf("%s resolves: %v, but: %s", e.Name, ok, why)
 			}
-			if ok && (got.Alias != "" || len(got.Providers) == 0 || !strings.Contains(why, got.Owner+" with contract "+got.Contract)) {
+			if ok && (got.AliasOf != "" || len(got.Providers) == 0 || !strings.Contains(why, got.Owner+" with contract "+got.Contract)) {
 				rt.Fatalf("%s resolves to %+v, but: %s", e.Name, got, why)
 			}
 			for _, m := range in.Meshes {
@@ -844,13 +844,13 @@
 		}
 		for _, e := range prev.Entries {
 			overridden := slices.ContainsFunc(in.Overrides, func(r Override) bool { return r.Name == e.Name })
-			if overridden || e.Status == StatusQuarantine && at.Microseconds() >= e.Until || e.Status == StatusTombstone && at.Microseconds() >= e.Until+quarantineUS {
+			if overridden || e.Status == StatusQuarantine && at.Microseconds() >= e.UntilUS || e.Status == StatusTombstone && at.Microseconds() >= e.UntilUS+quarantineUS {
 				continue
 			}
-			expired := at >= Tombstone+Quarantine && (slices.ContainsFunc(e.Providers, func(h Provider) bool {
-				return h.DrainBy > 0 && h.DrainBy+Tombstone+Quarantine <= at
+			expired := at >= TombstoneDuration+QuarantineDuration && (slices.ContainsFunc(e.Providers, func(h Provider) bool {
+				return h.DrainBy > 0 && h.DrainBy+TombstoneDuration+QuarantineDuration <= at
 			}) || slices.ContainsFunc(next.Meshes, func(m AcceptedPublication) bool {
-				return m.Lost && m.Since+tombstoneUS+quarantineUS <= at.Microseconds()
+				return m.Lost && m.LostSinceUS+tombstoneUS+quarantineUS <= at.Microseconds()
 			}))
 			if expired {
 				continue // lost or drained for longer, as of the agreed time
@@ -859,13 +859,13 @@
 			switch {
 			case n == nil:
 				rt.Fatalf("%s is gone: it was %+v", e.Name, e)
-			case n.Alias == "" && e.Alias == "" && n.Owner != e.Owner:
+			case n.AliasOf == "" && e.AliasOf == "" && n.Owner != e.Owner:
 				rt.Fatalf("%s went from %+v to %+v", e.Name, e, n)
-			case n.Alias == "" && e.Alias == "" && n.Contract != e.Contract && !slices.ContainsFunc(n.Providers, func(h Provider) bool {
+			case n.AliasOf == "" && e.AliasOf == "" && n.Contract != e.Contract && !slices.ContainsFunc(n.Providers, func(h Provider) bool {
 				return slices.ContainsFunc(e.Providers, func(o Provider) bool { return o.Mesh == h.Mesh })
 			}):
 				rt.Fatalf("%s went to another mesh's contract, from %+v to %+v", e.Name, e, n)
-			case n.Alias != "" && e.Alias != "" && !slices.ContainsFunc(n.PublishedBy, func(m string) bool { return slices.Contains(e.PublishedBy, m) }):
+			case n.AliasOf != "" && e.AliasOf != "" && !slices.ContainsFunc(n.PublishedBy, func(m string) bool { return slices.Contains(e.PublishedBy, m) }):
 				rt.Fatalf("alias %s went from %+v to %+v", e.Name, e, n)
 			}
 		}
--- a/internal/catalog/decide.go
+++ b/internal/catalog/decide.go
@@ -51,10 +51,10 @@
 func (m *mergePass) setOwner(d *nameDecision, owner, current *claimant, cause string) {
 	since := m.number
 	if owner == current {
-		since = d.previous.Since
+		since = d.previous.SinceState
 	}
 	if d.qualifier != "" {
-		cause = CauseQualified
+		cause = CauseQualifiedName
 	}
 	d.setEntry(owner.entry(d, since, cause), owner)
 }
@@ -72,15 +72,15 @@
 // entry returns the entry of a name that the claimant owns, without conflicts.
 func (k *claimant) entry(d *nameDecision, since uint64, cause string) Entry {
 	e := Entry{
-		Name:      d.name,
-		Owner:     k.owner,
-		Contract:  k.contract,
-		Providers: k.providers,
-		Since:     since,
-		Alias:     k.target,
-		Cause:     cause,
-	}
-	e.Status, e.Until = k.status(d.qualifier)
+		Name:       d.name,
+		Owner:      k.owner,
+		Contract:   k.contract,
+		Providers:  k.providers,
+		SinceState: since,
+		AliasOf:    k.target,
+		Cause:      cause,
+	}
+	e.Status, e.UntilUS = k.status(d.qualifier)
 	if k.isAlias {
 		for _, c := range k.claims {
 			e.PublishedBy = append(e.PublishedBy, c.publisher.name())
@@ -116,7 +116,7 @@
 	other := slices.IndexFunc(claimants, func(k *claimant) bool { return k != owner && k.live })
 	switch {
 	case other < 0:
-		return CauseSole
+		return CauseSoleClaimant
 	case claimants[0] != owner:
 		return CauseCurrentOwner
 	case claimants[other].precedence != owner.precedence:
@@ -124,7 +124,7 @@
 	case claimants[other].firstMesh != owner.firstMesh:
 		return CauseMeshName
 	}
-	return CauseOwner
+	return CauseOwnerName
 }
 
 // continuationOf returns the claimant that continues a previous entry; nil where there is none. It is the same service, whichever
@@ -137,12 +137,12 @@
 	}
 	for _, live := range []bool{true, false} {
 		for _, k := range claimants {
-			if k.live == live && previous.Alias == "" && !k.isAlias && k.owner == previous.Owner && k.contract == previous.Contract {
+			if k.live == live && previous.AliasOf == "" && !k.isAlias && k.owner == previous.Owner && k.contract == previous.Contract {
 				return k
 			}
 		}
 		for _, k := range claimants {
-			sameOwner := k.owner != "" && k.owner == previous.Owner || k.isAlias && previous.Alias != ""
+			sameOwner := k.owner != "" && k.owner == previous.Owner || k.isAlias && previous.AliasOf != ""
 			if k.live == live && sameOwner && slices.ContainsFunc(k.claims, wasPublished) {
 				return k
 			}
@@ -175,17 +175,17 @@
 	}
 	switch d.previous.Status {
 	case StatusTombstone:
-		endUS = d.previous.Until - tombstoneUS
+		endUS = d.previous.UntilUS - tombstoneUS
 	case StatusQuarantine:
-		endUS = d.previous.Until - tombstoneUS - quarantineUS
+		endUS = d.previous.UntilUS - tombstoneUS - quarantineUS
 	}
 	switch {
 	case m.nowUS < endUS+tombstoneUS:
 		e.Status = StatusTombstone
-		e.Until = endUS + tombstoneUS
+		e.UntilUS = endUS + tombstoneUS
 	case m.nowUS < endUS+tombstoneUS+quarantineUS:
 		e.Status = StatusQuarantine
-		e.Until = endUS + tombstoneUS + quarantineUS
+		e.UntilUS = endUS + tombstoneUS + quarantineUS
 	default:
 		return e, false
 	}
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -105,7 +105,7 @@
 	}
 	if d.hasEntry && d.winner != nil && d.winner.isAlias {
 		own := slices.IndexFunc(d.winner.claims, func(c *claim) bool { return c.publisher.name() == mesh })
-		d.entry.Alias = m.aliasTarget(d.winner.claims[own])
+		d.entry.AliasOf = m.aliasTarget(d.winner.claims[own])
 	}
 	return d.entry, d.hasEntry
 }
--- a/internal/catalog/equal.go
+++ b/internal/catalog/equal.go
@@ -19,8 +19,8 @@
 func equalEntries(a, b []Entry) bool { return slices.EqualFunc(a, b, equalEntry) }
 
 func equalEntry(a, b Entry) bool {
-	return a.Name == b.Name && a.Owner == b.Owner && a.Contract == b.Contract && a.Since == b.Since &&
-		a.Status == b.Status && a.Until == b.Until && a.Alias == b.Alias && a.Ended == b.Ended && a.Cause == b.Cause &&
+	return a.Name == b.Name && a.Owner == b.Owner && a.Contract == b.Contract && a.SinceState == b.SinceState &&
+		a.Status == b.Status && a.UntilUS == b.UntilUS && a.AliasOf == b.AliasOf && a.Ended == b.Ended && a.Cause == b.Cause &&
 		slices.Equal(a.PublishedBy, b.PublishedBy) && slices.Equal(a.Conflicts, b.Conflicts) &&
 		slices.EqualFunc(a.Providers, b.Providers, equalProvider)
 }
@@ -33,7 +33,7 @@
 
 func equalAccepted(a, b AcceptedPublication) bool {
 	return a.Mesh == b.Mesh && a.Epoch == b.Epoch && a.Seq == b.Seq && a.Digest == b.Digest && a.Lost == b.Lost &&
-		a.Since == b.Since && slices.EqualFunc(a.Import, b.Import, equalImport)
+		a.LostSinceUS == b.LostSinceUS && slices.EqualFunc(a.Import, b.Import, equalImport)
 }
 
 func equalImport(a, b Import) bool { return a.From == b.From && slices.Equal(a.Names, b.Names) }
--- a/internal/catalog/errors.go
+++ b/internal/catalog/errors.go
@@ -14,8 +14,8 @@
 	AliasLoop = apperror.NewKind("catalog/alias-loop", "point one of the aliases named at a service instead")
 	// AliasChainTooLong: an alias is too many aliases away from its service.
 	AliasChainTooLong = apperror.NewKind("catalog/alias-chain", "point the alias at the service that the chain ends in")
-	// Reexport: a re-export passes a mesh twice.
-	Reexport = apperror.NewKind("catalog/re-export-loop",
+	// ReexportLoop: a re-export passes a mesh twice.
+	ReexportLoop = apperror.NewKind("catalog/re-export-loop",
 		"have the mesh that is passed twice leave services that come from itself out of what it re-exports")
 	// OverLimit: a mesh publishes more than its terms allow.
 	OverLimit = apperror.NewKind("catalog/over-limit",
--- a/internal/catalog/explain.go
+++ b/internal/catalog/explain.go
@@ -21,20 +21,20 @@
 	var x explanation
 	e := s.lookup(name)
 	for range maxAliasChain + 1 {
-		if e == nil || e.Alias == "" {
+		if e == nil || e.AliasOf == "" {
 			break
 		}
-		x.addf("%s is a further name of %s, published by %s", e.Name, e.Alias, strings.Join(e.PublishedBy, ", "))
+		x.addf("%s is a further name of %s, published by %s", e.Name, e.AliasOf, strings.Join(e.PublishedBy, ", "))
 		x.addDecision(e)
 		if e.Status == StatusQuarantine {
 			return x.String()
 		}
-		name, e = e.Alias, s.lookup(e.Alias)
+		name, e = e.AliasOf, s.lookup(e.AliasOf)
 	}
 	switch {
 	case e == nil:
 		x.addf("%s means nothing: no mesh publishes it, or its former holder's times are over.", name)
-	case e.Alias != "":
+	case e.AliasOf != "":
 		x.addf("It means nothing: there are more than %d aliases in a row.", maxAliasChain)
 	case e.Status == StatusQuarantine:
 		x.addf("%s was %s's", e.Name, e.Owner)
@@ -69,30 +69,30 @@
 
 // causeTexts are the causes as explanations give them.
 var causeTexts = map[string]string{
-	CauseOverride:     "by staff's ruling",
-	CauseCurrentOwner: "because it held the name before the others came",
-	CausePrecedence:   "by the precedence of its mesh's exports",
-	CauseMeshName:     "by the order of meshes' names",
-	CauseOwner:        "by the order of owners' names",
-	CauseSole:         "because nobody else claimed it",
-	CauseQualified:    "because that mesh publishes it under this full name",
+	CauseOverride:      "by staff's ruling",
+	CauseCurrentOwner:  "because it held the name before the others came",
+	CausePrecedence:    "by the precedence of its mesh's exports",
+	CauseMeshName:      "by the order of meshes' names",
+	CauseOwnerName:     "by the order of owners' names",
+	CauseSoleClaimant:  "because nobody else claimed it",
+	CauseQualifiedName: "because that mesh publishes it under this full name",
 }
 
 // addDecision adds an entry's cause, status and conflicts.
 func (x *explanation) addDecision(e *Entry) {
-	x.addf(", %s, since state %d. ", cmp.Or(causeTexts[e.Cause], e.Cause), e.Since)
-	until := formatTime(e.Until)
+	x.addf(", %s, since state %d. ", cmp.Or(causeTexts[e.Cause], e.Cause), e.SinceState)
+	until := formatTime(e.UntilUS)
 	switch {
 	case e.Status == StatusHeld:
 		x.addf("It is held. ")
 	case e.Status == StatusDraining:
-		x.addf("It is withdrawn and drains until %s, then stands as a tombstone for %s. ", until, Tombstone)
+		x.addf("It is withdrawn and drains until %s, then stands as a tombstone for %s. ", until, TombstoneDuration)
 	case e.Status == StatusQuarantine:
 		x.addf("It means nothing: it is in quarantine until %s, and nobody else gets it before. ", until)
 	case e.Ended:
-		x.addf("It has ended and stands as a tombstone until %s, then means nothing for %s. ", until, Quarantine)
+		x.addf("It has ended and stands as a tombstone until %s, then means nothing for %s. ", until, QuarantineDuration)
 	default:
-		x.addf("Its meshes are lost; it stands as a tombstone until %s, then means nothing for %s. ", until, Quarantine)
+		x.addf("Its meshes are lost; it stands as a tombstone until %s, then means nothing for %s. ", until, QuarantineDuration)
 	}
 	for i, c := range e.Conflicts {
 		if i == 0 {
--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -32,13 +32,13 @@
 
 func goldenState() State {
 	return State{Number: 12, At: 90 * time.Second,
-		Entries: []Entry{{Name: "mail", Owner: "team-post", Contract: "c-1", Since: 11, Status: StatusDraining, Until: 690_000_000,
+		Entries: []Entry{{Name: "mail", Owner: "team-post", Contract: "c-1", SinceState: 11, Status: StatusDraining, UntilUS: 690_000_000,
 			Providers: []Provider{{Mesh: "thies", Zones: []string{"thies"}, Class: "album-feed", LatencyObjective: 300 * time.Millisecond, SpareCapacity: 0.25,
 				Pool: goldenPool("mail.thies"), Origin: "dakar", Via: []string{"dakar"}, Lost: true, DrainBy: time.Hour}},
-			Alias: "post", PublishedBy: []string{"dakar", "thies"}, Ended: true, Cause: CauseOverride,
+			AliasOf: "post", PublishedBy: []string{"dakar", "thies"}, Ended: true, Cause: CauseOverride,
 			Conflicts: []Conflict{{Mesh: "lagos", Owner: "team-other", QualifiedName: "mail.lagos"}}}},
 		Meshes: []AcceptedPublication{{Mesh: "thies", Epoch: 4, Seq: 19, Digest: "00112233445566778899aabbccddeeff",
-			Import: []Import{{From: "dakar", Names: []string{"chat"}}}, Lost: true, Since: 60_000_000}}}
+			Import: []Import{{From: "dakar", Names: []string{"chat"}}}, Lost: true, LostSinceUS: 60_000_000}}}
 }
 
 // Each JSON form of the package keeps its bytes.
@@ -76,10 +76,10 @@
 	testkit.Equal(t, "statuses", []string{"held", "draining", "tombstone", "quarantine"},
 		[]string{StatusHeld, StatusDraining, StatusTombstone, StatusQuarantine})
 	testkit.Equal(t, "causes", []string{"ruling", "earlier holder", "export precedence", "mesh name", "owner", "sole", "qualified"},
-		[]string{CauseOverride, CauseCurrentOwner, CausePrecedence, CauseMeshName, CauseOwner, CauseSole, CauseQualified})
+		[]string{CauseOverride, CauseCurrentOwner, CausePrecedence, CauseMeshName, CauseOwnerName, CauseSoleClaimant, CauseQualifiedName})
 	for name, kind := range map[string]*apperror.Kind{
 		"catalog/collision": Collision, "catalog/squatter": UnauthorizedClaim, "catalog/alias-loop": AliasLoop,
-		"catalog/alias-chain": AliasChainTooLong, "catalog/re-export-loop": Reexport, "catalog/over-limit": OverLimit,
+		"catalog/alias-chain": AliasChainTooLong, "catalog/re-export-loop": ReexportLoop, "catalog/over-limit": OverLimit,
 		"catalog/old-publication": OutdatedPublication, "catalog/contradiction": Contradiction, "catalog/bad-pattern": BadPattern,
 		"catalog/bad-name": BadName, "catalog/bad-service": BadService, "catalog/unknown-mesh": UnknownMesh,
 		"catalog/unknown-service": UnknownService, "catalog/idle-ruling": UnusedOverride, "catalog/name-waits": NameReserved,
--- a/internal/catalog/inputs.go
+++ b/internal/catalog/inputs.go
@@ -87,9 +87,9 @@
 	Since time.Duration `json:"since"` // agreed time
 }
 
-// Nameable reports whether a service, an alias or a mesh may have a name: 1 to 128 bytes of UTF-8 without spaces, control
+// ValidName reports whether a service, an alias or a mesh may have a name: 1 to 128 bytes of UTF-8 without spaces, control
 // characters and dots.
-func Nameable(name string) bool {
+func ValidName(name string) bool {
 	return name != "" && len(name) <= maxNameBytes && !strings.Contains(name, ".") && routing.Nameable(name) && utf8.ValidString(name)
 }
 
--- a/internal/catalog/measure/main.go
+++ b/internal/catalog/measure/main.go
@@ -215,7 +215,7 @@
 	set := routing.Set{Pools: []routing.Pool{{Name: "all"}}}
 	for i := 0; len(set.Routes) < routes; i += 7 {
 		set.Routes = append(set.Routes, routing.Route{Name: "r" + strconv.Itoa(i), Precedence: i,
-			To: []routing.SplitShare{{Pool: catalog.Prefix + state.Entries[i].Name, PPM: routing.Whole}}})
+			To: []routing.SplitShare{{Pool: catalog.ServicePrefix + state.Entries[i].Name, PPM: routing.Whole}}})
 	}
 	t.measure("1,000 routes bound to services", func() string {
 		bound, err := catalog.Rules{}.Bind(set, state, "zone1")
--- a/internal/catalog/memory.go
+++ b/internal/catalog/memory.go
@@ -65,7 +65,7 @@
 }
 
 func (m *memoryEstimate) addEntry(e *Entry) {
-	m.addStrings(e.Name, e.Owner, e.Contract, e.Status, e.Alias, e.Cause)
+	m.addStrings(e.Name, e.Owner, e.Contract, e.Status, e.AliasOf, e.Cause)
 	m.addStringSlices(e.PublishedBy)
 	addSlice(m, e.Conflicts)
 	addSlice(m, e.Providers)
--- a/internal/catalog/resolve.go
+++ b/internal/catalog/resolve.go
@@ -16,10 +16,10 @@
 		if e == nil || e.Status == StatusQuarantine {
 			return nil, false
 		}
-		if e.Alias == "" {
+		if e.AliasOf == "" {
 			return e, true
 		}
-		e = s.lookup(e.Alias)
+		e = s.lookup(e.AliasOf)
 	}
 	return nil, false
 }
@@ -31,16 +31,16 @@
 		return nil, false
 	}
 	for i := range e.Providers {
-		if s.Sees(mesh, e, &e.Providers[i]) {
+		if s.IsVisible(mesh, e, &e.Providers[i]) {
 			return e, true
 		}
 	}
 	return nil, false
 }
 
-// Sees reports whether a mesh is a provider of an entry or imports it; mesh "": any mesh. Patterns are matched with the
+// IsVisible reports whether a mesh is a provider of an entry or imports it; mesh "": any mesh. Patterns are matched with the
 // short name. A mesh that the state does not know sees nothing.
-func (s *State) Sees(mesh string, e *Entry, p *Provider) bool {
+func (s *State) IsVisible(mesh string, e *Entry, p *Provider) bool {
 	if mesh == "" || mesh == p.Mesh {
 		return true
 	}
@@ -66,7 +66,7 @@
 	}
 	var providers []*Provider
 	for i := range e.Providers {
-		if p := &e.Providers[i]; s.Sees(mesh, e, p) {
+		if p := &e.Providers[i]; s.IsVisible(mesh, e, p) {
 			providers = append(providers, p)
 		}
 	}
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -11,13 +11,13 @@
 
 // Times of names, in agreed time.
 const (
-	// Tombstone is how long a name keeps its meaning after the service has ended or all of its meshes are lost.
-	Tombstone = 10 * time.Minute
-	// Quarantine is how long after that the name is given to nobody else.
-	Quarantine = 10 * time.Minute
+	// TombstoneDuration is how long a name keeps its meaning after the service has ended or all of its meshes are lost.
+	TombstoneDuration = 10 * time.Minute
+	// QuarantineDuration is how long after that the name is given to nobody else.
+	QuarantineDuration = 10 * time.Minute
 
-	tombstoneUS  = int64(Tombstone / time.Microsecond)
-	quarantineUS = int64(Quarantine / time.Microsecond)
+	tombstoneUS  = int64(TombstoneDuration / time.Microsecond)
+	quarantineUS = int64(QuarantineDuration / time.Microsecond)
 )
 
 // State is the merged catalog. It is immutable once it is made.
@@ -36,10 +36,10 @@
 	Owner       string     `json:"owner"`
 	Contract    string     `json:"contract"`
 	Providers   []Provider `json:"homes,omitempty"`    // by mesh; none for an alias
-	Since       uint64     `json:"since"`              // number of the State in which the current owner got the name
+	SinceState  uint64     `json:"since"`              // number of the State in which the current owner got the name
 	Status      string     `json:"standing"`           // a Status constant
-	Until       int64      `json:"until_us,omitempty"` // when the status ends, in microseconds of agreed time; 0: not by time alone
-	Alias       string     `json:"alias_of,omitempty"` // the name that this is an alias of; "": a service
+	UntilUS     int64      `json:"until_us,omitempty"` // when the status ends, in microseconds of agreed time; 0: not by time alone
+	AliasOf     string     `json:"alias_of,omitempty"` // the name that this is an alias of; "": a service
 	PublishedBy []string   `json:"by,omitempty"`       // the meshes that publish an alias, in order
 	Ended       bool       `json:"ended,omitempty"`    // a publisher has withdrawn it; false: its publishers are lost at most
 	Cause       string     `json:"cause"`              // why this owner has the name: a Cause constant
@@ -56,13 +56,13 @@
 
 // Cause of a name's owner.
 const (
-	CauseOverride     = "ruling"
-	CauseCurrentOwner = "earlier holder" // others would precede it if the name were free
-	CausePrecedence   = "export precedence"
-	CauseMeshName     = "mesh name"
-	CauseOwner        = "owner"
-	CauseSole         = "sole"
-	CauseQualified    = "qualified"
+	CauseOverride      = "ruling"
+	CauseCurrentOwner  = "earlier holder" // others would precede it if the name were free
+	CausePrecedence    = "export precedence"
+	CauseMeshName      = "mesh name"
+	CauseOwnerName     = "owner"
+	CauseSoleClaimant  = "sole"
+	CauseQualifiedName = "qualified"
 )
 
 // Provider is a mesh that provides a service.
@@ -89,13 +89,13 @@
 // AcceptedPublication is what a State remembers of a mesh: the publication that was accepted, so that an older one never
 // replaces it, and what the mesh imports, so that its proxies resolve by it.
 type AcceptedPublication struct {
-	Mesh   string   `json:"mesh"`
-	Epoch  uint64   `json:"epoch,omitempty"`
-	Seq    uint64   `json:"seq,omitempty"`
-	Digest string   `json:"digest,omitempty"` // Publication.Digest; "": none was accepted yet
-	Import []Import `json:"import,omitempty"`
-	Lost   bool     `json:"lost,omitempty"`     // it is lost, or has left the federation
-	Since  int64    `json:"since_us,omitempty"` // when it was lost, in microseconds of agreed time
+	Mesh        string   `json:"mesh"`
+	Epoch       uint64   `json:"epoch,omitempty"`
+	Seq         uint64   `json:"seq,omitempty"`
+	Digest      string   `json:"digest,omitempty"` // Publication.Digest; "": none was accepted yet
+	Import      []Import `json:"import,omitempty"`
+	Lost        bool     `json:"lost,omitempty"`     // it is lost, or has left the federation
+	LostSinceUS int64    `json:"since_us,omitempty"` // when it was lost, in microseconds of agreed time
 }
 
 // Index makes lookups by name fast. Merge and decoding call it; a State that was made otherwise is searched binarily until
@@ -148,7 +148,7 @@
 
 // isFree reports whether an entry's tombstone and quarantine are over, so that others may get its name.
 func (e *Entry) isFree(nowUS int64) bool {
-	return e.Status == StatusQuarantine && nowUS >= e.Until || e.Status == StatusTombstone && nowUS >= e.Until+quarantineUS
+	return e.Status == StatusQuarantine && nowUS >= e.UntilUS || e.Status == StatusTombstone && nowUS >= e.UntilUS+quarantineUS
 }
 
 // isProvidedBy reports whether a mesh is among the providers.
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -18,7 +18,7 @@
 	published bool       // services and aliases are of a new publication; false: of the previous state
 	lost      bool
 	lostUS    int64 // agreed microseconds
-	expired   bool  // it has been lost for longer than Tombstone
+	expired   bool  // it has been lost for longer than TombstoneDuration
 }
 
 // name returns the mesh's name.
@@ -128,7 +128,7 @@
 	for i := range overrides {
 		o := &overrides[i]
 		switch {
-		case !Nameable(o.Name):
+		case !ValidName(o.Name):
 			v.add(BadName, o.Mesh, o.Name, "the terms' rulings name %.140q, which is malformed as a short name", o.Name)
 		case count[o.Name] > 1:
 			v.add(Contradiction, "", o.Name, "the terms have %d different rulings on %s; none of them counts", count[o.Name], o.Name)
--- a/internal/catalog/validate_meshes.go
+++ b/internal/catalog/validate_meshes.go
@@ -26,7 +26,7 @@
 	}
 	for _, m := range meshes {
 		switch {
-		case !Nameable(m.Name):
+		case !ValidName(m.Name):
 			v.add(BadName, m.Name, "", "the terms name a mesh %.140q, which is malformed as a name", m.Name)
 		case count[m.Name] > 1:
 			v.add(Contradiction, m.Name, "", "there are %d different terms for mesh %s; none of them counts, and what it published "+
@@ -39,15 +39,15 @@
 	for _, p := range v.publishers {
 		if count[p.name()] > 0 {
 			p.accepted.Lost = false
-			p.accepted.Since = 0
+			p.accepted.LostSinceUS = 0
 			continue
 		}
 		if !p.accepted.Lost { // it has left the federation since the previous state
 			p.accepted.Lost = true
-			p.accepted.Since = v.nowUS
+			p.accepted.LostSinceUS = v.nowUS
 		}
 		p.lost = true
-		p.lostUS = p.accepted.Since
+		p.lostUS = p.accepted.LostSinceUS
 	}
 }
 
@@ -118,7 +118,7 @@
 			p.lost = true
 			p.lostUS = at
 			p.accepted.Lost = true
-			p.accepted.Since = at
+			p.accepted.LostSinceUS = at
 		}
 		p.expired = p.lost && v.nowUS >= p.lostUS+tombstoneUS
 		if p.lost && !p.expired {
--- a/internal/catalog/validate_names.go
+++ b/internal/catalog/validate_names.go
@@ -57,7 +57,7 @@
 	mesh := p.name()
 	short, qualifier := splitName(a.To)
 	switch {
-	case !Nameable(a.Name) || !Nameable(short) || strings.Contains(a.To, ".") && !Nameable(qualifier):
+	case !ValidName(a.Name) || !ValidName(short) || strings.Contains(a.To, ".") && !ValidName(qualifier):
 		v.add(BadName, mesh, a.Name, "alias %.140q for %.140q: one of them is malformed as a name", a.Name, a.To)
 	case a.Name == a.To:
 		v.add(AliasLoop, mesh, a.Name, "alias %s is an alias of itself", a.Name)
--- a/internal/catalog/validate_publications.go
+++ b/internal/catalog/validate_publications.go
@@ -120,7 +120,7 @@
 	}
 	for _, mesh := range e.PublishedBy {
 		if p := carriedOver(mesh); p != nil {
-			p.aliases = append(p.aliases, Alias{Name: short, To: e.Alias})
+			p.aliases = append(p.aliases, Alias{Name: short, To: e.AliasOf})
 		}
 	}
 	for i := range e.Providers {
--- a/internal/catalog/validate_services.go
+++ b/internal/catalog/validate_services.go
@@ -35,7 +35,7 @@
 		return false
 	}
 	if repeated := repeatedMesh(mesh, s); repeated != "" {
-		v.add(Reexport, mesh, s.Name, "service %s comes from %s through %s: it passes %s twice", s.Name, s.Origin,
+		v.add(ReexportLoop, mesh, s.Name, "service %s comes from %s through %s: it passes %s twice", s.Name, s.Origin,
 			strings.Join(append(slices.Clone(s.Via), mesh), ", "), repeated)
 		return false
 	}
@@ -64,7 +64,7 @@
 
 // invalidity returns what is wrong with a service's record, for a finding; nil where it is valid.
 func invalidity(s *Service) (kind *apperror.Kind, text string) {
-	if !Nameable(s.Name) {
+	if !ValidName(s.Name) {
 		return BadName, fmt.Sprintf("service %.140q is malformed as a name", s.Name)
 	}
 	pool := &s.Pool
--- a/internal/configbundle/golden_test.go
+++ b/internal/configbundle/golden_test.go
@@ -51,15 +51,15 @@
 // goldenCatalog is what the catalog of the fixture means: a service with every field set, and an alias of it.
 func goldenCatalog() *catalog.State {
 	return &catalog.State{Number: 12, At: 90 * time.Second,
-		Entries: []catalog.Entry{{Name: "mail", Owner: "team-post", Contract: "c-1", Since: 11, Status: "draining",
-			Until: 690_000_000, PublishedBy: []string{"thies"}, Ended: true, Cause: "ruling",
+		Entries: []catalog.Entry{{Name: "mail", Owner: "team-post", Contract: "c-1", SinceState: 11, Status: "draining",
+			UntilUS: 690_000_000, PublishedBy: []string{"thies"}, Ended: true, Cause: "ruling",
 			Providers: []catalog.Provider{{Mesh: "thies", Zones: []string{"thies"}, Class: "album-feed", LatencyObjective: 300 * time.Millisecond,
 				SpareCapacity: 0.25, Pool: goldenPool("mail.thies"), Origin: "dakar", Via: []string{"dakar"}, Lost: true, DrainBy: time.Hour}},
 			Conflicts: []catalog.Conflict{{Mesh: "lagos", Owner: "team-other", QualifiedName: "mail.lagos"}}},
-			{Name: "post", Owner: "team-post", Contract: "c-1", Since: 12, Status: "held", Alias: "mail", PublishedBy: []string{"thies"},
+			{Name: "post", Owner: "team-post", Contract: "c-1", SinceState: 12, Status: "held", AliasOf: "mail", PublishedBy: []string{"thies"},
 				Cause: "sole"}},
 		Meshes: []catalog.AcceptedPublication{{Mesh: "thies", Epoch: 4, Seq: 18, Digest: "00112233445566778899aabbccddeeff",
-			Import: []catalog.Import{{From: "thies", Names: []string{"mail"}}}, Lost: true, Since: 60_000_000}}}
+			Import: []catalog.Import{{From: "thies", Names: []string{"mail"}}}, Lost: true, LostSinceUS: 60_000_000}}}
 }
 
 func goldenBody(t *testing.T) fleetconfig.Body {
--- a/internal/controlplane/catalog.go
+++ b/internal/controlplane/catalog.go
@@ -228,7 +228,7 @@
 	for _, mesh := range state.Meshes {
 		entry := CatalogMesh{Mesh: mesh.Mesh, Epoch: mesh.Epoch, Seq: mesh.Seq, Lost: mesh.Lost}
 		if mesh.Lost {
-			entry.LostSince = time.Duration(mesh.Since) * time.Microsecond
+			entry.LostSince = time.Duration(mesh.LostSinceUS) * time.Microsecond
 			entry.LostFor = l.catalogProposer.AgreedTime(l.now()) - entry.LostSince
 		}
 		result.Meshes = append(result.Meshes, entry)
@@ -240,7 +240,7 @@
 	name := CatalogName{
 		Name:      entry.Name,
 		Owner:     entry.Owner,
-		Alias:     entry.Alias,
+		Alias:     entry.AliasOf,
 		Status:    entry.Status,
 		Cause:     entry.Cause,
 		Conflicts: entry.Conflicts,
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -87,7 +87,7 @@
 		&NameResolution{Explanation: "staff ruled so", Entry: &catalog.Entry{Name: "mail", Owner: "post", Contract: "c1",
 			Providers: []catalog.Provider{{Mesh: "thies", Zones: []string{"a"}, Class: "feed", LatencyObjective: 30 * time.Millisecond, SpareCapacity: 0.5,
 				Pool: goldenPool, Origin: "caroni", Via: []string{"dakar"}, Lost: true, DrainBy: time.Hour}},
-			Since: 3, Status: "held", Until: 9, Alias: "letters", PublishedBy: []string{"thies"}, Ended: true, Cause: "ruling",
+			SinceState: 3, Status: "held", UntilUS: 9, AliasOf: "letters", PublishedBy: []string{"thies"}, Ended: true, Cause: "ruling",
 			Conflicts: []catalog.Conflict{goldenConflict}}}},
 	{"peer.json", `{"id":0,"address":""}`, &Peer{ID: 2, Address: "127.0.0.1:7002", MatchIndex: 39, Unreachable: true}},
 	{"head.json", `{"number":0,"digest":""}`, &goldenHead},
--- a/internal/federation/federation_test.go
+++ b/internal/federation/federation_test.go
@@ -232,7 +232,7 @@
 	// The mesh is lost for good: tombstone and quarantine of its names end by ticks alone.
 	apply(advance(DefaultMeshTimeout + 5*time.Second))
 	for range 2 {
-		apply(advance(catalog.Tombstone + 10*time.Second))
+		apply(advance(catalog.TombstoneDuration + 10*time.Second))
 	}
 	testkit.Equal(t, "names left", []catalog.Entry{}, s.Catalog().Entries)
 }
--- a/internal/federation/golden_test.go
+++ b/internal/federation/golden_test.go
@@ -39,13 +39,13 @@
 
 func goldenCatalog() *catalog.State {
 	return &catalog.State{Number: 12, At: 90 * time.Second,
-		Entries: []catalog.Entry{{Name: "mail", Owner: "team-post", Contract: "c-1", Since: 11, Status: catalog.StatusDraining,
-			Until: 690_000_000, Alias: "post", PublishedBy: []string{"thies"}, Ended: true, Cause: catalog.CauseOverride,
+		Entries: []catalog.Entry{{Name: "mail", Owner: "team-post", Contract: "c-1", SinceState: 11, Status: catalog.StatusDraining,
+			UntilUS: 690_000_000, AliasOf: "post", PublishedBy: []string{"thies"}, Ended: true, Cause: catalog.CauseOverride,
 			Providers: []catalog.Provider{{Mesh: "thies", Zones: []string{"thies"}, Class: "album-feed", LatencyObjective: 300 * time.Millisecond,
 				SpareCapacity: 0.25, Pool: goldenPool("mail.thies"), Origin: "dakar", Via: []string{"dakar"}, Lost: true, DrainBy: time.Hour}},
 			Conflicts: []catalog.Conflict{{Mesh: "lagos", Owner: "team-other", QualifiedName: "mail.lagos"}}}},
 		Meshes: []catalog.AcceptedPublication{{Mesh: "thies", Epoch: 4, Seq: 18, Digest: "00112233445566778899aabbccddeeff",
-			Import: []catalog.Import{{From: "dakar", Names: []string{"chat"}}}, Lost: true, Since: 60_000_000}}}
+			Import: []catalog.Import{{From: "dakar", Names: []string{"chat"}}}, Lost: true, LostSinceUS: 60_000_000}}}
 }
 
 func goldenSnapshot(t *testing.T) snapshot {
--- a/internal/federation/state.go
+++ b/internal/federation/state.go
@@ -155,14 +155,14 @@
 	}
 	for i := range s.catalog.Entries {
 		entry := &s.catalog.Entries[i]
-		consider(time.Duration(entry.Until) * time.Microsecond)
+		consider(time.Duration(entry.UntilUS) * time.Microsecond)
 		for j := range entry.Providers {
 			consider(entry.Providers[j].DrainBy)
 		}
 	}
 	for i := range s.catalog.Meshes {
 		if mesh := &s.catalog.Meshes[i]; mesh.Lost {
-			consider(time.Duration(mesh.Since)*time.Microsecond + catalog.Tombstone)
+			consider(time.Duration(mesh.LostSinceUS)*time.Microsecond + catalog.TombstoneDuration)
 		}
 	}
 	return due
--- a/internal/federation/summary.go
+++ b/internal/federation/summary.go
@@ -27,8 +27,8 @@
 // addEntry adds what differs between two entries of one name, if anything does.
 func (s *changeSummary) addEntry(old, current *catalog.Entry) {
 	switch {
-	case old.Owner != current.Owner || old.Alias != current.Alias:
-		s.add("%s was %s's and is %s's", old.Name, old.Owner+old.Alias, current.Owner+current.Alias)
+	case old.Owner != current.Owner || old.AliasOf != current.AliasOf:
+		s.add("%s was %s's and is %s's", old.Name, old.Owner+old.AliasOf, current.Owner+current.AliasOf)
 	case old.Status != current.Status:
 		s.add("%s was %s and is %s", old.Name, old.Status, current.Status)
 	case !old.Equal(current):
--- a/internal/fleetsim/invariants.go
+++ b/internal/fleetsim/invariants.go
@@ -239,7 +239,7 @@
 		return
 	}
 	for _, entry := range previous.Entries {
-		keepsOwner := entry.Status == catalog.StatusHeld && entry.Alias == "" && entry.Cause != catalog.CauseQualified
+		keepsOwner := entry.Status == catalog.StatusHeld && entry.AliasOf == "" && entry.Cause != catalog.CauseQualifiedName
 		if !keepsOwner || overridden(in.Overrides, entry.Name) {
 			continue
 		}
@@ -284,11 +284,11 @@
 	overrides := fed.Terms().Overrides
 	for i := range state.Entries {
 		entry := &state.Entries[i]
-		if entry.Alias != "" || entry.Status != catalog.StatusHeld {
+		if entry.AliasOf != "" || entry.Status != catalog.StatusHeld {
 			continue
 		}
 		previous, ok := c.owners[entry.Name]
-		reserved := fed.AgreedTime() < previous.at+catalog.Tombstone+catalog.Quarantine
+		reserved := fed.AgreedTime() < previous.at+catalog.TombstoneDuration+catalog.QuarantineDuration
 		if ok && previous.owner != entry.Owner && reserved && !overridden(overrides, entry.Name) {
 			c.fleet.violate("I7: %q was %s's and is %s's by version %d, by %s, though no override says so",
 				entry.Name, previous.owner, entry.Owner, active.Number, entry.Cause)
--- a/internal/fleetsim/scenario_operator.go
+++ b/internal/fleetsim/scenario_operator.go
@@ -67,7 +67,7 @@
 	proposal.Body, _ = s.fleet.Body(&s.draft, base)
 	if !s.fleet.compiles(proposal.Body) && (proposal.Force || mustSucceed || s.randomInt(4) > 0) {
 		// The operator mostly validates a proposal first, and then leaves out the routes to services.
-		maps.DeleteFunc(s.draft.Routes, func(_, pool string) bool { return strings.HasPrefix(pool, catalog.Prefix) })
+		maps.DeleteFunc(s.draft.Routes, func(_, pool string) bool { return strings.HasPrefix(pool, catalog.ServicePrefix) })
 		proposal.Body, _ = s.fleet.Body(&s.draft, base)
 	}
 	if base != nil {
@@ -81,7 +81,7 @@
 	d := &s.draft
 	for range 1 + s.randomInt(3) {
 		key := Key(s.randomInt(s.fleet.Keys))
-		d.Routes[key] = pick(s, []string{"a", "b", "c", "d", catalog.Prefix + "mail"})
+		d.Routes[key] = pick(s, []string{"a", "b", "c", "d", catalog.ServicePrefix + "mail"})
 	}
 	if s.randomInt(4) != 0 {
 		return
--- a/internal/fleetsim/versions.go
+++ b/internal/fleetsim/versions.go
@@ -40,7 +40,7 @@
 	pools := map[string]bool{defaultPool: true}
 	for _, key := range sortedKeys(d.Routes) {
 		pool := d.Routes[key]
-		if !pools[pool] && !strings.HasPrefix(pool, catalog.Prefix) {
+		if !pools[pool] && !strings.HasPrefix(pool, catalog.ServicePrefix) {
 			pools[pool] = true
 			set.Pools = append(set.Pools, routing.Pool{Name: pool})
 		}
