--- a/internal/catalog/aliases.go
+++ b/internal/catalog/aliases.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// maxLoopMembers is how many members a finding about a cycle of aliases names.
-const maxLoopMembers = 8
+// maxCycleMembersShown is how many members a finding about a cycle of aliases names.
+const maxCycleMembersShown = 8
 
 // aliasTarget returns the name that an alias is for. The mesh's own service or alias precedes what the name means to all.
 func (m *mergePass) aliasTarget(c *claim) string {
@@ -15,22 +15,22 @@
 		return c.to
 	}
 	for _, other := range d.claims {
-		if other.publisher == c.publisher && !other.rejected && !d.isWonBy(other) {
+		if other.publisher == c.publisher && !other.rejected && !d.isWinningClaim(other) {
 			return qualify(c.to, c.publisher.name())
 		}
 	}
 	return c.to
 }
 
-// isWonBy reports whether a claim is one of the winner's.
-func (d *nameDecision) isWonBy(c *claim) bool {
+// isWinningClaim reports whether a claim is one of the winner's.
+func (d *nameDecision) isWinningClaim(c *claim) bool {
 	return d.winner != nil && slices.Contains(d.winner.claims, c)
 }
 
 // updateAliasTargets sets the targets of aliases' entries anew, now that owners are decided.
 func (m *mergePass) updateAliasTargets() {
-	for i := range m.names {
-		if d := &m.names[i]; d.hasEntry && d.winner != nil && d.winner.isAlias {
+	for i := range m.decisions {
+		if d := &m.decisions[i]; d.hasEntry && d.winner != nil && d.winner.isAlias {
 			d.entry.AliasOf = m.aliasTarget(d.winner.claims[0])
 		}
 	}
@@ -65,15 +65,15 @@
 	if previous == nil || previous.isFree(m.nowUS) {
 		return "", nil, false
 	}
-	_, ok = m.endedEntry(&nameDecision{name: name, qualifier: mesh, previous: previous})
+	_, ok = m.expiringEntry(&nameDecision{name: name, qualifier: mesh, previous: previous})
 	return previous.AliasOf, nil, ok
 }
 
 // Distances of names that lead to no service. Those of others are the number of aliases from the name to its service.
 const (
-	distancePending = -1 // of the names of the chain that is being followed
-	distanceCycle   = -2
-	distanceNowhere = -3
+	distanceInProgress = -1 // of the names of the chain that is being followed
+	distanceCycle      = -2
+	distanceNoService  = -3
 )
 
 // aliasWalk follows all aliases, each name once, so that its time is linear however they are chained.
@@ -93,13 +93,13 @@
 // anew. It reports whether there were any.
 func (m *mergePass) rejectAliases() bool {
 	walk := aliasWalk{pass: m, distances: map[string]int{}}
-	for i := range m.names {
-		d := &m.names[i]
+	for i := range m.decisions {
+		d := &m.decisions[i]
 		if d.hasEntry && d.entry.AliasOf != "" {
 			walk.follow(d.name)
 		}
 		for _, c := range d.claims {
-			if c.service == nil && !c.rejected && !d.isWonBy(c) {
+			if c.service == nil && !c.rejected && !d.isWinningClaim(c) {
 				walk.follow(qualify(d.name, c.publisher.name()))
 			}
 		}
@@ -110,7 +110,7 @@
 	for _, c := range walk.rejected {
 		d := m.decision(c.name)
 		m.groupClaims(d)
-		m.decide(d)
+		m.decideOwner(d)
 	}
 	return len(walk.rejected) > 0
 }
@@ -122,7 +122,7 @@
 	for name := from; ; {
 		if known, ok := w.distances[name]; ok {
 			distance = known
-			if known == distancePending {
+			if known == distanceInProgress {
 				start := slices.IndexFunc(chain, func(s aliasStep) bool { return s.name == name })
 				w.rejectCycle(chain[start:])
 				chain = chain[:start]
@@ -133,12 +133,12 @@
 		next, via, ok := w.pass.followAlias(name)
 		if !ok || next == "" {
 			if !ok {
-				distance = distanceNowhere
+				distance = distanceNoService
 			}
 			w.distances[name] = distance
 			break
 		}
-		w.distances[name] = distancePending
+		w.distances[name] = distanceInProgress
 		chain = append(chain, aliasStep{name: name, via: via})
 		name = next
 	}
@@ -161,14 +161,14 @@
 	switch {
 	case distance == distanceCycle:
 		w.pass.add(AliasLoop, mesh, name, "alias %s leads into a cycle", step.name)
-	case distance == distanceNowhere:
+	case distance == distanceNoService:
 		w.pass.add(UnknownService, mesh, name, "alias %s for %s leads to no service", step.name, step.via.to)
 	case distance > maxAliasChain:
 		w.pass.add(AliasChainTooLong, mesh, name, "alias %s is more than %d aliases away from its service", step.name, maxAliasChain)
 	default:
 		return
 	}
-	w.reject(step.via)
+	w.markRejected(step.via)
 }
 
 // rejectCycle rejects all aliases of a cycle. The finding names some of a long one.
@@ -178,22 +178,22 @@
 		members = append(members, step.name)
 	}
 	slices.Sort(members)
-	shown := members[:min(len(members), maxLoopMembers)]
+	shown := members[:min(len(members), maxCycleMembersShown)]
 	for _, step := range cycle {
 		if step.via != nil {
 			w.pass.add(AliasLoop, step.via.publisher.name(), step.via.name, "alias %s is in a cycle of %d aliases: %q", step.via.name,
 				len(members), shown)
-			w.reject(step.via)
+			w.markRejected(step.via)
 		}
 		w.distances[step.name] = distanceCycle
 	}
 }
 
-// reject notes a claim for rejection, and where it is one of its name's winner's claims, all of them.
-func (w *aliasWalk) reject(c *claim) {
+// markRejected notes a claim for rejection, and where it is one of its name's winner's claims, all of them.
+func (w *aliasWalk) markRejected(c *claim) {
 	d := w.pass.decision(c.name)
 	for _, other := range d.claims {
-		if other == c || d.isWonBy(c) && d.isWonBy(other) {
+		if other == c || d.isWinningClaim(c) && d.isWinningClaim(other) {
 			w.rejected = append(w.rejected, other)
 		}
 	}
--- a/internal/catalog/bind.go
+++ b/internal/catalog/bind.go
@@ -97,12 +97,12 @@
 	isNewPool    map[string]bool            // by name
 	policies     map[string]*routing.Policy // the set's and new ones, by name
 	newPolicies  []routing.Policy
-	hasPolicyFor map[policySource]bool // those of newPolicies
+	hasPolicyFor map[policyKey]bool // those of newPolicies
 	errs         []error
 }
 
-// policySource is what a new policy is made from.
-type policySource struct {
+// policyKey is what a new policy is made from.
+type policyKey struct {
 	base     string // the route's own policy; "": none
 	services string // names, separated by newlines, which no name contains
 }
@@ -117,7 +117,7 @@
 		pools:        map[string]*routing.Pool{},
 		isNewPool:    map[string]bool{},
 		policies:     map[string]*routing.Policy{},
-		hasPolicyFor: map[policySource]bool{},
+		hasPolicyFor: map[policyKey]bool{},
 	}
 	for i := range pools {
 		b.pools[pools[i].Name] = &pools[i]
@@ -233,7 +233,7 @@
 	}
 	policy.Fallback = appendUnique(fallbacks, policy.Fallback...)
 	policy.Name = policyName(route.Policy, services)
-	source := policySource{base: route.Policy, services: strings.Join(services, "\n")}
+	source := policyKey{base: route.Policy, services: strings.Join(services, "\n")}
 	if !b.hasPolicyFor[source] {
 		if b.policies[policy.Name] != nil {
 			b.errs = append(b.errs, PoolNameConflict.New(place, "its services need policy %q, whose name another policy has", policy.Name))
--- a/internal/catalog/claimants.go
+++ b/internal/catalog/claimants.go
@@ -32,21 +32,21 @@
 		cmp.Compare(a.target, b.target))
 }
 
-// isSame reports whether two claims are for the same service or target.
-func (k *claimant) isSame(other *claimant) bool {
+// hasSameTarget reports whether two claims are for the same service or target.
+func (k *claimant) hasSameTarget(other *claimant) bool {
 	if k.isAlias != other.isAlias || k.target != other.target {
 		return false
 	}
 	return k.isAlias || k.owner == other.owner && k.contract == other.contract
 }
 
-// includes reports whether a mesh is one of those that publish it.
-func (k *claimant) includes(mesh string) bool {
+// isPublishedBy reports whether a mesh is one of those that publish it.
+func (k *claimant) isPublishedBy(mesh string) bool {
 	return slices.ContainsFunc(k.claims, func(c *claim) bool { return c.publisher.name() == mesh })
 }
 
-// summarize derives the fields that follow from the claims.
-func (k *claimant) summarize() {
+// deriveFields derives the fields that follow from the claims.
+func (k *claimant) deriveFields() {
 	k.live = slices.ContainsFunc(k.claims, func(c *claim) bool { return !c.publisher.lost })
 	hasPrecedence := false
 	for _, c := range k.claims {
@@ -124,15 +124,15 @@
 			k.isAlias = true
 			k.target = m.aliasTarget(c)
 		}
-		if j := slices.IndexFunc(d.claimants, k.isSame); j >= 0 {
+		if j := slices.IndexFunc(d.claimants, k.hasSameTarget); j >= 0 {
 			d.claimants[j].claims = append(d.claimants[j].claims, c)
 			continue
 		}
 		k.claims = d.claims[i : i+1 : i+1]
-		d.claimants = append(d.claimants, m.store(k))
+		d.claimants = append(d.claimants, m.newClaimant(k))
 	}
 	for _, k := range d.claimants {
-		k.summarize()
+		k.deriveFields()
 	}
 	if len(d.claimants) < 2 {
 		return
@@ -142,13 +142,13 @@
 	})
 }
 
-// store allocates a claimant in a block, since there are about as many as names.
-func (m *mergePass) store(k claimant) *claimant {
-	if len(m.claimants) == cap(m.claimants) {
-		m.claimants = make([]claimant, 0, claimantBlock)
+// newClaimant allocates a claimant in a block, since there are about as many as names.
+func (m *mergePass) newClaimant(k claimant) *claimant {
+	if len(m.claimantStorage) == cap(m.claimantStorage) {
+		m.claimantStorage = make([]claimant, 0, claimantBlock)
 	}
-	m.claimants = append(m.claimants, k)
-	return &m.claimants[len(m.claimants)-1]
+	m.claimantStorage = append(m.claimantStorage, k)
+	return &m.claimantStorage[len(m.claimantStorage)-1]
 }
 
 // conflictsWith returns the claims on a short name other than the winner's.
--- a/internal/catalog/decide.go
+++ b/internal/catalog/decide.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// decide decides who owns a name and makes its entry.
+// decideOwner decides who owns a name and makes its entry.
 //
 // An override comes first; then the current owner keeps the name, for as long as its times last after its service ended;
 // then the first claimant gets it. A name that is reserved for an override's owner, and one that only lost meshes claim, gets
 // no entry.
-func (m *mergePass) decide(d *nameDecision) {
+func (m *mergePass) decideOwner(d *nameDecision) {
 	d.winner = nil
 	d.hasEntry = false
 	wasOwned := d.previous != nil && !d.previous.isFree(m.nowUS)
 	var current *claimant // continues the previous entry; nil: none does
 	if wasOwned {
-		current = continuationOf(d.previous, d.claimants)
+		current = findContinuation(d.previous, d.claimants)
 	}
 	override := m.overrides[d.name]
 	if override != nil {
-		if chosen := override.choose(d.claimants, current); chosen != nil {
+		if chosen := override.chooseClaimant(d.claimants, current); chosen != nil {
 			m.setOwner(d, chosen, current, CauseOverride)
 			return
 		}
@@ -30,7 +30,7 @@
 		return
 	}
 	if wasOwned {
-		if ended, lasts := m.endedEntry(d); lasts {
+		if ended, lasts := m.expiringEntry(d); lasts {
 			d.setEntry(ended, nil)
 			return
 		}
@@ -49,7 +49,7 @@
 // setOwner makes the entry of a name that a claimant keeps or gets. current is the one that continues the previous entry; nil:
 // none does.
 func (m *mergePass) setOwner(d *nameDecision, owner, current *claimant, cause string) {
-	since := m.number
+	since := m.stateNumber
 	if owner == current {
 		since = d.previous.SinceState
 	}
@@ -89,9 +89,9 @@
 	return e
 }
 
-// choose returns the claimant that an override gives a name to; nil where there is none. The current owner comes before the
+// chooseClaimant returns the claimant that an override gives a name to; nil where there is none. The current owner comes before the
 // others, of which the first live one is chosen.
-func (o *Override) choose(claimants []*claimant, current *claimant) (chosen *claimant) {
+func (o *Override) chooseClaimant(claimants []*claimant, current *claimant) (chosen *claimant) {
 	for _, k := range claimants {
 		if o.matches(k) && (k == current || k.live && chosen == nil) {
 			chosen = k
@@ -102,7 +102,7 @@
 
 // matches reports whether an override is for a claimant. One without an owner is for its mesh's alias.
 func (o *Override) matches(k *claimant) bool {
-	if o.Mesh != "" && !k.includes(o.Mesh) {
+	if o.Mesh != "" && !k.isPublishedBy(o.Mesh) {
 		return false
 	}
 	if o.Owner != "" {
@@ -127,10 +127,10 @@
 	return CauseOwnerName
 }
 
-// continuationOf returns the claimant that continues a previous entry; nil where there is none. It is the same service, whichever
+// findContinuation returns the claimant that continues a previous entry; nil where there is none. It is the same service, whichever
 // mesh publishes it; else what a mesh of the entry now publishes for the same owner, which is an update of the service (a
 // changed contract, or an alias in its place). Live claimants precede lost ones.
-func continuationOf(previous *Entry, claimants []*claimant) *claimant {
+func findContinuation(previous *Entry, claimants []*claimant) *claimant {
 	wasPublished := func(c *claim) bool {
 		mesh := c.publisher.name()
 		return slices.Contains(previous.PublishedBy, mesh) || previous.isProvidedBy(mesh)
@@ -151,9 +151,9 @@
 	return nil
 }
 
-// endedEntry returns what becomes of a previous entry that nobody continues: a tombstone, then quarantine. After that it does
+// expiringEntry returns what becomes of a previous entry that nobody continues: a tombstone, then quarantine. After that it does
 // not last. Its times count from when it was withdrawn, its mesh was lost, or its drain ended, whichever came last.
-func (m *mergePass) endedEntry(d *nameDecision) (e Entry, lasts bool) {
+func (m *mergePass) expiringEntry(d *nameDecision) (e Entry, lasts bool) {
 	e = *d.previous
 	e.Conflicts = nil
 	e.Providers = nil
@@ -163,13 +163,13 @@
 			continue
 		}
 		var providerEndUS int64
-		providerEndUS, p.Lost = m.endOf(p.Mesh, p.DrainBy)
+		providerEndUS, p.Lost = m.endTime(p.Mesh, p.DrainBy)
 		endUS = max(endUS, providerEndUS)
 		e.Ended = e.Ended || !p.Lost
 		e.Providers = append(e.Providers, p)
 	}
 	for _, mesh := range d.previous.PublishedBy {
-		aliasEndUS, lost := m.endOf(mesh, 0)
+		aliasEndUS, lost := m.endTime(mesh, 0)
 		endUS = max(endUS, aliasEndUS)
 		e.Ended = e.Ended || !lost
 	}
@@ -192,10 +192,10 @@
 	return e, true
 }
 
-// endOf returns when a mesh ended a service or alias that it no longer publishes, in microseconds of agreed time, and whether
+// endTime returns when a mesh ended a service or alias that it no longer publishes, in microseconds of agreed time, and whether
 // the mesh is lost. drainBy 0: it was not draining.
-func (m *mergePass) endOf(mesh string, drainBy time.Duration) (endUS int64, lost bool) {
-	p := m.byName[mesh]
+func (m *mergePass) endTime(mesh string, drainBy time.Duration) (endUS int64, lost bool) {
+	p := m.publisherByMesh[mesh]
 	drainUS := drainBy.Microseconds()
 	switch {
 	case p == nil: // a state that Merge did not make
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -9,9 +9,9 @@
 // entries returns the entries of all names, sorted by name. A qualified name has one only where a conflict, an alias or the
 // previous state needs it.
 func (m *mergePass) entries() []Entry {
-	entries := make([]Entry, 0, len(m.names))
-	for i := range m.names {
-		if d := &m.names[i]; d.hasEntry {
+	entries := make([]Entry, 0, len(m.decisions))
+	for i := range m.decisions {
+		if d := &m.decisions[i]; d.hasEntry {
 			entries = append(entries, d.entry)
 		}
 	}
@@ -40,8 +40,8 @@
 			names[name] = nil
 		}
 	}
-	for i := range m.names {
-		d := &m.names[i]
+	for i := range m.decisions {
+		d := &m.decisions[i]
 		for _, k := range d.claimants {
 			for _, c := range k.claims {
 				if len(d.claimants) > 1 || d.winner == nil {
@@ -70,7 +70,7 @@
 	for i := range s.Entries {
 		e := &s.Entries[i]
 		e.Conflicts = slices.DeleteFunc(e.Conflicts, func(c Conflict) bool {
-			return !hasQualifiedName(c) && m.byName[c.Mesh].lost
+			return !hasQualifiedName(c) && m.publisherByMesh[c.Mesh].lost
 		})
 		for j := range e.Conflicts {
 			if c := &e.Conflicts[j]; !hasQualifiedName(*c) {
@@ -87,7 +87,7 @@
 	d := nameDecision{name: name, qualifier: mesh, previous: previous}
 	if shortDecision := m.decision(short); shortDecision != nil {
 		for _, k := range shortDecision.claimants {
-			if k.includes(mesh) {
+			if k.isPublishedBy(mesh) {
 				d.claimants = []*claimant{k}
 			}
 		}
@@ -99,7 +99,7 @@
 			return Entry{}, false
 		}
 	}
-	m.decide(&d)
+	m.decideOwner(&d)
 	if d.winner == nil && len(d.claimants) > 0 {
 		m.reportReserved(&d, previous.Owner)
 	}
--- a/internal/catalog/measure/main.go
+++ b/internal/catalog/measure/main.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	meshes             = 20
-	services           = 10_000 // of all meshes
-	zones              = 6
-	routes             = 1000
+	meshCount          = 20
+	serviceCount       = 10_000 // of all meshes
+	zoneCount          = 6
+	routeCount         = 1000
 	adversarialRecords = 100_000
 	changedContracts   = 50
 )
@@ -36,11 +36,11 @@
 func newFederation(seed uint64) catalog.Inputs {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var inputs catalog.Inputs
-	for m := range meshes {
+	for m := range meshCount {
 		mesh := fmt.Sprintf("mesh%02d", m)
 		inputs.Meshes = append(inputs.Meshes, catalog.Mesh{Name: mesh, Precedence: m % 3})
 		p := catalog.Publication{Mesh: mesh, Epoch: 1, Seq: 1}
-		for i := range services / meshes {
+		for i := range serviceCount / meshCount {
 			owner := fmt.Sprintf("owner%d-%d", m, i%40)
 			name := fmt.Sprintf("service-%d-%d", m, i)
 			switch {
@@ -51,7 +51,7 @@
 				name = fmt.Sprintf("service-%d-%d", m-1, i+1)
 			}
 			p.Services = append(p.Services, catalog.Service{Name: name, Owner: owner, Contract: "sha256:" + strings.Repeat("c", 64),
-				Zones: []string{"zone" + strconv.Itoa(random.IntN(zones)), "zone" + strconv.Itoa(random.IntN(zones))}, Class: "feed",
+				Zones: []string{"zone" + strconv.Itoa(random.IntN(zoneCount)), "zone" + strconv.Itoa(random.IntN(zoneCount))}, Class: "feed",
 				LatencyObjective: 50 * time.Millisecond, SpareCapacity: float64(random.IntN(100)) / 100,
 				Pool: routing.Pool{Name: "pool", MaxOpen: 1000, Select: routing.Select{Cells: []int{i % 9}, IDPrefixes: []string{mesh + "-"}}}})
 			if i%10 == 3 {
@@ -172,7 +172,7 @@
 | name resolved | ns | allocations |
 | --- | --- | --- |
 %s`, commit, runtime.GOMAXPROCS(0), rounds, seed, seed, runtime.NumCPU(), loadAverage(), runtime.GOMAXPROCS(0), runtime.Version(),
-		meshes, services, services/10, t.text.String(), lookups), nil
+		meshCount, serviceCount, serviceCount/10, t.text.String(), lookups), nil
 }
 
 func measureMerges(t *table, inputs catalog.Inputs, state *catalog.State) {
@@ -213,7 +213,7 @@
 
 func measureBinding(t *table, state *catalog.State) {
 	set := routing.Set{Pools: []routing.Pool{{Name: "all"}}}
-	for i := 0; len(set.Routes) < routes; i += 7 {
+	for i := 0; len(set.Routes) < routeCount; i += 7 {
 		set.Routes = append(set.Routes, routing.Route{Name: "r" + strconv.Itoa(i), Precedence: i,
 			To: []routing.SplitShare{{Pool: catalog.ServicePrefix + state.Entries[i].Name, PPM: routing.Whole}}})
 	}
--- a/internal/catalog/merge.go
+++ b/internal/catalog/merge.go
@@ -47,10 +47,10 @@
 // mergePass is one pass of Rules.Merge.
 type mergePass struct {
 	*validation
-	compare   func(a, b *claimant) int
-	number    uint64         // of the state to be made
-	names     []nameDecision // of short names, sorted
-	claimants []claimant     // storage for the names' claimants
+	compare         func(a, b *claimant) int
+	stateNumber     uint64         // of the state to be made
+	decisions       []nameDecision // of short names, sorted
+	claimantStorage []claimant     // storage for the names' claimants
 }
 
 // Merge implements Merger. Neither previous nor the inputs are changed; the result shares their parts, so they must not be
@@ -85,12 +85,12 @@
 
 // mergeOnce makes the next state in one pass, and reports whether aliases were rejected.
 func (r Rules) mergeOnce(previous *State, inputs Inputs, at time.Duration) (next *State, findings []Finding, rejected bool) {
-	m := &mergePass{validation: validateInputs(previous, inputs, at), compare: r.compare, number: previous.Number + 1}
+	m := &mergePass{validation: validateInputs(previous, inputs, at), compare: r.compare, stateNumber: previous.Number + 1}
 	if m.compare == nil {
 		m.compare = compareClaimants
 	}
 	m.collectNames()
-	m.decideAll()
+	m.decideOwners()
 	for range maxAliasRounds {
 		m.updateAliasTargets()
 		if !m.rejectAliases() {
@@ -100,7 +100,7 @@
 	}
 	m.updateAliasTargets()
 	next = &State{
-		Number:  m.number,
+		Number:  m.stateNumber,
 		At:      max(at, previous.At),
 		Entries: m.entries(),
 		Meshes:  make([]AcceptedPublication, 0, len(m.publishers)),
@@ -118,7 +118,7 @@
 func (m *mergePass) collectNames() {
 	previous := m.previous.Entries
 	claims := m.claims
-	m.names = make([]nameDecision, 0, max(len(claims), len(previous)))
+	m.decisions = make([]nameDecision, 0, max(len(claims), len(previous)))
 	for len(claims) > 0 || len(previous) > 0 {
 		if len(previous) > 0 {
 			if _, qualifier := splitName(previous[0].Name); qualifier != "" {
@@ -142,19 +142,19 @@
 		}
 		d.claims = claims[:count]
 		claims = claims[count:]
-		m.names = append(m.names, d)
+		m.decisions = append(m.decisions, d)
 	}
 }
 
-// decideAll decides names that only services claim first: what an alias is for is known best after that.
-func (m *mergePass) decideAll() {
+// decideOwners decides names that only services claim first: what an alias is for is known best after that.
+func (m *mergePass) decideOwners() {
 	for _, aliases := range []bool{false, true} {
-		for i := range m.names {
-			d := &m.names[i]
+		for i := range m.decisions {
+			d := &m.decisions[i]
 			claimedByAlias := slices.ContainsFunc(d.claims, func(c *claim) bool { return c.service == nil })
 			if claimedByAlias == aliases {
 				m.groupClaims(d)
-				m.decide(d)
+				m.decideOwner(d)
 			}
 		}
 	}
@@ -162,9 +162,9 @@
 
 // decision returns the decision on a short name; nil where there is none.
 func (m *mergePass) decision(name string) *nameDecision {
-	i, ok := sort.Find(len(m.names), func(i int) int { return cmp.Compare(name, m.names[i].name) })
+	i, ok := sort.Find(len(m.decisions), func(i int) int { return cmp.Compare(name, m.decisions[i].name) })
 	if !ok {
 		return nil
 	}
-	return &m.names[i]
+	return &m.decisions[i]
 }
--- a/internal/catalog/report.go
+++ b/internal/catalog/report.go
@@ -17,8 +17,8 @@
 // reportCollisions reports the names that several claim, or that their only claimant does not get. The text is pinned by the
 // golden answers of internal/controlplane.
 func (m *mergePass) reportCollisions(next *State) {
-	for i := range m.names {
-		d := &m.names[i]
+	for i := range m.decisions {
+		d := &m.decisions[i]
 		if len(d.claimants) == 0 || len(d.claimants) == 1 && d.winner != nil {
 			continue
 		}
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -10,32 +10,32 @@
 
 // publisher is a mesh while states are merged: its terms, and what counts of its publication.
 type publisher struct {
-	terms     Mesh
-	known     bool // the terms name the mesh, without contradiction
-	accepted  AcceptedPublication
-	services  []*Service // by name
-	aliases   []Alias    // by name
-	published bool       // services and aliases are of a new publication; false: of the previous state
-	lost      bool
-	lostUS    int64 // agreed microseconds
-	expired   bool  // it has been lost for longer than TombstoneDuration
+	terms             Mesh
+	hasTerms          bool // the terms name the mesh, without contradiction
+	accepted          AcceptedPublication
+	services          []*Service // by name
+	aliases           []Alias    // by name
+	hasNewPublication bool       // services and aliases are of a new publication; false: of the previous state
+	lost              bool
+	lostUS            int64 // agreed microseconds
+	tombstoneExpired  bool  // it has been lost for longer than TombstoneDuration
 }
 
 // name returns the mesh's name.
 func (p *publisher) name() string { return p.terms.Name }
 
 // isActive reports whether its publication is validated: those of lost meshes are kept as they were.
-func (p *publisher) isActive() bool { return p.known && !p.lost }
+func (p *publisher) isActive() bool { return p.hasTerms && !p.lost }
 
-// findService returns where a mesh's services of a name begin in p.services, which is sorted.
-func (p *publisher) findService(name string) int {
+// firstServiceIndex returns where a mesh's services of a name begin in p.services, which is sorted.
+func (p *publisher) firstServiceIndex(name string) int {
 	i, _ := slices.BinarySearchFunc(p.services, name, func(s *Service, name string) int { return cmp.Compare(s.Name, name) })
 	return i
 }
 
 // service returns the mesh's service of a name; nil where it has none.
 func (p *publisher) service(name string) *Service {
-	if i := p.findService(name); i < len(p.services) && p.services[i].Name == name {
+	if i := p.firstServiceIndex(name); i < len(p.services) && p.services[i].Name == name {
 		return p.services[i]
 	}
 	return nil
@@ -55,23 +55,23 @@
 // of the inputs does not matter.
 type validation struct {
 	findings
-	previous   *State
-	nowUS      int64 // agreed microseconds
-	publishers []*publisher
-	byName     map[string]*publisher
-	claims     []*claim // by name, then mesh
-	overrides  map[string]*Override
-	ownerTerms map[string][]string // by owner: the meshes whose terms list it
+	previous        *State
+	nowUS           int64 // agreed microseconds
+	publishers      []*publisher
+	publisherByMesh map[string]*publisher
+	claims          []*claim // by name, then mesh
+	overrides       map[string]*Override
+	meshesByOwner   map[string][]string // by owner: the meshes whose terms list it
 }
 
 // validateInputs validates all inputs. The steps depend on each other in this order.
 func validateInputs(previous *State, inputs Inputs, at time.Duration) *validation {
 	v := &validation{
-		previous:   previous,
-		nowUS:      max(at, previous.At).Microseconds(),
-		byName:     map[string]*publisher{},
-		overrides:  map[string]*Override{},
-		ownerTerms: map[string][]string{},
+		previous:        previous,
+		nowUS:           max(at, previous.At).Microseconds(),
+		publisherByMesh: map[string]*publisher{},
+		overrides:       map[string]*Override{},
+		meshesByOwner:   map[string][]string{},
 	}
 	v.acceptTerms(inputs.Meshes)
 	v.acceptLosses(inputs.Lost)
--- a/internal/catalog/validate_meshes.go
+++ b/internal/catalog/validate_meshes.go
@@ -55,26 +55,26 @@
 func (v *validation) acceptMesh(m Mesh) {
 	p := v.publisher(m.Name)
 	p.terms = m
-	p.known = true
+	p.hasTerms = true
 	p.accepted.Import = normalizeImports(m.Import)
 	v.checkPatterns(m.Name, "export", m.Export)
 	for _, imported := range p.accepted.Import {
 		v.checkPatterns(m.Name, "import from "+imported.From, imported.Names)
 	}
 	for _, owner := range m.Owners {
-		if !slices.Contains(v.ownerTerms[owner], m.Name) {
-			v.ownerTerms[owner] = append(v.ownerTerms[owner], m.Name)
+		if !slices.Contains(v.meshesByOwner[owner], m.Name) {
+			v.meshesByOwner[owner] = append(v.meshesByOwner[owner], m.Name)
 		}
 	}
 }
 
 // publisher returns the publisher of a mesh, which it adds where there is none.
 func (v *validation) publisher(mesh string) *publisher {
-	if p := v.byName[mesh]; p != nil {
+	if p := v.publisherByMesh[mesh]; p != nil {
 		return p
 	}
 	p := &publisher{terms: Mesh{Name: mesh}, accepted: AcceptedPublication{Mesh: mesh}}
-	v.byName[mesh] = p
+	v.publisherByMesh[mesh] = p
 	i, _ := slices.BinarySearchFunc(v.publishers, mesh, func(p *publisher, mesh string) int { return cmp.Compare(p.name(), mesh) })
 	v.publishers = slices.Insert(v.publishers, i, p)
 	return p
@@ -109,7 +109,7 @@
 	since := map[string]int64{}
 	for _, l := range lost {
 		at := max(l.Since.Microseconds(), 0)
-		if v.byName[l.Mesh] != nil && at <= v.nowUS {
+		if v.publisherByMesh[l.Mesh] != nil && at <= v.nowUS {
 			since[l.Mesh] = max(since[l.Mesh], at)
 		}
 	}
@@ -120,8 +120,8 @@
 			p.accepted.Lost = true
 			p.accepted.LostSinceUS = at
 		}
-		p.expired = p.lost && v.nowUS >= p.lostUS+tombstoneUS
-		if p.lost && !p.expired {
+		p.tombstoneExpired = p.lost && v.nowUS >= p.lostUS+tombstoneUS
+		if p.lost && !p.tombstoneExpired {
 			v.add(MeshLost, p.name(), "", "mesh %s is lost since %s of agreed time; its names keep their meaning until %s", p.name(),
 				formatTime(p.lostUS), formatTime(p.lostUS+tombstoneUS))
 		}
--- a/internal/catalog/validate_names.go
+++ b/internal/catalog/validate_names.go
@@ -16,17 +16,17 @@
 	if limit <= 0 {
 		limit = DefaultMaxServices
 	}
-	p.services = v.oneServicePerName(p, p.services)
+	p.services = v.uniqueServices(p, p.services)
 	p.services = applyLimit(v, p, "services", p.services, limit, v.hadService, func(s *Service) string { return s.Name })
 	slices.SortFunc(p.aliases, func(a, b Alias) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.To, b.To)) })
 	p.aliases = slices.DeleteFunc(slices.Compact(p.aliases), func(a Alias) bool { return !v.isValidAlias(p, a) })
-	p.aliases = v.oneAliasPerName(p, p.aliases)
+	p.aliases = v.uniqueAliases(p, p.aliases)
 	p.aliases = applyLimit(v, p, "aliases", p.aliases, limit, v.hadAlias, func(a Alias) string { return a.Name })
 }
 
-// oneServicePerName leaves one service of each name in a sorted list, in place: that of the previous state's owner, or else
+// uniqueServices leaves one service of each name in a sorted list, in place: that of the previous state's owner, or else
 // the first by its contents.
-func (v *validation) oneServicePerName(p *publisher, services []*Service) []*Service {
+func (v *validation) uniqueServices(p *publisher, services []*Service) []*Service {
 	unique := services[:0]
 	for i := 0; i < len(services); {
 		count := 1
@@ -69,8 +69,8 @@
 	return false
 }
 
-// oneAliasPerName leaves the first alias of each name in a sorted list, in place.
-func (v *validation) oneAliasPerName(p *publisher, aliases []Alias) []Alias {
+// uniqueAliases leaves the first alias of each name in a sorted list, in place.
+func (v *validation) uniqueAliases(p *publisher, aliases []Alias) []Alias {
 	unique := aliases[:0]
 	for _, a := range aliases {
 		if n := len(unique); n == 0 || unique[n-1].Name != a.Name {
--- a/internal/catalog/validate_publications.go
+++ b/internal/catalog/validate_publications.go
@@ -28,7 +28,7 @@
 	}
 	var unknown []string
 	for mesh := range byMesh {
-		if p := v.byName[mesh]; p == nil || !p.known && !p.lost {
+		if p := v.publisherByMesh[mesh]; p == nil || !p.hasTerms && !p.lost {
 			unknown = append(unknown, mesh)
 		}
 	}
@@ -74,7 +74,7 @@
 			accepted.Digest = c.digest
 			p.services = pointersTo(c.Services)
 			p.aliases = slices.Clone(c.Aliases)
-			p.published = true
+			p.hasNewPublication = true
 		}
 		return
 	}
@@ -96,7 +96,7 @@
 		}
 	}
 	for _, p := range v.publishers {
-		if p.published {
+		if p.hasNewPublication {
 			continue
 		}
 		// The entry of a short name precedes the qualified one, and says the same.
@@ -113,7 +113,7 @@
 	// carriedOver is the publisher of a mesh where the entry applies to it: by the short name, or by the name that is
 	// qualified with the mesh itself.
 	carriedOver := func(mesh string) *publisher {
-		if p := v.byName[mesh]; p != nil && !p.published && !p.expired && (qualifier == "" || qualifier == mesh) {
+		if p := v.publisherByMesh[mesh]; p != nil && !p.hasNewPublication && !p.tombstoneExpired && (qualifier == "" || qualifier == mesh) {
 			return p
 		}
 		return nil
--- a/internal/catalog/validate_services.go
+++ b/internal/catalog/validate_services.go
@@ -30,7 +30,7 @@
 // the mesh export, and one whose drain has ended, are dropped without a finding.
 func (v *validation) isPublishable(p *publisher, s *Service) bool {
 	mesh := p.name()
-	if kind, fault := invalidity(s); kind != nil {
+	if kind, fault := findFault(s); kind != nil {
 		v.add(kind, mesh, s.Name, "%s", fault)
 		return false
 	}
@@ -51,7 +51,7 @@
 
 func (v *validation) addUnauthorizedClaim(mesh string, s *Service) {
 	v.add(UnauthorizedClaim, mesh, s.Name, "service %s is %s's, for whom %s may publish, not %s", s.Name, s.Owner,
-		cmp.Or(strings.Join(v.ownerTerms[s.Owner], ", "), "no mesh"), mesh)
+		cmp.Or(strings.Join(v.meshesByOwner[s.Owner], ", "), "no mesh"), mesh)
 }
 
 // mayPublishFor reports whether a mesh may publish an owner's services as its own.
@@ -59,11 +59,11 @@
 	if len(p.terms.Owners) > 0 {
 		return slices.Contains(p.terms.Owners, owner)
 	}
-	return len(v.ownerTerms[owner]) == 0
+	return len(v.meshesByOwner[owner]) == 0
 }
 
-// invalidity returns what is wrong with a service's record, for a finding; nil where it is valid.
-func invalidity(s *Service) (kind *apperror.Kind, text string) {
+// findFault returns what is wrong with a service's record, for a finding; nil where it is valid.
+func findFault(s *Service) (kind *apperror.Kind, text string) {
 	if !ValidName(s.Name) {
 		return BadName, fmt.Sprintf("service %.140q is malformed as a name", s.Name)
 	}
@@ -133,11 +133,11 @@
 
 // originPublishes reports whether the origin of a re-export publishes that service as its own.
 func (v *validation) originPublishes(s *Service) bool {
-	origin := v.byName[s.Origin]
+	origin := v.publisherByMesh[s.Origin]
 	if origin == nil {
 		return false
 	}
-	for i := origin.findService(s.Name); i < len(origin.services) && origin.services[i].Name == s.Name; i++ {
+	for i := origin.firstServiceIndex(s.Name); i < len(origin.services) && origin.services[i].Name == s.Name; i++ {
 		if own := origin.services[i]; own.Origin == "" && own.Owner == s.Owner && own.Contract == s.Contract {
 			return true
 		}
