--- a/internal/catalog/aliases.go
+++ b/internal/catalog/aliases.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// maxCycleMembersShown is how many members a finding about a cycle of aliases names.
+// maxCycleMembersShown is the most names that a finding about a cycle of aliases lists.
 const maxCycleMembersShown = 8
 
-// aliasTarget returns the name that an alias is for. The mesh's own service or alias precedes what the name means to all.
+// aliasTarget returns the name that an alias refers to. A service or alias of the publishing mesh takes precedence over the
+// owner of the short name; the result is then the qualified name.
 func (m *mergePass) aliasTarget(c *claim) string {
 	if _, qualifier := splitName(c.to); qualifier != "" {
 		return c.to
@@ -22,12 +23,12 @@
 	return c.to
 }
 
-// isWinningClaim reports whether a claim is one of the winner's.
+// isWinningClaim reports whether a claim belongs to the winner.
 func (d *nameDecision) isWinningClaim(c *claim) bool {
 	return d.winner != nil && slices.Contains(d.winner.claims, c)
 }
 
-// updateAliasTargets sets the targets of aliases' entries anew, now that owners are decided.
+// updateAliasTargets recomputes the targets in the entries of aliases, which depend on the decided owners.
 func (m *mergePass) updateAliasTargets() {
 	for i := range m.decisions {
 		if d := &m.decisions[i]; d.hasEntry && d.winner != nil && d.winner.isAlias {
@@ -36,8 +37,8 @@
 	}
 }
 
-// followAlias goes one step from a name to its service: next is the name that it is an alias for, "" for a service, and via
-// the claim that says so; nil: an entry of the previous state. ok is false where the name means nothing.
+// followAlias follows one alias. next is the name that the alias refers to, or "" if name is a service. via is the claim of
+// the alias, or nil if the entry comes from the previous state. ok is false if the name does not resolve.
 func (m *mergePass) followAlias(name string) (next string, via *claim, ok bool) {
 	short, mesh := splitName(name)
 	d := m.decision(short)
@@ -69,28 +70,28 @@
 	return previous.AliasOf, nil, ok
 }
 
-// Distances of names that lead to no service. Those of others are the number of aliases from the name to its service.
+// Distances of names that resolve to no service. For other names, the distance is the number of aliases between name and service.
 const (
-	distanceInProgress = -1 // of the names of the chain that is being followed
+	distanceInProgress = -1 // the name is part of the chain that is being followed
 	distanceCycle      = -2
 	distanceNoService  = -3
 )
 
-// aliasWalk follows all aliases, each name once, so that its time is linear however they are chained.
+// aliasWalk follows all aliases. It visits each name once, so its time is linear in the number of aliases for any chain.
 type aliasWalk struct {
 	pass      *mergePass
 	distances map[string]int // by name
-	rejected  []*claim       // take effect after the walk, so that the order of names does not matter
+	rejected  []*claim       // applied after the walk, so that the order of names does not matter
 }
 
-// aliasStep is one name of a chain, and the claim that leads on from it.
+// aliasStep is one name of an alias chain and the claim that links it to the next name.
 type aliasStep struct {
 	name string
-	via  *claim // nil: an entry of the previous state
+	via  *claim // nil if the entry comes from the previous state
 }
 
-// rejectAliases rejects the aliases that lead to no service, into a cycle, or over too many others, and decides their names
-// anew. It reports whether there were any.
+// rejectAliases rejects the aliases that resolve to no service, are part of or lead into a cycle, or exceed maxAliasChain.
+// It then decides the owners of their names again, and reports whether it rejected any alias.
 func (m *mergePass) rejectAliases() bool {
 	walk := aliasWalk{pass: m, distances: map[string]int{}}
 	for i := range m.decisions {
@@ -115,10 +116,10 @@
 	return len(walk.rejected) > 0
 }
 
-// follow follows the chain from a name up to a name whose distance is known, and sets the distances on the way.
+// follow follows the chain from a name until it reaches a name whose distance is known, and sets the distances along the chain.
 func (w *aliasWalk) follow(from string) {
 	var chain []aliasStep
-	distance := 0 // of the name at the end
+	distance := 0 // of the last name in the chain
 	for name := from; ; {
 		if known, ok := w.distances[name]; ok {
 			distance = known
@@ -151,7 +152,7 @@
 	}
 }
 
-// checkStep rejects the alias of a step where its distance is too long, or there is no service.
+// checkStep rejects the alias of a step if its distance exceeds maxAliasChain or it resolves to no service.
 func (w *aliasWalk) checkStep(step aliasStep, distance int) {
 	if step.via == nil {
 		return
@@ -171,7 +172,7 @@
 	w.markRejected(step.via)
 }
 
-// rejectCycle rejects all aliases of a cycle. The finding names some of a long one.
+// rejectCycle rejects all aliases of a cycle. The findings list at most maxCycleMembersShown of its names.
 func (w *aliasWalk) rejectCycle(cycle []aliasStep) {
 	members := make([]string, 0, len(cycle))
 	for _, step := range cycle {
@@ -189,7 +190,7 @@
 	}
 }
 
-// markRejected notes a claim for rejection, and where it is one of its name's winner's claims, all of them.
+// markRejected marks a claim for rejection. If it is a winning claim, all claims of that winner are marked with it.
 func (w *aliasWalk) markRejected(c *claim) {
 	d := w.pass.decision(c.name)
 	for _, other := range d.claims {
--- a/internal/catalog/bind.go
+++ b/internal/catalog/bind.go
@@ -8,27 +8,27 @@
 	"example.org/micafront/internal/routing"
 )
 
-// ServicePrefix marks a service where routes and policies name pools.
+// ServicePrefix marks the name of a service in a route or policy, where otherwise the name of a pool stands.
 const ServicePrefix = "service:"
 
-// Bind implements Merger: it is BindFor without a mesh.
+// Bind implements Merger. It equals BindFor with an empty mesh, so all providers are used.
 func (r Rules) Bind(set routing.Set, s *State, zone string) (routing.Set, error) {
 	return r.BindFor(set, s, zone, "")
 }
 
-// BindFor replaces the services that a set names by pools.
+// BindFor replaces the services that the routes and policies of a set name by pools.
 //
-// Each provider of a service becomes a pool, NAME.MESH, once in the set. It selects the endpoints of the provider's zones,
-// unless its mesh's selection names zones itself. A share of a split that names a service goes to the first provider in the
-// order of ProvidersFor. Shares of the same pool become one with the sum of their weights.
+// Each provider of a service becomes one pool of the set, named NAME.MESH. The pool selects the endpoints of the provider's
+// zones, unless the published pool selects zones itself. A split share that names a service goes to the first provider in the
+// order of ProvidersFor. Shares of the same pool are merged and their weights added.
 //
-// The other providers are fallbacks of the route: they precede the fallback of the route's policy, since they are the same
-// service. Such a route gets a policy of its own, which is named by the former policy and the services, and which routes
-// that need the same one share. A split says that each of its shares may serve any of the route's connections, so with
-// several services in a split all their providers are fallbacks. A policy whose fallback names a service falls back to its
-// providers in order, at that place.
+// The other providers become fallbacks of the route. They precede the fallback of the route's policy, because they provide
+// the same service. The route is assigned a new policy, named by the former policy and the services; routes with the same
+// policy and services share it. Any share of a split may serve any of the route's connections, so if a split names several
+// services, the providers of all of them are fallbacks. In a policy's fallback, a service is replaced in place by its
+// providers, in order.
 //
-// The error joins those of all names that cannot be bound.
+// The error joins an UnknownService or PoolNameConflict error for each name that cannot be bound.
 func (Rules) BindFor(set routing.Set, s *State, zone, mesh string) (routing.Set, error) {
 	if len(ServiceNames(&set)) == 0 {
 		return set, nil
@@ -56,7 +56,7 @@
 	return bound, nil
 }
 
-// ServiceNames returns the sorted names of the services that a set's routes and policies name.
+// ServiceNames returns the sorted names, without ServicePrefix, of the services that a set's routes and policies use.
 func ServiceNames(set *routing.Set) []string {
 	var names []string
 	seen := map[string]bool{}
@@ -80,34 +80,34 @@
 	return names
 }
 
-// boundService is a service whose providers have become pools.
+// boundService is a service and the pools of its providers.
 type boundService struct {
 	name  string
-	pools []string // by preference
+	pools []string // in order of preference
 }
 
-// binder collects what a set needs beside its own pools and policies.
+// binder collects the pools and policies that a bound set needs in addition to its own.
 type binder struct {
 	state        *State
 	zone         string
 	mesh         string
-	services     map[string]*boundService // by the name in the set, ServicePrefix included; those that failed are not in it
-	pools        map[string]*routing.Pool // the set's and new ones, by name
+	services     map[string]*boundService // by name with ServicePrefix; only services that were bound
+	pools        map[string]*routing.Pool // by name: pools of the set and new pools
 	newPools     []routing.Pool
 	isNewPool    map[string]bool            // by name
-	policies     map[string]*routing.Policy // the set's and new ones, by name
+	policies     map[string]*routing.Policy // by name: policies of the set and new policies
 	newPolicies  []routing.Policy
-	hasPolicyFor map[policyKey]bool // those of newPolicies
+	hasPolicyFor map[policyKey]bool // keys of newPolicies
 	errs         []error
 }
 
-// policyKey is what a new policy is made from.
+// policyKey identifies a new policy by the policy and the services that it is made from.
 type policyKey struct {
-	base     string // the route's own policy; "": none
-	services string // names, separated by newlines, which no name contains
+	base     string // the route's original policy; "" if it has none
+	services string // names joined by newlines, since no name contains one
 }
 
-// newBinder makes a binder for a set with these pools. Its policies are added once they are bound.
+// newBinder returns a binder for a set with these pools. BindFor adds the policies of the set after binding their fallbacks.
 func newBinder(s *State, zone, mesh string, pools []routing.Pool) *binder {
 	b := &binder{
 		state:        s,
@@ -124,16 +124,19 @@
 	}
 	return b
 }
+
+// isService reports whether a pool name refers to a service.
 func isService(pool string) bool { return strings.HasPrefix(pool, ServicePrefix) }
 
-// bindService makes the pools of a service, which place names; nil where it cannot, which adds an error for each place.
+// bindService creates the pools of a service. If it cannot, it records an error and returns nil. place is the route or policy
+// that uses the service, for the error; each failing place is reported.
 func (b *binder) bindService(place, prefixedName string) *boundService {
 	if service, ok := b.services[prefixedName]; ok {
 		return service
 	}
 	name := strings.TrimPrefix(prefixedName, ServicePrefix)
 	if b.pools[prefixedName] != nil {
-		b.errs = append(b.errs, PoolNameConflict.New(place, "the site has a pool named %q, which names a service", prefixedName))
+		b.errs = append(b.errs, PoolNameConflict.New(place, "the site has a pool named %q, but this name refers to a service", prefixedName))
 		return nil
 	}
 	e, providers := b.state.ProvidersFor(b.zone, b.mesh, name)
@@ -157,7 +160,7 @@
 			b.pools[pool.Name] = &pool
 			b.isNewPool[pool.Name] = true
 		case !b.isNewPool[pool.Name] || !other.Equal(&pool):
-			b.errs = append(b.errs, PoolNameConflict.New(place, "service %q needs pool %q, whose name another pool has", name, pool.Name))
+			b.errs = append(b.errs, PoolNameConflict.New(place, "service %q needs pool %q, but a different pool has this name", name, pool.Name))
 			return nil
 		}
 		service.pools = append(service.pools, pool.Name)
@@ -166,7 +169,7 @@
 	return service
 }
 
-// bindFallback returns a policy's fallback with services replaced by their pools, each pool once.
+// bindFallback returns a policy's fallback with each service replaced by its pools, without duplicate pools.
 func (b *binder) bindFallback(place string, pools []string) []string {
 	if !slices.ContainsFunc(pools, isService) {
 		return pools
@@ -182,7 +185,7 @@
 	return bound
 }
 
-// appendUnique appends the strings that a list does not have yet.
+// appendUnique appends the strings that a list does not contain yet.
 func appendUnique(list []string, more ...string) []string {
 	for _, s := range more {
 		if !slices.Contains(list, s) {
@@ -192,7 +195,7 @@
 	return list
 }
 
-// bindRoute binds the shares of a route and gives it the policy that its services need.
+// bindRoute binds the shares of a route and assigns the policy that its services need.
 func (b *binder) bindRoute(route *routing.Route) {
 	if !slices.ContainsFunc(route.To, func(share routing.SplitShare) bool { return isService(share.Pool) }) {
 		return
@@ -220,8 +223,8 @@
 	b.bindPolicy(place, route, fallbacks, services)
 }
 
-// bindPolicy gives a route a policy with these fallbacks before those of its own policy. Routes that need the same policy share
-// one.
+// bindPolicy assigns a route a policy with these fallbacks before the fallbacks of its original policy. Routes with the same
+// policy and services share one new policy.
 func (b *binder) bindPolicy(place string, route *routing.Route, fallbacks, services []string) {
 	base := b.policies[route.Policy]
 	if len(fallbacks) == 0 || route.Policy != "" && base == nil { // routing.New reports a policy that does not exist
@@ -236,7 +239,7 @@
 	source := policyKey{base: route.Policy, services: strings.Join(services, "\n")}
 	if !b.hasPolicyFor[source] {
 		if b.policies[policy.Name] != nil {
-			b.errs = append(b.errs, PoolNameConflict.New(place, "its services need policy %q, whose name another policy has", policy.Name))
+			b.errs = append(b.errs, PoolNameConflict.New(place, "its services need policy %q, but a different policy has this name", policy.Name))
 			return
 		}
 		b.hasPolicyFor[source] = true
@@ -246,7 +249,7 @@
 	route.Policy = policy.Name
 }
 
-// policyName returns the name of a policy that is made for services from a base policy; base "": from none.
+// policyName returns the name of the policy that is made for services from a base policy. base is "" if there is none.
 func policyName(base string, services []string) string {
 	name := ServicePrefix + strings.Join(services, "+")
 	if base == "" {
--- a/internal/catalog/claimants.go
+++ b/internal/catalog/claimants.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// claimant is a service, or the target of an alias, with all claims of meshes that publish it under a name.
+// claimant is a service or an alias target, with the claims of all meshes that publish it under the same name.
 type claimant struct {
 	claims     []*claim // by mesh
 	owner      string
 	contract   string
 	isAlias    bool
-	target     string // of an alias: the name that it is for
-	precedence int    // the highest of its meshes; lost ones count only where all are lost
-	firstMesh  string // the first mesh of that precedence, by name
+	target     string // of an alias: the name that it refers to
+	precedence int    // the highest of its meshes; lost meshes count only if all are lost
+	firstMesh  string // the first mesh with that precedence, by name
 	live       bool   // at least one of its meshes is not lost
 	providers  []Provider
 }
 
-// claimantBlock is how many claimants are allocated at once.
+// claimantBlock is the number of claimants that are allocated at once.
 const claimantBlock = 1024
 
-// compareClaimants orders claimants of a free name: by precedence of exports, then by mesh name, then by owner. A mesh claims
-// a name only once, so what follows merely completes the order.
+// compareClaimants orders the claimants of a free name by precedence of exports, then by mesh name. A mesh claims a name only
+// once, so the remaining fields merely make the order total.
 func compareClaimants(a, b *claimant) int {
 	return cmp.Or(
 		cmp.Compare(b.precedence, a.precedence),
@@ -32,7 +32,7 @@
 		cmp.Compare(a.target, b.target))
 }
 
-// hasSameTarget reports whether two claims are for the same service or target.
+// hasSameTarget reports whether two claimants are the same service, or aliases with the same target.
 func (k *claimant) hasSameTarget(other *claimant) bool {
 	if k.isAlias != other.isAlias || k.target != other.target {
 		return false
@@ -40,12 +40,12 @@
 	return k.isAlias || k.owner == other.owner && k.contract == other.contract
 }
 
-// isPublishedBy reports whether a mesh is one of those that publish it.
+// isPublishedBy reports whether a mesh is one of the claimant's publishers.
 func (k *claimant) isPublishedBy(mesh string) bool {
 	return slices.ContainsFunc(k.claims, func(c *claim) bool { return c.publisher.name() == mesh })
 }
 
-// deriveFields derives the fields that follow from the claims.
+// deriveFields sets the fields that are computed from the claims.
 func (k *claimant) deriveFields() {
 	k.live = slices.ContainsFunc(k.claims, func(c *claim) bool { return !c.publisher.lost })
 	hasPrecedence := false
@@ -66,10 +66,11 @@
 	}
 }
 
-// status returns the status of a name that the claimant owns, and when it ends, in microseconds of agreed time; 0: not by
-// time alone. That of a qualified name follows from its own mesh alone; qualifier "": a short name.
+// status returns the status of a name that the claimant owns, and the end of that status in microseconds of agreed time, or
+// 0 if time alone does not end it. For a qualified name, only the mesh named by qualifier counts; qualifier is "" for a short
+// name.
 func (k *claimant) status(qualifier string) (status string, untilUS int64) {
-	var drainUS, lostUS int64 // ends of drains, and of tombstones
+	var drainUS, lostUS int64 // the latest end of a drain and of a tombstone
 	draining := false
 	for _, c := range k.claims {
 		switch {
@@ -89,8 +90,8 @@
 	return StatusTombstone, lostUS
 }
 
-// newProvider returns the provider that a claim's service becomes. Its pool is named by the service's qualified name, since names
-// of pools are local to their mesh; for the same reason the pool's former names are left out.
+// newProvider returns the provider for a claim's service. Names of pools are local to their mesh, so the pool is renamed to
+// the service's qualified name and its former names are dropped.
 func newProvider(c *claim) Provider {
 	s := c.service
 	p := Provider{
@@ -110,7 +111,7 @@
 	return p
 }
 
-// groupClaims makes the claimants of a name: claims for the same service or target are one.
+// groupClaims groups the claims on a name into claimants, one for each service or alias target.
 func (m *mergePass) groupClaims(d *nameDecision) {
 	d.claimants = d.claimants[:0]
 	for i, c := range d.claims {
@@ -142,7 +143,7 @@
 	})
 }
 
-// newClaimant allocates a claimant in a block, since there are about as many as names.
+// newClaimant allocates a claimant from a block, because there are about as many claimants as names.
 func (m *mergePass) newClaimant(k claimant) *claimant {
 	if len(m.claimantStorage) == cap(m.claimantStorage) {
 		m.claimantStorage = make([]claimant, 0, claimantBlock)
@@ -151,7 +152,7 @@
 	return &m.claimantStorage[len(m.claimantStorage)-1]
 }
 
-// conflictsWith returns the claims on a short name other than the winner's.
+// conflictsWith returns the claims on a short name that do not belong to the winner.
 func (d *nameDecision) conflictsWith(winner *claimant) (conflicts []Conflict) {
 	for _, k := range d.claimants {
 		if k == winner {
--- a/internal/catalog/decide.go
+++ b/internal/catalog/decide.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// decideOwner decides who owns a name and makes its entry.
+// decideOwner decides which claimant owns a name and creates the entry of the name.
 //
-// An override comes first; then the current owner keeps the name, for as long as its times last after its service ended;
-// then the first claimant gets it. A name that is reserved for an override's owner, and one that only lost meshes claim, gets
-// no entry.
+// An override has priority. Otherwise the current owner keeps the name, including during the tombstone and quarantine that
+// follow the end of its service. Otherwise the first claimant is the new owner. A name that is reserved for the owner of an
+// override, or a short name that only lost meshes claim, has no entry.
 func (m *mergePass) decideOwner(d *nameDecision) {
 	d.winner = nil
 	d.hasEntry = false
 	wasOwned := d.previous != nil && !d.previous.isFree(m.nowUS)
-	var current *claimant // continues the previous entry; nil: none does
+	var current *claimant // continues the previous entry; nil if there is none
 	if wasOwned {
 		current = findContinuation(d.previous, d.claimants)
 	}
@@ -38,7 +38,7 @@
 	if override != nil {
 		return // reserved for the override's owner
 	}
-	// A lost mesh gets no free short name. A conflict still makes its service known by the qualified one.
+	// A lost mesh does not obtain a free short name. Its service stays reachable by its qualified name if there is a conflict.
 	if len(d.claimants) == 0 || !d.claimants[0].live && d.qualifier == "" {
 		return
 	}
@@ -46,8 +46,8 @@
 	m.setOwner(d, first, nil, causeOf(d.claimants, first))
 }
 
-// setOwner makes the entry of a name that a claimant keeps or gets. current is the one that continues the previous entry; nil:
-// none does.
+// setOwner creates the entry of a name that a claimant keeps or obtains. current is the claimant that continues the previous
+// entry, or nil if there is none.
 func (m *mergePass) setOwner(d *nameDecision, owner, current *claimant, cause string) {
 	since := m.stateNumber
 	if owner == current {
@@ -59,7 +59,7 @@
 	d.setEntry(owner.entry(d, since, cause), owner)
 }
 
-// setEntry sets the entry of a name and the claimant that has won it; nil: a former owner keeps it.
+// setEntry sets the entry of a name and the claimant that owns it. winner is nil if a former owner still holds the name.
 func (d *nameDecision) setEntry(e Entry, winner *claimant) {
 	d.winner = winner
 	d.entry = e
@@ -69,7 +69,7 @@
 	}
 }
 
-// entry returns the entry of a name that the claimant owns, without conflicts.
+// entry returns the entry of a name that the claimant owns. Its conflicts are not set.
 func (k *claimant) entry(d *nameDecision, since uint64, cause string) Entry {
 	e := Entry{
 		Name:       d.name,
@@ -89,8 +89,8 @@
 	return e
 }
 
-// chooseClaimant returns the claimant that an override gives a name to; nil where there is none. The current owner comes before the
-// others, of which the first live one is chosen.
+// chooseClaimant returns the claimant that an override assigns the name to, or nil if no claimant matches. It prefers the
+// current owner to the first live claimant.
 func (o *Override) chooseClaimant(claimants []*claimant, current *claimant) (chosen *claimant) {
 	for _, k := range claimants {
 		if o.matches(k) && (k == current || k.live && chosen == nil) {
@@ -100,7 +100,7 @@
 	return chosen
 }
 
-// matches reports whether an override is for a claimant. One without an owner is for its mesh's alias.
+// matches reports whether an override applies to a claimant. An override without an owner applies to its mesh's alias.
 func (o *Override) matches(k *claimant) bool {
 	if o.Mesh != "" && !k.isPublishedBy(o.Mesh) {
 		return false
@@ -111,7 +111,7 @@
 	return o.Mesh != "" && k.isAlias
 }
 
-// causeOf returns the Cause constant that says why an owner has a name, compared with the first other live claimant.
+// causeOf returns the Cause constant for an owner: the first rule that sets it apart from the first other live claimant.
 func causeOf(claimants []*claimant, owner *claimant) string {
 	other := slices.IndexFunc(claimants, func(k *claimant) bool { return k != owner && k.live })
 	switch {
@@ -127,9 +127,9 @@
 	return CauseOwnerName
 }
 
-// findContinuation returns the claimant that continues a previous entry; nil where there is none. It is the same service, whichever
-// mesh publishes it; else what a mesh of the entry now publishes for the same owner, which is an update of the service (a
-// changed contract, or an alias in its place). Live claimants precede lost ones.
+// findContinuation returns the claimant that continues a previous entry, or nil if there is none. It prefers the same service,
+// published by any mesh. Otherwise it returns an update of the service: a claimant of the same owner, with a changed contract
+// or an alias instead of the service, that a mesh of the entry publishes. Live claimants precede lost ones.
 func findContinuation(previous *Entry, claimants []*claimant) *claimant {
 	wasPublished := func(c *claim) bool {
 		mesh := c.publisher.name()
@@ -151,8 +151,9 @@
 	return nil
 }
 
-// expiringEntry returns what becomes of a previous entry that nobody continues: a tombstone, then quarantine. After that it does
-// not last. Its times count from when it was withdrawn, its mesh was lost, or its drain ended, whichever came last.
+// expiringEntry returns the entry that replaces a previous entry which no claimant continues: a tombstone, then a quarantine.
+// lasts is false once the quarantine is over. The tombstone begins when the service was withdrawn, its mesh was lost, or its
+// drain ended, whichever came last.
 func (m *mergePass) expiringEntry(d *nameDecision) (e Entry, lasts bool) {
 	e = *d.previous
 	e.Conflicts = nil
@@ -192,13 +193,13 @@
 	return e, true
 }
 
-// endTime returns when a mesh ended a service or alias that it no longer publishes, in microseconds of agreed time, and whether
-// the mesh is lost. drainBy 0: it was not draining.
+// endTime returns the time at which a service or alias that a mesh no longer publishes ended, in microseconds of agreed time,
+// and whether the mesh is lost. drainBy is the end of its drain, or 0 if it was not draining.
 func (m *mergePass) endTime(mesh string, drainBy time.Duration) (endUS int64, lost bool) {
 	p := m.publisherByMesh[mesh]
 	drainUS := drainBy.Microseconds()
 	switch {
-	case p == nil: // a state that Merge did not make
+	case p == nil: // the previous state was not made by Merge
 		return m.nowUS, false
 	case p.lost:
 		return p.lostUS, true
--- a/internal/catalog/digest.go
+++ b/internal/catalog/digest.go
@@ -11,12 +11,13 @@
 
 const (
 	digestBytes            = 16
-	typicalServiceEncoding = 256 // bytes, for sizing a buffer
+	typicalServiceEncoding = 256 // bytes, to size the initial buffer
 )
 
-// Digest returns a hash of a publication's contents. Neither its number nor the order of its records nor duplicates change it.
+// Digest returns the hexadecimal hash of a publication's services and aliases. It does not depend on the publication's number,
+// the order of its records or duplicate records.
 func (p *Publication) Digest() string {
-	ends := make([]int, 0, len(p.Services)+len(p.Aliases)) // of each record in encoded
+	ends := make([]int, 0, len(p.Services)+len(p.Aliases)) // end offset of each record in encoded
 	encoded := make([]byte, 0, typicalServiceEncoding*cap(ends))
 	for i := range p.Services {
 		encoded = appendService(encoded, &p.Services[i])
@@ -43,7 +44,7 @@
 	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
 
-// appendStrings appends a list in a form from which no other list results.
+// appendStrings appends an unambiguous encoding of a list: different lists have different encodings.
 func appendStrings(b []byte, list ...string) []byte {
 	b = binary.AppendUvarint(b, uint64(len(list)))
 	for _, s := range list {
@@ -52,8 +53,8 @@
 	return b
 }
 
-// appendService appends all fields of a service, so that different services have different bytes. Its form is part of
-// Digest.
+// appendService appends an unambiguous encoding of all fields of a service. Digest depends on this encoding, so it must not
+// change.
 func appendService(b []byte, s *Service) []byte {
 	pool := &s.Pool
 	selector := &s.Pool.Select
@@ -74,7 +75,7 @@
 	return b
 }
 
-// equalContents reports whether two services have the same fields.
+// equalContents reports whether all fields of two services are equal.
 func equalContents(a, b *Service) bool {
 	return bytes.Equal(appendService(nil, a), appendService(nil, b))
 }
