--- a/internal/catalog/bind.go
+++ b/internal/catalog/bind.go
@@ -8,7 +8,7 @@
 	"example.org/micafront/internal/routing"
 )
 
-// ServicePrefix marks the name of a service in a route or policy, where otherwise the name of a pool stands.
+// ServicePrefix marks a name in a route or policy as the name of a service instead of a pool.
 const ServicePrefix = "service:"
 
 // Bind implements Merger. It equals BindFor with an empty mesh, so all providers are used.
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// entries returns the entries of all names, sorted by name. A qualified name has one only where a conflict, an alias or the
-// previous state needs it.
+// entries returns the entries of all names, sorted by name. A qualified name has an entry only if a conflict, an alias or the
+// previous state requires it.
 func (m *mergePass) entries() []Entry {
 	entries := make([]Entry, 0, len(m.decisions))
 	for i := range m.decisions {
@@ -26,7 +26,7 @@
 	return entries
 }
 
-// qualifiedNames returns the qualified names that need an entry, each with its entry in the previous state; nil: there is none.
+// qualifiedNames returns the qualified names that need an entry, with their entries in the previous state or nil.
 func (m *mergePass) qualifiedNames() map[string]*Entry {
 	names := map[string]*Entry{}
 	for i := range m.previous.Entries {
@@ -60,8 +60,8 @@
 	return names
 }
 
-// correctConflicts clears the qualified names of conflicts where the name still is a former owner's, and drops a lost mesh's
-// conflicts that have none.
+// correctConflicts clears the qualified name of a conflict if a former owner still holds that name, and drops the conflicts of
+// lost meshes that have no qualified name.
 func (m *mergePass) correctConflicts(s *State) {
 	hasQualifiedName := func(c Conflict) bool {
 		e := s.lookup(c.QualifiedName)
@@ -80,8 +80,8 @@
 	}
 }
 
-// qualifiedEntry makes the entry of a qualified name. It means what its mesh publishes under the short name, and has a
-// tombstone and a quarantine as any other name.
+// qualifiedEntry creates the entry of a qualified name. It resolves to the service or alias that its mesh publishes under the
+// short name, and it passes through tombstone and quarantine like any other name.
 func (m *mergePass) qualifiedEntry(name string, previous *Entry) (e Entry, ok bool) {
 	short, mesh := splitName(name)
 	d := nameDecision{name: name, qualifier: mesh, previous: previous}
@@ -91,7 +91,8 @@
 				d.claimants = []*claimant{k}
 			}
 		}
-		// A former owner of the short name whose provider was that mesh has its pool under this name while it lasts.
+		// If a former owner still holds the short name and the mesh was its provider, the pool of the former owner uses this
+		// qualified name.
 		former := &shortDecision.entry
 		formerLasts := shortDecision.hasEntry && shortDecision.winner == nil
 		if previous == nil && formerLasts && len(d.claimants) > 0 && former.Owner != d.claimants[0].owner && former.isProvidedBy(mesh) {
--- a/internal/catalog/equal.go
+++ b/internal/catalog/equal.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// SameMeaning reports whether two states mean the same to proxies: their entries and what meshes import are equal. Numbers,
-// times and accepted publications may differ. A nil state equals nil alone.
+// SameMeaning reports whether two states are equivalent for proxies: their entries and the imports of their meshes are equal.
+// State numbers, times and accepted publications may differ. A nil state is equivalent only to nil.
 func (s *State) SameMeaning(other *State) bool {
 	if s == nil || other == nil {
 		return s == other
--- a/internal/catalog/explain.go
+++ b/internal/catalog/explain.go
@@ -12,11 +12,11 @@
 
 func (x *explanation) addf(format string, args ...any) { fmt.Fprintf(x, format, args...) }
 
-// formatTime formats microseconds of agreed time.
+// formatTime formats an agreed time, given in microseconds.
 func formatTime(us int64) string { return (time.Duration(us) * time.Microsecond).String() }
 
-// Explain says for operators why a name resolves as it does. Its words reach telemetry and answers of the control plane, whose
-// fixtures pin them.
+// Explain returns the reason why a name resolves as it does, as text for operators. Telemetry and responses of the control
+// plane contain the text, and their golden files pin it.
 func (s *State) Explain(name string) string {
 	var x explanation
 	e := s.lookup(name)
@@ -67,7 +67,7 @@
 	}
 }
 
-// causeTexts are the causes as explanations give them.
+// causeTexts maps Cause constants to their wording in explanations.
 var causeTexts = map[string]string{
 	CauseOverride:      "by staff's ruling",
 	CauseCurrentOwner:  "because it held the name before the others came",
@@ -78,7 +78,7 @@
 	CauseQualifiedName: "because that mesh publishes it under this full name",
 }
 
-// addDecision adds an entry's cause, status and conflicts.
+// addDecision adds the cause, status and conflicts of an entry.
 func (x *explanation) addDecision(e *Entry) {
 	x.addf(", %s, since state %d. ", cmp.Or(causeTexts[e.Cause], e.Cause), e.SinceState)
 	until := formatTime(e.UntilUS)
--- a/internal/catalog/findings.go
+++ b/internal/catalog/findings.go
@@ -9,32 +9,33 @@
 	"example.org/micafront/internal/apperror"
 )
 
-// Finding is a problem with the inputs that operators should know of: a conflict, a rejected record, an exceeded limit.
-// Control-plane replicas send findings in answers; no State contains them, so replicas of two releases may word them apart.
+// Finding is a problem with the inputs for operators: a conflict, a rejected record or an exceeded limit. Control-plane
+// replicas return findings in responses. No State contains them, so replicas of different releases may word them differently.
 type Finding struct {
 	Kind       string `json:"kind"`           // apperror.Kind.Name
-	Name       string `json:"name,omitempty"` // of a service or alias, or the name of an override; "": none alone
-	Mesh       string `json:"mesh,omitempty"` // "": none alone
-	Text       string `json:"text"`           // for people; programs read Kind, Name and Mesh
-	Resolution string `json:"remedy"`         // what an operator can do
+	Name       string `json:"name,omitempty"` // of a service, alias or override; "" if the finding concerns no single name
+	Mesh       string `json:"mesh,omitempty"` // "" if the finding concerns no single mesh
+	Text       string `json:"text"`           // for operators; programs read Kind, Name and Mesh
+	Resolution string `json:"remedy"`         // the action that an operator can take
 }
 
-// maxFindings is how many findings of one kind are listed for one mesh; of further ones the number is given.
+// maxFindings is the most findings of one kind that are listed for one mesh. Further findings are only counted.
 const maxFindings = 32
 
-// findingSource is what maxFindings applies to.
+// findingSource is the kind and mesh of findings, to which maxFindings applies.
 type findingSource struct {
 	kind string
 	mesh string
 }
 
-// findings collects findings, maxFindings of each source.
+// findings collects at most maxFindings findings per source.
 type findings struct {
 	list   []Finding
-	counts map[findingSource]int // listed or not
+	counts map[findingSource]int // including findings that are not listed
 }
 
-// add adds a finding about a name of a mesh; "": none alone. The format is that of fmt.Sprintf.
+// add adds a finding about a name of a mesh. mesh or name is "" if the finding concerns no single one. The format is that of
+// fmt.Sprintf.
 func (f *findings) add(kind *apperror.Kind, mesh, name, format string, args ...any) {
 	if f.counts == nil {
 		f.counts = map[findingSource]int{}
@@ -53,13 +54,13 @@
 	})
 }
 
-// truncateName makes a name of any length and bytes fit to be shown.
+// truncateName limits a name to maxNameBytes and replaces invalid UTF-8.
 func truncateName(name string) string { return validText(name[:min(len(name), maxNameBytes)]) }
 
-// validText replaces bytes that are not UTF-8.
+// validText replaces invalid UTF-8 with U+FFFD.
 func validText(text string) string { return strings.ToValidUTF8(text, "\ufffd") }
 
-// all returns the sorted findings without duplicates.
+// all returns the findings sorted and without duplicates, and adds the counts of unlisted findings.
 func (f *findings) all() []Finding {
 	for source, count := range f.counts {
 		if count > maxFindings {
@@ -74,7 +75,7 @@
 	return slices.Compact(f.list)
 }
 
-// resolution returns the resolution of a kind that has a finding in the list.
+// resolution returns the resolution of a kind. The list must contain a finding of that kind.
 func (f *findings) resolution(kind string) string {
 	i := slices.IndexFunc(f.list, func(listed Finding) bool { return listed.Kind == kind })
 	return f.list[i].Resolution
--- a/internal/catalog/inputs.go
+++ b/internal/catalog/inputs.go
@@ -10,7 +10,8 @@
 
 // Limits of inputs.
 const (
-	// DefaultMaxServices is how many services a mesh may publish where its terms set no limit. As many aliases are allowed.
+	// DefaultMaxServices is the most services that a mesh may publish if its terms set no limit. It applies separately to
+	// aliases.
 	DefaultMaxServices = 2000
 
 	maxNameBytes   = 128
@@ -18,35 +19,34 @@
 	maxListEntries = 256 // of one list of a service
 )
 
-// Inputs are everything that a catalog follows from: the publications of the meshes, the operators' terms and overrides,
-// and which meshes are lost.
+// Inputs are all inputs of a merge: the publications of the meshes, the operators' terms and overrides, and the lost meshes.
 type Inputs struct {
 	Meshes       []Mesh        // terms of the federation, set by operators
-	Publications []Publication // of each mesh the one with the highest epoch, then sequence number, counts
+	Publications []Publication // the highest epoch, then sequence number, of each mesh takes effect
 	Overrides    []Override    `json:"Rulings"`
 	Lost         []Loss
 }
 
-// Mesh is the terms of one mesh: the fleet of a site or a team, with its own discovery and names.
+// Mesh is the terms of one mesh. A mesh is the fleet of a site or a team, with its own discovery and names.
 type Mesh struct {
 	Name        string   `json:"name"`
-	Precedence  int      `json:"precedence"`       // of its exports over other meshes'; the highest comes first
-	MaxServices int      `json:"max_services"`     // 0: DefaultMaxServices
-	Export      []string `json:"export,omitempty"` // patterns (path.Match) of the names that it may publish; none: all
-	Import      []Import `json:"import,omitempty"` // what its proxies see of other meshes; none: everything
-	Owners      []string `json:"owners,omitempty"` // whose services it may publish; none: those of any owner that no other mesh lists
+	Precedence  int      `json:"precedence"`       // of its exports over those of other meshes; the highest wins
+	MaxServices int      `json:"max_services"`     // of services, and separately of aliases; 0: DefaultMaxServices
+	Export      []string `json:"export,omitempty"` // patterns (path.Match) of the names that it may publish; empty: all
+	Import      []Import `json:"import,omitempty"` // services of other meshes that its proxies may use; empty: all
+	Owners      []string `json:"owners,omitempty"` // owners whose services it may publish; empty: any owner that no mesh lists
 }
 
-// Import is what a mesh's proxies see of another mesh.
+// Import is the set of another mesh's services that a mesh's proxies may use.
 type Import struct {
 	From  string   `json:"from"`
-	Names []string `json:"names,omitempty"` // patterns (path.Match) of short names; none: all
+	Names []string `json:"names,omitempty"` // patterns (path.Match) of short names; empty: all
 }
 
-// Publication is the whole catalog of one mesh. Its number is Epoch and Seq.
+// Publication is the complete set of services and aliases of one mesh. Epoch and Seq are its number.
 type Publication struct {
 	Mesh     string    `json:"mesh"`
-	Epoch    uint64    `json:"epoch"` // of the publisher; a later epoch supersedes any sequence number of an earlier one
+	Epoch    uint64    `json:"epoch"` // of the publisher; a higher epoch supersedes all sequence numbers of lower ones
 	Seq      uint64    `json:"seq"`
 	Services []Service `json:"services"`
 	Aliases  []Alias   `json:"aliases,omitempty"`
@@ -62,9 +62,9 @@
 	LatencyObjective time.Duration `json:"aim,omitempty"`
 	SpareCapacity    float64       `json:"spare,omitempty"` // fraction of its capacity that is free, 0 to 1
 	Pool             routing.Pool  `json:"pool"`
-	Origin           string        `json:"origin,omitempty"`   // the mesh that a re-export comes from; "": its own service
-	Via              []string      `json:"via,omitempty"`      // the meshes that a re-export has passed
-	DrainBy          time.Duration `json:"drain_by,omitempty"` // agreed time at which a withdrawn service ends; 0: not withdrawn
+	Origin           string        `json:"origin,omitempty"`   // the mesh that a re-export comes from; "" if it is the mesh's own service
+	Via              []string      `json:"via,omitempty"`      // the meshes that a re-export has passed through
+	DrainBy          time.Duration `json:"drain_by,omitempty"` // agreed time at which a withdrawn service ends; 0 if not withdrawn
 }
 
 // Alias is an additional name of a service or of another alias.
@@ -73,27 +73,27 @@
 	To   string `json:"to"`
 }
 
-// Override is an operator's decision who owns a short name. It precedes all other rules.
+// Override is an operator's assignment of a short name to an owner. It takes precedence over all other rules.
 type Override struct {
 	Name  string `json:"name"`
-	Owner string `json:"owner"`          // "": the mesh's alias of that name
+	Owner string `json:"owner"`          // "": the name belongs to the mesh's alias
 	Mesh  string `json:"mesh,omitempty"` // "": any mesh that publishes the owner's service
 	SetBy string `json:"by,omitempty"`   // the operator
 }
 
-// Loss is a mesh that has stopped publishing.
+// Loss reports that a mesh has stopped publishing.
 type Loss struct {
 	Mesh  string        `json:"mesh"`
 	Since time.Duration `json:"since"` // agreed time
 }
 
-// ValidName reports whether a service, an alias or a mesh may have a name: 1 to 128 bytes of UTF-8 without spaces, control
+// ValidName reports whether a name is valid for a service, an alias or a mesh: 1 to 128 bytes of UTF-8 without spaces, control
 // characters and dots.
 func ValidName(name string) bool {
 	return name != "" && len(name) <= maxNameBytes && !strings.Contains(name, ".") && routing.Nameable(name) && utf8.ValidString(name)
 }
 
-// splitName separates a name into its short name and, where it is qualified, its mesh.
+// splitName splits a name into its short name and its mesh. mesh is "" if the name is not qualified.
 func splitName(name string) (short, mesh string) {
 	short, mesh, _ = strings.Cut(name, ".")
 	return short, mesh
--- a/internal/catalog/memory.go
+++ b/internal/catalog/memory.go
@@ -2,22 +2,24 @@
 
 import "reflect"
 
-// Memory that parts of a decoded State take, in bytes.
+// Sizes of parts of a decoded State, in bytes.
 const (
 	minAllocation   = 16
-	stringSliceSlot = 24  // of a []string with the slack that its growth leaves
-	indexEntryBytes = 100 // of State.index while the map grows
+	stringSliceSlot = 24  // an element of a []string, including spare capacity left by its growth
+	indexEntryBytes = 100 // an entry of State.index while the map grows
 	cellBytes       = 8   // an int of Select.Cells
 )
 
-// withSizeClass returns the memory that an allocation takes: its size class wastes an eighth at most.
+// withSizeClass returns an upper bound of the memory that an allocation takes: rounding up to its size class adds at most an
+// eighth.
 func withSizeClass(bytes uint64) uint64 { return bytes * 9 / 8 }
 
-// withOutgrown returns the memory that an array takes that was grown by appending, which grows it by a quarter at least: the
-// outgrown one, at most four fifths of its size, lives until the next collection.
+// withOutgrown returns an upper bound of the memory that a slice grown by append takes, including its previous array. append
+// grows an array by at least a quarter, so the previous one has at most four fifths of its size; it stays allocated until
+// the next garbage collection.
 func withOutgrown(bytes uint64) uint64 { return bytes * 9 / 5 }
 
-// memoryEstimate adds up the memory of a decoded State.
+// memoryEstimate sums up the memory that a decoded State takes.
 type memoryEstimate struct{ bytes uint64 }
 
 func (m *memoryEstimate) addStrings(list ...string) {
@@ -35,15 +37,15 @@
 	}
 }
 
-// sliceBytes returns the size of a slice's array in bytes.
+// sliceBytes returns the size of a slice's backing array in bytes.
 func sliceBytes[T any](s []T) uint64 { return uint64(cap(s)) * uint64(reflect.TypeFor[T]().Size()) }
 
 func addSlice[T any](m *memoryEstimate, s []T) { m.bytes += withSizeClass(sliceBytes(s)) }
 
 func addGrownSlice[T any](m *memoryEstimate, s []T) { m.bytes += withOutgrown(sliceBytes(s)) }
 
-// MemoryBytes returns an upper bound of the memory that decoding the state takes beside its text, in bytes: its parts, arrays that
-// were outgrown, and the index.
+// MemoryBytes returns an upper bound, in bytes, of the memory that decoding the state takes in addition to its text: its parts,
+// arrays outgrown while decoding, and the index.
 func (s *State) MemoryBytes() uint64 {
 	var m memoryEstimate
 	addGrownSlice(&m, s.Entries)
--- a/internal/catalog/merge.go
+++ b/internal/catalog/merge.go
@@ -9,60 +9,62 @@
 	"example.org/micafront/internal/routing"
 )
 
-// maxAliasRounds is in how many rounds rejected aliases make way for other claims on their names.
+// maxAliasRounds limits how often a merge is repeated after aliases were rejected, so that other claims on their names can win.
 const maxAliasRounds = 4
 
-// Merger is the interface of Rules.
+// Merger merges publications into states and binds services to pools. Rules implements it.
 type Merger interface {
-	// Merge makes the next state from the previous one and everything that is known now. Neither the order of inputs nor
-	// duplicates among them matter. at is the agreed time, which never goes back.
+	// Merge returns the state that follows previous, and the findings about the inputs. The result does not depend on the
+	// order of the inputs or on duplicates among them. at is the agreed time, which never decreases.
 	Merge(previous *State, inputs Inputs, at time.Duration) (*State, []Finding)
-	// Bind replaces the services that routes name ("service:NAME" in place of a pool) by pools, as the state resolves them
-	// for proxies of a zone. The set is not changed. A name that means no service is an error.
+	// Bind returns a copy of the set in which the services that routes and policies name ("service:NAME" instead of a pool)
+	// are replaced by pools, as the state resolves them for proxies of a zone. A name that resolves to no service is an
+	// UnknownService error; one that needs a pool or policy name already in use is a PoolNameConflict error.
 	Bind(set routing.Set, s *State, zone string) (routing.Set, error)
-	// BindFor is Bind for the proxies of a mesh, which use only the providers that their mesh sees; "": all providers.
+	// BindFor is Bind for the proxies of a mesh, which use only the providers visible to their mesh. If mesh is "", all
+	// providers are used.
 	BindFor(set routing.Set, s *State, zone, mesh string) (routing.Set, error)
 }
 
 // Rules implements Merger. The zero value is ready for use.
 type Rules struct {
-	// compare orders claimants of a free name; nil: compareClaimants. Tests plant faults with it.
+	// compare orders the claimants of a free name; nil means compareClaimants. Tests replace it to inject faults.
 	compare func(a, b *claimant) int
 }
 
 var _ Merger = Rules{}
 
-// nameDecision is one name while its owner is decided.
+// nameDecision holds the claims on one name and, once decided, its owner and entry.
 type nameDecision struct {
 	name      string
-	qualifier string // the mesh of a qualified name; "": a short name
-	previous  *Entry // nil: the previous state does not have the name
+	qualifier string // the mesh of a qualified name; "" for a short name
+	previous  *Entry // nil if the previous state does not contain the name
 	claims    []*claim
-	claimants []*claimant // by precedence
-	winner    *claimant   // nil: nobody, or a former owner whose times are not over
-	entry     Entry       // valid where hasEntry
+	claimants []*claimant // in order of precedence
+	winner    *claimant   // nil if no claimant owns the name, or a former owner still holds it
+	entry     Entry       // valid if hasEntry
 	hasEntry  bool
 }
 
-// mergePass is one pass of Rules.Merge.
+// mergePass is the state of one pass of Rules.Merge.
 type mergePass struct {
 	*validation
 	compare         func(a, b *claimant) int
-	stateNumber     uint64         // of the state to be made
-	decisions       []nameDecision // of short names, sorted
-	claimantStorage []claimant     // storage for the names' claimants
+	stateNumber     uint64         // of the resulting state
+	decisions       []nameDecision // on short names, sorted by name
+	claimantStorage []claimant     // the block that newClaimant allocates from
 }
 
-// Merge implements Merger. Neither previous nor the inputs are changed; the result shares their parts, so they must not be
-// changed afterwards. Where nothing has changed the result equals previous, its number and time included. A nil previous is
+// Merge implements Merger. It modifies neither previous nor the inputs. The result shares memory with them, so they must not be
+// modified afterwards. If nothing has changed, the result equals previous, including its number and time. A nil previous is
 // an empty state.
 func (r Rules) Merge(previous *State, inputs Inputs, at time.Duration) (*State, []Finding) {
 	if previous == nil {
 		previous = &State{}
 	}
 	next, findings, rejected := r.mergeOnce(previous, inputs, at)
-	// A rejected alias may be valid beside the owners that this pass has decided, so it is tried again as the next call
-	// would.
+	// A rejected alias may be valid with the owners that this pass has decided. So it is evaluated again, as the next call of
+	// Merge would.
 	for round := 0; rejected && round < maxAliasRounds; round++ {
 		again := *next
 		again.Number = previous.Number
@@ -83,7 +85,7 @@
 	return next, findings
 }
 
-// mergeOnce makes the next state in one pass, and reports whether aliases were rejected.
+// mergeOnce computes the next state in one pass, and reports whether aliases were rejected.
 func (r Rules) mergeOnce(previous *State, inputs Inputs, at time.Duration) (next *State, findings []Finding, rejected bool) {
 	m := &mergePass{validation: validateInputs(previous, inputs, at), compare: r.compare, stateNumber: previous.Number + 1}
 	if m.compare == nil {
@@ -113,8 +115,8 @@
 	return next, m.all(), rejected
 }
 
-// collectNames makes the decisions to be taken: all short names that are claimed or that the previous state has. Both lists
-// are sorted.
+// collectNames creates a decision for each short name that is claimed or that the previous state contains. It merges the two
+// lists, which are sorted by name.
 func (m *mergePass) collectNames() {
 	previous := m.previous.Entries
 	claims := m.claims
@@ -146,7 +148,8 @@
 	}
 }
 
-// decideOwners decides names that only services claim first: what an alias is for is known best after that.
+// decideOwners decides the owners of all short names. Names claimed only by services come first, because the targets of aliases
+// depend on their owners.
 func (m *mergePass) decideOwners() {
 	for _, aliases := range []bool{false, true} {
 		for i := range m.decisions {
@@ -160,7 +163,7 @@
 	}
 }
 
-// decision returns the decision on a short name; nil where there is none.
+// decision returns the decision on a short name, or nil if there is none.
 func (m *mergePass) decision(name string) *nameDecision {
 	i, ok := sort.Find(len(m.decisions), func(i int) int { return cmp.Compare(name, m.decisions[i].name) })
 	if !ok {
--- a/internal/catalog/report.go
+++ b/internal/catalog/report.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// reportReserved reports that a claimant does not get its qualified name yet.
+// reportReserved adds a finding that a qualified name is still reserved for its former owner.
 func (m *mergePass) reportReserved(d *nameDecision, formerOwner string) {
 	m.add(NameReserved, d.qualifier, d.name, "%s's service has no name yet: %s is reserved for %s until its tombstone and "+
 		"quarantine end", cmp.Or(d.claimants[0].owner, "the alias"), d.name, cmp.Or(formerOwner, "a former alias"))
 }
 
-// reportCollisions reports the names that several claim, or that their only claimant does not get. The text is pinned by the
-// golden answers of internal/controlplane.
+// reportCollisions adds a finding for each name that several claimants claim or that its only claimant does not own. The golden
+// responses of internal/controlplane pin the text.
 func (m *mergePass) reportCollisions(next *State) {
 	for i := range m.decisions {
 		d := &m.decisions[i]
@@ -43,7 +43,7 @@
 	}
 }
 
-// reportUnusedOverrides reports the overrides that no claimant matches.
+// reportUnusedOverrides adds a finding for each override that no claimant matches.
 func (m *mergePass) reportUnusedOverrides() {
 	for _, name := range slices.Sorted(maps.Keys(m.overrides)) {
 		o := m.overrides[name]
--- a/internal/catalog/resolve.go
+++ b/internal/catalog/resolve.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// maxAliasChain is how many aliases may lead from a name to its service.
+// maxAliasChain is the most aliases allowed between a name and its service.
 const maxAliasChain = 16
 
-// Resolve returns the entry of the service that a name means, through aliases; ok is false where it means none, as in
-// quarantine. The entry must not be changed. Resolve does not allocate.
+// Resolve returns the entry of the service that a name resolves to, following aliases. ok is false if there is none, for
+// example while the name is in quarantine. The caller must not modify the entry. Resolve does not allocate.
 func (s *State) Resolve(name string) (e *Entry, ok bool) {
 	e = s.lookup(name)
 	for range maxAliasChain + 1 {
@@ -24,7 +24,8 @@
 	return nil, false
 }
 
-// ResolveFor is Resolve for the proxies of a mesh, which must see at least one provider; "": any mesh. It does not allocate.
+// ResolveFor is Resolve for the proxies of a mesh. ok is also false if no provider of the service is visible to the mesh. If mesh
+// is "", all providers are visible. ResolveFor does not allocate.
 func (s *State) ResolveFor(mesh, name string) (e *Entry, ok bool) {
 	e, ok = s.Resolve(name)
 	if !ok {
@@ -38,8 +39,9 @@
 	return nil, false
 }
 
-// IsVisible reports whether a mesh is a provider of an entry or imports it; mesh "": any mesh. Patterns are matched with the
-// short name. A mesh that the state does not know sees nothing.
+// IsVisible reports whether the proxies of a mesh may use a provider of an entry: the mesh is the provider itself or imports the
+// service from it. If mesh is "", every provider is visible. Import patterns are matched against the short name. No other
+// provider is visible to a mesh that the state does not contain.
 func (s *State) IsVisible(mesh string, e *Entry, p *Provider) bool {
 	if mesh == "" || mesh == p.Mesh {
 		return true
@@ -57,8 +59,9 @@
 	return len(s.Meshes[i].Import) == 0
 }
 
-// ProvidersFor returns the entry of the service that a name means, and its providers that a mesh sees ("": all), in the order in
-// which proxies of a zone prefer them; nil where the name means no service. They must not be changed.
+// ProvidersFor returns the entry of the service that a name resolves to, and the providers visible to a mesh (all if mesh is ""),
+// in the order in which proxies of a zone prefer them. Both are nil if the name resolves to no service. The caller must not
+// modify them.
 func (s *State) ProvidersFor(zone, mesh, name string) (*Entry, []*Provider) {
 	e, ok := s.Resolve(name)
 	if !ok {
@@ -74,8 +77,8 @@
 	return e, providers
 }
 
-// compareProviders orders providers as proxies of a zone prefer them: those that are not lost, not withdrawn, in the zone,
-// and no re-exports come first, then those with more spare capacity, then by mesh.
+// compareProviders orders providers by the preference of proxies of a zone. The criteria, in order: not lost, not withdrawn, in
+// the zone, not a re-export, more spare capacity, mesh name.
 func compareProviders(zone string, a, b *Provider) int {
 	return cmp.Or(
 		compareBool(a.Lost, b.Lost),
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -9,55 +9,55 @@
 	"example.org/micafront/internal/routing"
 )
 
-// Times of names, in agreed time.
+// Durations in agreed time for which a name outlives its service.
 const (
-	// TombstoneDuration is how long a name keeps its meaning after the service has ended or all of its meshes are lost.
+	// TombstoneDuration is the time for which a name still resolves after its service has ended or all its meshes are lost.
 	TombstoneDuration = 10 * time.Minute
-	// QuarantineDuration is how long after that the name is given to nobody else.
+	// QuarantineDuration is the time after the tombstone for which the name does not resolve and no other owner can obtain it.
 	QuarantineDuration = 10 * time.Minute
 
 	tombstoneUS  = int64(TombstoneDuration / time.Microsecond)
 	quarantineUS = int64(QuarantineDuration / time.Microsecond)
 )
 
-// State is the merged catalog. It is immutable once it is made.
+// State is the merged catalog. It is immutable once created, except for Index.
 type State struct {
 	Number  uint64                `json:"number"`           // incremented with every change
 	At      time.Duration         `json:"at"`               // agreed time of the last change
-	Entries []Entry               `json:"entries"`          // by name
-	Meshes  []AcceptedPublication `json:"meshes,omitempty"` // by name
+	Entries []Entry               `json:"entries"`          // sorted by name
+	Meshes  []AcceptedPublication `json:"meshes,omitempty"` // sorted by name
 
-	index map[string]int32 // position in Entries by name; made by Index
+	index map[string]int32 // position in Entries by name; built by Index
 }
 
-// Entry is what a name means: a service with its providers, or an alias.
+// Entry is the result of resolving a name: a service with its providers, or an alias.
 type Entry struct {
 	Name        string     `json:"name"`
 	Owner       string     `json:"owner"`
 	Contract    string     `json:"contract"`
-	Providers   []Provider `json:"homes,omitempty"`    // by mesh; none for an alias
-	SinceState  uint64     `json:"since"`              // number of the State in which the current owner got the name
+	Providers   []Provider `json:"homes,omitempty"`    // sorted by mesh; empty for an alias
+	SinceState  uint64     `json:"since"`              // number of the State in which the current owner obtained the name
 	Status      string     `json:"standing"`           // a Status constant
-	UntilUS     int64      `json:"until_us,omitempty"` // when the status ends, in microseconds of agreed time; 0: not by time alone
-	AliasOf     string     `json:"alias_of,omitempty"` // the name that this is an alias of; "": a service
-	PublishedBy []string   `json:"by,omitempty"`       // the meshes that publish an alias, in order
-	Ended       bool       `json:"ended,omitempty"`    // a publisher has withdrawn it; false: its publishers are lost at most
-	Cause       string     `json:"cause"`              // why this owner has the name: a Cause constant
+	UntilUS     int64      `json:"until_us,omitempty"` // end of the status, in microseconds of agreed time; 0 if time alone does not end it
+	AliasOf     string     `json:"alias_of,omitempty"` // the name that this is an alias of; "" for a service
+	PublishedBy []string   `json:"by,omitempty"`       // the meshes that publish an alias, sorted
+	Ended       bool       `json:"ended,omitempty"`    // a publisher has withdrawn it; false if all its publishers publish it or are lost
+	Cause       string     `json:"cause"`              // the reason why this owner has the name: a Cause constant
 	Conflicts   []Conflict `json:"rivals,omitempty"`   // other claims on the name
 }
 
-// Status of a name.
+// Values of Entry.Status.
 const (
 	StatusHeld       = "held"
-	StatusDraining   = "draining"   // withdrawn at all meshes that are not lost; they serve until their drains end
-	StatusTombstone  = "tombstone"  // its meshes are lost or it has ended; it keeps its meaning
-	StatusQuarantine = "quarantine" // it means nothing, and nobody else gets it
+	StatusDraining   = "draining"   // withdrawn by all meshes that are not lost; they serve until their drains end
+	StatusTombstone  = "tombstone"  // its meshes are lost or it has ended; it still resolves
+	StatusQuarantine = "quarantine" // it does not resolve, and no other owner can obtain it
 )
 
-// Cause of a name's owner.
+// Values of Entry.Cause.
 const (
 	CauseOverride      = "ruling"
-	CauseCurrentOwner  = "earlier holder" // others would precede it if the name were free
+	CauseCurrentOwner  = "earlier holder" // other claimants would take precedence if the name were free
 	CausePrecedence    = "export precedence"
 	CauseMeshName      = "mesh name"
 	CauseOwnerName     = "owner"
@@ -79,27 +79,27 @@
 	DrainBy          time.Duration `json:"drain_by,omitempty"` // agreed time
 }
 
-// Conflict is another claim on a short name.
+// Conflict is a claim on a short name by another claimant than its owner.
 type Conflict struct {
 	Mesh          string `json:"mesh"`
 	Owner         string `json:"owner"`
-	QualifiedName string `json:"as"` // "": it has none as long as a former owner keeps it
+	QualifiedName string `json:"as"` // "" while a former owner still holds that name
 }
 
-// AcceptedPublication is what a State remembers of a mesh: the publication that was accepted, so that an older one never
-// replaces it, and what the mesh imports, so that its proxies resolve by it.
+// AcceptedPublication is the record of a mesh in a State: the number of the accepted publication, so that an older one never
+// replaces it, and the imports of the mesh, which apply when its proxies resolve names.
 type AcceptedPublication struct {
 	Mesh        string   `json:"mesh"`
 	Epoch       uint64   `json:"epoch,omitempty"`
 	Seq         uint64   `json:"seq,omitempty"`
-	Digest      string   `json:"digest,omitempty"` // Publication.Digest; "": none was accepted yet
+	Digest      string   `json:"digest,omitempty"` // Publication.Digest; "" if none was accepted yet
 	Import      []Import `json:"import,omitempty"`
-	Lost        bool     `json:"lost,omitempty"`     // it is lost, or has left the federation
-	LostSinceUS int64    `json:"since_us,omitempty"` // when it was lost, in microseconds of agreed time
+	Lost        bool     `json:"lost,omitempty"`     // the mesh is lost, or has left the federation
+	LostSinceUS int64    `json:"since_us,omitempty"` // time of the loss, in microseconds of agreed time
 }
 
-// Index makes lookups by name fast. Merge and decoding call it; a State that was made otherwise is searched binarily until
-// then. It must not run while others use the state.
+// Index builds the index for lookups by name. Merge and UnmarshalJSON call it. A State without an index is searched with binary
+// search. Index must not run concurrently with other uses of the state.
 func (s *State) Index() {
 	s.index = make(map[string]int32, len(s.Entries))
 	for i := range s.Entries {
@@ -107,7 +107,7 @@
 	}
 }
 
-// lookup returns the entry of a name, whatever its status; nil where there is none.
+// lookup returns the entry of a name in any status, or nil if there is none.
 func (s *State) lookup(name string) *Entry {
 	if s.index != nil {
 		if i, ok := s.index[name]; ok {
@@ -122,11 +122,11 @@
 	return &s.Entries[i]
 }
 
-// UnmarshalJSON decodes a state and indexes it. It fails with BadState where entries or meshes are not sorted, which those
-// of Merge always are.
+// UnmarshalJSON decodes a state and indexes it. It returns a BadState error if the text is malformed, or if entries or meshes
+// are not sorted by name without duplicates, as Merge always writes them.
 func (s *State) UnmarshalJSON(text []byte) error {
 	const place = "catalog state"
-	type plain State // without this method
+	type plain State // without UnmarshalJSON, to avoid recursion
 	var decoded plain
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return BadState.Wrap(place, err)
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// isFree reports whether an entry's tombstone and quarantine are over, so that others may get its name.
+// isFree reports whether an entry's tombstone and quarantine are over, so that other owners can obtain its name.
 func (e *Entry) isFree(nowUS int64) bool {
 	return e.Status == StatusQuarantine && nowUS >= e.UntilUS || e.Status == StatusTombstone && nowUS >= e.UntilUS+quarantineUS
 }
