--- a/internal/catalog/inputs.go
+++ b/internal/catalog/inputs.go
@@ -84,7 +84,7 @@
 // Loss reports that a mesh has stopped publishing.
 type Loss struct {
 	Mesh  string        `json:"mesh"`
-	Since time.Duration `json:"since"` // agreed time
+	Since time.Duration `json:"since"` // agreed time of the loss
 }
 
 // ValidName reports whether a name is valid for a service, an alias or a mesh: 1 to 128 bytes of UTF-8 without spaces, control
--- a/internal/catalog/merge.go
+++ b/internal/catalog/merge.go
@@ -9,7 +9,8 @@
 	"example.org/micafront/internal/routing"
 )
 
-// maxAliasRounds limits how often a merge is repeated after aliases were rejected, so that other claims on their names can win.
+// maxAliasRounds limits how often owners are decided again after aliases were rejected, so that other claims on their names can
+// win.
 const maxAliasRounds = 4
 
 // Merger merges publications into states and binds services to pools. Rules implements it.
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -8,32 +8,31 @@
 	"time"
 )
 
-// publisher is a mesh while states are merged: its terms, and what counts of its publication.
+// publisher is a mesh during a merge: its terms, and the valid services and aliases of its publication.
 type publisher struct {
 	terms             Mesh
-	hasTerms          bool // the terms name the mesh, without contradiction
+	hasTerms          bool // the terms contain the mesh exactly once
 	accepted          AcceptedPublication
-	services          []*Service // by name
-	aliases           []Alias    // by name
-	hasNewPublication bool       // services and aliases are of a new publication; false: of the previous state
+	services          []*Service // sorted by name
+	aliases           []Alias    // sorted by name
+	hasNewPublication bool       // services and aliases come from a new publication; false: from the previous state
 	lost              bool
-	lostUS            int64 // agreed microseconds
+	lostUS            int64 // time of the loss, in microseconds of agreed time
 	tombstoneExpired  bool  // it has been lost for longer than TombstoneDuration
 }
 
-// name returns the mesh's name.
 func (p *publisher) name() string { return p.terms.Name }
 
-// isActive reports whether its publication is validated: those of lost meshes are kept as they were.
+// isActive reports whether the publication is validated. The services and aliases of lost meshes are kept unchanged.
 func (p *publisher) isActive() bool { return p.hasTerms && !p.lost }
 
-// firstServiceIndex returns where a mesh's services of a name begin in p.services, which is sorted.
+// firstServiceIndex returns the index of the first service of a name in p.services, or the index where it would be inserted.
 func (p *publisher) firstServiceIndex(name string) int {
 	i, _ := slices.BinarySearchFunc(p.services, name, func(s *Service, name string) int { return cmp.Compare(s.Name, name) })
 	return i
 }
 
-// service returns the mesh's service of a name; nil where it has none.
+// service returns the mesh's service of a name, or nil if there is none.
 func (p *publisher) service(name string) *Service {
 	if i := p.firstServiceIndex(name); i < len(p.services) && p.services[i].Name == name {
 		return p.services[i]
@@ -41,30 +40,30 @@
 	return nil
 }
 
-// claim is one mesh's statement what a name means.
+// claim is a mesh's publication of a service or an alias under a name.
 type claim struct {
 	publisher *publisher
 	name      string
-	service   *Service // nil: an alias
-	to        string   // of an alias: the name that it is for
-	owner     string   // of an alias: the owner of the mesh's own service that it is for, "" where there is none
-	rejected  bool     // an alias that leads to no service
+	service   *Service // nil for an alias
+	to        string   // of an alias: the name that it refers to
+	owner     string   // of an alias: the owner of the service of the same mesh that it refers to, or ""
+	rejected  bool     // an alias that rejectAliases has rejected
 }
 
-// validation is the inputs after validation, and the findings about them. Everything is sorted by name, so that the order
-// of the inputs does not matter.
+// validation holds the validated inputs and the findings about them. Everything is sorted by name, so that the order of the
+// inputs does not matter.
 type validation struct {
 	findings
 	previous        *State
-	nowUS           int64 // agreed microseconds
+	nowUS           int64 // microseconds of agreed time
 	publishers      []*publisher
 	publisherByMesh map[string]*publisher
-	claims          []*claim // by name, then mesh
+	claims          []*claim // sorted by name, then mesh
 	overrides       map[string]*Override
-	meshesByOwner   map[string][]string // by owner: the meshes whose terms list it
+	meshesByOwner   map[string][]string // the meshes whose terms list an owner
 }
 
-// validateInputs validates all inputs. The steps depend on each other in this order.
+// validateInputs validates all inputs. Each step depends on the results of the previous ones.
 func validateInputs(previous *State, inputs Inputs, at time.Duration) *validation {
 	v := &validation{
 		previous:        previous,
@@ -94,9 +93,9 @@
 	return v
 }
 
-// addClaims makes the claims of a mesh.
+// addClaims adds the claims of a mesh.
 func (v *validation) addClaims(p *publisher) {
-	claims := make([]claim, 0, len(p.services)+len(p.aliases)) // in one allocation, since there are many
+	claims := make([]claim, 0, len(p.services)+len(p.aliases)) // one allocation, because there are many claims
 	for _, s := range p.services {
 		claims = append(claims, claim{publisher: p, name: s.Name, service: s, owner: s.Owner})
 	}
@@ -114,7 +113,7 @@
 	}
 }
 
-// acceptOverrides accepts the operators' overrides. Of contradicting ones none counts.
+// acceptOverrides accepts the operators' overrides, except for different overrides of the same name.
 func (v *validation) acceptOverrides(overrides []Override) {
 	overrides = uniqueByKey(overrides, func(o *Override) string {
 		withoutAuthor := *o
@@ -129,18 +128,18 @@
 		o := &overrides[i]
 		switch {
 		case !ValidName(o.Name):
-			v.add(BadName, o.Mesh, o.Name, "the terms' rulings name %.140q, which is malformed as a short name", o.Name)
+			v.add(BadName, o.Mesh, o.Name, "the terms' rulings contain %.140q, which is not a valid short name", o.Name)
 		case count[o.Name] > 1:
-			v.add(Contradiction, "", o.Name, "the terms have %d different rulings on %s; none of them counts", count[o.Name], o.Name)
+			v.add(Contradiction, "", o.Name, "the terms have %d different rulings on %s; all of them are ignored", count[o.Name], o.Name)
 		default:
 			v.overrides[o.Name] = o
 		}
 	}
 }
 
-// uniqueByKey returns the elements of a list sorted by a key that covers their contents, equal ones once.
+// uniqueByKey returns the elements of a list without duplicates, sorted by key. The key must cover the contents of an element.
 func uniqueByKey[T any](list []T, key func(*T) string) (unique []T) {
-	positions := make(map[string]int, len(list)) // of the first element with a key
+	positions := make(map[string]int, len(list)) // index of the first element by key
 	keys := make([]string, 0, len(list))
 	for i := range list {
 		k := key(&list[i])
@@ -158,7 +157,7 @@
 
 // asJSON encodes a mesh's terms, an override or an import as a key for uniqueByKey.
 func asJSON[T any](v *T) string {
-	text, _ := json.Marshal(v) // cannot fail: strings and integers only
+	text, _ := json.Marshal(v) // cannot fail for strings and integers
 	return string(text)
 }
 
@@ -170,7 +169,7 @@
 	return slices.Compact(slices.Sorted(slices.Values(list)))
 }
 
-// matchesAny reports whether a name matches one of the patterns, or there are none. A malformed pattern matches nothing.
+// matchesAny reports whether a name matches any of the patterns. An empty list matches every name, a malformed pattern none.
 func matchesAny(patterns []string, name string) bool {
 	for _, pattern := range patterns {
 		if ok, err := path.Match(pattern, name); ok && err == nil {
--- a/internal/catalog/validate_meshes.go
+++ b/internal/catalog/validate_meshes.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// acceptTerms makes the publishers: the meshes that the terms name, and those that the previous state still has.
+// acceptTerms creates the publishers: the meshes that the terms or the previous state contain.
 func (v *validation) acceptTerms(meshes []Mesh) {
 	for i := range v.previous.Meshes {
 		accepted := &v.previous.Meshes[i]
@@ -27,10 +27,10 @@
 	for _, m := range meshes {
 		switch {
 		case !ValidName(m.Name):
-			v.add(BadName, m.Name, "", "the terms name a mesh %.140q, which is malformed as a name", m.Name)
+			v.add(BadName, m.Name, "", "the terms contain a mesh %.140q, which is not a valid name", m.Name)
 		case count[m.Name] > 1:
-			v.add(Contradiction, m.Name, "", "there are %d different terms for mesh %s; none of them counts, and what it published "+
-				"before stays as it is", count[m.Name], m.Name)
+			v.add(Contradiction, m.Name, "", "there are %d different terms for mesh %s; all of them are ignored, and the mesh's "+
+				"earlier publication stays in effect", count[m.Name], m.Name)
 			v.publisher(m.Name)
 		default:
 			v.acceptMesh(m)
@@ -42,7 +42,7 @@
 			p.accepted.LostSinceUS = 0
 			continue
 		}
-		if !p.accepted.Lost { // it has left the federation since the previous state
+		if !p.accepted.Lost { // the mesh has left the federation since the previous state
 			p.accepted.Lost = true
 			p.accepted.LostSinceUS = v.nowUS
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-// publisher returns the publisher of a mesh, which it adds where there is none.
+// publisher returns the publisher of a mesh, and adds it if there is none.
 func (v *validation) publisher(mesh string) *publisher {
 	if p := v.publisherByMesh[mesh]; p != nil {
 		return p
@@ -80,7 +80,7 @@
 	return p
 }
 
-// normalizeImports returns a mesh's imports as valid text in an order that does not depend on theirs.
+// normalizeImports returns a mesh's imports sorted, without duplicates and as valid UTF-8.
 func normalizeImports(imports []Import) []Import {
 	if len(imports) == 0 {
 		return nil
@@ -95,7 +95,7 @@
 	return uniqueByKey(normalized, asJSON[Import])
 }
 
-// checkPatterns adds a finding for each malformed pattern in a mesh's terms. use is what the patterns are for.
+// checkPatterns adds a finding for each malformed pattern in a mesh's terms. use names the setting in the findings.
 func (v *validation) checkPatterns(mesh, use string, patterns []string) {
 	for _, pattern := range patterns {
 		if _, err := path.Match(pattern, ""); err != nil || !utf8.ValidString(pattern) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// acceptLosses marks the lost meshes. A loss counts from its time on; of several of a mesh the latest counts.
+// acceptLosses marks the lost meshes. It ignores losses later than the agreed time, and uses the latest loss of each mesh.
 func (v *validation) acceptLosses(lost []Loss) {
 	since := map[string]int64{}
 	for _, l := range lost {
@@ -122,7 +122,7 @@
 		}
 		p.tombstoneExpired = p.lost && v.nowUS >= p.lostUS+tombstoneUS
 		if p.lost && !p.tombstoneExpired {
-			v.add(MeshLost, p.name(), "", "mesh %s is lost since %s of agreed time; its names keep their meaning until %s", p.name(),
+			v.add(MeshLost, p.name(), "", "mesh %s has been lost since %s of agreed time; its names still resolve until %s", p.name(),
 				formatTime(p.lostUS), formatTime(p.lostUS+tombstoneUS))
 		}
 	}
--- a/internal/catalog/validate_names.go
+++ b/internal/catalog/validate_names.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// limitNames leaves one record of each of a mesh's names, drops invalid aliases, and applies the limit of its terms to its
+// limitNames reduces a mesh's records to one per name, drops invalid aliases, and applies the limit of the mesh's terms to its
 // services and, separately, to its aliases.
 func (v *validation) limitNames(p *publisher) {
 	if !p.isActive() {
@@ -24,8 +24,8 @@
 	p.aliases = applyLimit(v, p, "aliases", p.aliases, limit, v.hadAlias, func(a Alias) string { return a.Name })
 }
 
-// uniqueServices leaves one service of each name in a sorted list, in place: that of the previous state's owner, or else
-// the first by its contents.
+// uniqueServices reduces a sorted list in place to one service per name: the service of the owner in the previous state, or
+// else the first by encoded contents.
 func (v *validation) uniqueServices(p *publisher, services []*Service) []*Service {
 	unique := services[:0]
 	for i := 0; i < len(services); {
@@ -51,14 +51,14 @@
 	return unique
 }
 
-// isValidAlias reports whether a mesh's alias can be kept, and adds a finding where it cannot. One that the terms do not let the
-// mesh export is dropped without a finding.
+// isValidAlias reports whether a mesh's alias is kept, and adds a finding if it is not. An alias that the terms do not allow the
+// mesh to export is dropped without a finding.
 func (v *validation) isValidAlias(p *publisher, a Alias) bool {
 	mesh := p.name()
 	short, qualifier := splitName(a.To)
 	switch {
 	case !ValidName(a.Name) || !ValidName(short) || strings.Contains(a.To, ".") && !ValidName(qualifier):
-		v.add(BadName, mesh, a.Name, "alias %.140q for %.140q: one of them is malformed as a name", a.Name, a.To)
+		v.add(BadName, mesh, a.Name, "alias %.140q for %.140q: one of the two is not a valid name", a.Name, a.To)
 	case a.Name == a.To:
 		v.add(AliasLoop, mesh, a.Name, "alias %s is an alias of itself", a.Name)
 	case p.service(a.Name) != nil:
@@ -69,7 +69,7 @@
 	return false
 }
 
-// uniqueAliases leaves the first alias of each name in a sorted list, in place.
+// uniqueAliases reduces a sorted list in place to the first alias of each name.
 func (v *validation) uniqueAliases(p *publisher, aliases []Alias) []Alias {
 	unique := aliases[:0]
 	for _, a := range aliases {
@@ -83,8 +83,8 @@
 	return unique
 }
 
-// previousOwner returns the owner of a mesh's service of a name in the previous state, even of one that has ended; "" where it
-// had none.
+// previousOwner returns the owner of a mesh's service of a name in the previous state, even if the service has ended, or "" if
+// there was none.
 func (v *validation) previousOwner(p *publisher, name string) string {
 	if e := v.previous.lookup(qualify(name, p.name())); e != nil {
 		return e.Owner
@@ -95,17 +95,18 @@
 	return ""
 }
 
-// hadService reports whether the previous state has a mesh's service of that name and owner.
+// hadService reports whether the previous state contains a mesh's service with the same name and owner.
 func (v *validation) hadService(p *publisher, s *Service) bool {
 	return v.hadEntry(p, s.Name, func(e *Entry) bool { return e.Owner == s.Owner && e.isProvidedBy(p.name()) })
 }
 
-// hadAlias reports whether the previous state has a mesh's alias of that name.
+// hadAlias reports whether the previous state contains a mesh's alias with the same name.
 func (v *validation) hadAlias(p *publisher, a Alias) bool {
 	return v.hadEntry(p, a.Name, func(e *Entry) bool { return slices.Contains(e.PublishedBy, p.name()) })
 }
 
-// hadEntry reports whether the previous state's entry of a mesh's name, short or qualified, matches and has not ended.
+// hadEntry reports whether the previous state contains an entry of a mesh's name, short or qualified, that matches and has not
+// ended.
 func (v *validation) hadEntry(p *publisher, name string, matches func(*Entry) bool) bool {
 	for _, e := range []*Entry{v.previous.lookup(name), v.previous.lookup(qualify(name, p.name()))} {
 		if e != nil && !e.Ended && matches(e) {
@@ -115,8 +116,8 @@
 	return false
 }
 
-// applyLimit reduces a mesh's list, which is sorted by name, to a limit, and adds a finding. Names that the previous state has
-// are kept first, then the list's order decides. what is the plural of T for operators.
+// applyLimit truncates a mesh's list, which is sorted by name, to a limit, and adds a finding if it drops records. It first keeps
+// records that the previous state contains (had), then the first by name. what is the plural of T in the finding.
 func applyLimit[T any](v *validation, p *publisher, what string, list []T, limit int, had func(*publisher, T) bool,
 	name func(T) string) []T {
 	if len(list) <= limit {
--- a/internal/catalog/validate_publications.go
+++ b/internal/catalog/validate_publications.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// candidate is a publication that may be accepted.
+// candidate is a publication that may be accepted, with its digest.
 type candidate struct {
 	*Publication
 	digest string
@@ -14,9 +14,9 @@
 // hasNumber reports whether a publication has this number.
 func (c candidate) hasNumber(epoch, seq uint64) bool { return c.Epoch == epoch && c.Seq == seq }
 
-// acceptPublications accepts the latest publication of each mesh: of those whose contents are unambiguous the one with the
-// highest number. One that is older than the accepted one or contradicts it is rejected; those of lost meshes wait until
-// the mesh returns.
+// acceptPublications accepts the latest publication of each mesh: the one with the highest number among those whose contents
+// are unambiguous. It is rejected if it is older than the accepted one, or has the same number but different contents. The
+// publications of lost meshes are ignored until the mesh returns.
 func (v *validation) acceptPublications(publications []Publication) {
 	byMesh := map[string][]candidate{}
 	for i := range publications {
@@ -34,7 +34,7 @@
 	}
 	slices.Sort(unknown)
 	for _, mesh := range unknown {
-		v.add(UnknownMesh, mesh, "", "its publication is rejected: the federation's terms do not name it")
+		v.add(UnknownMesh, mesh, "", "its publication is rejected: the federation's terms do not contain the mesh")
 	}
 	for _, p := range v.publishers {
 		if p.isActive() {
@@ -43,7 +43,7 @@
 	}
 }
 
-// acceptLatest accepts the first of a mesh's candidates, from the highest number down, that is unambiguous.
+// acceptLatest accepts the candidate of a mesh with the highest number that has unambiguous contents.
 func (v *validation) acceptLatest(p *publisher, candidates []candidate) {
 	slices.SortFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(b.Epoch, a.Epoch), cmp.Compare(b.Seq, a.Seq), cmp.Compare(a.digest, b.digest))
@@ -51,7 +51,7 @@
 	accepted := &p.accepted
 	for len(candidates) > 0 {
 		c := candidates[0]
-		contents := 1 // different ones under this number
+		contents := 1 // number of different contents with this publication number
 		for contents < len(candidates) && candidates[contents].hasNumber(c.Epoch, c.Seq) {
 			contents++
 		}
@@ -59,9 +59,9 @@
 		order := cmp.Or(cmp.Compare(c.Epoch, accepted.Epoch), cmp.Compare(c.Seq, accepted.Seq))
 		switch {
 		case contents > 1:
-			v.add(Contradiction, c.Mesh, "", "publication %d.%d comes with %d different contents; none of them is accepted",
+			v.add(Contradiction, c.Mesh, "", "publication %d.%d has %d different contents; none of them is accepted",
 				c.Epoch, c.Seq, contents)
-			continue // with those of lower numbers
+			continue // with lower numbers
 		case accepted.Digest != "" && order < 0:
 			v.add(OutdatedPublication, c.Mesh, "", "publication %d.%d is rejected: it is older than %d.%d, which was accepted before",
 				c.Epoch, c.Seq, accepted.Epoch, accepted.Seq)
@@ -88,7 +88,7 @@
 	return pointers
 }
 
-// carryOver gives meshes without a new publication what they publish according to the previous state.
+// carryOver sets the services and aliases of meshes without a new publication from the previous state.
 func (v *validation) carryOver() {
 	for i := range v.previous.Entries {
 		if e := &v.previous.Entries[i]; !e.Ended {
@@ -99,7 +99,7 @@
 		if p.hasNewPublication {
 			continue
 		}
-		// The entry of a short name precedes the qualified one, and says the same.
+		// The entry of a short name precedes that of the qualified name, and both contain the same record.
 		slices.SortStableFunc(p.services, func(a, b *Service) int { return cmp.Compare(a.Name, b.Name) })
 		p.services = slices.CompactFunc(p.services, func(a, b *Service) bool { return a.Name == b.Name })
 		slices.SortStableFunc(p.aliases, func(a, b Alias) int { return cmp.Compare(a.Name, b.Name) })
@@ -107,11 +107,11 @@
 	}
 }
 
-// carryOverEntry gives the meshes of a previous entry their services or aliases of its name.
+// carryOverEntry adds a previous entry to the services or aliases of the meshes that published it.
 func (v *validation) carryOverEntry(e *Entry) {
 	short, qualifier := splitName(e.Name)
-	// carriedOver is the publisher of a mesh where the entry applies to it: by the short name, or by the name that is
-	// qualified with the mesh itself.
+	// carriedOver returns the publisher of a mesh, or nil if the mesh does not carry over the entry. The entry applies if its
+	// name is short, or qualified with that mesh.
 	carriedOver := func(mesh string) *publisher {
 		if p := v.publisherByMesh[mesh]; p != nil && !p.hasNewPublication && !p.tombstoneExpired && (qualifier == "" || qualifier == mesh) {
 			return p
--- a/internal/catalog/validate_services.go
+++ b/internal/catalog/validate_services.go
@@ -11,8 +11,8 @@
 	"example.org/micafront/internal/apperror"
 )
 
-// validateServices drops a mesh's services that are invalid, not exported, drained, or of an owner that it may not publish
-// for. Re-exports are left to validateReexports.
+// validateServices drops a mesh's services that are invalid, not exported, drained, or of an owner for which the mesh may not
+// publish. validateReexports checks the owners of re-exports.
 func (v *validation) validateServices(p *publisher) {
 	if !p.isActive() {
 		return
@@ -26,8 +26,8 @@
 	p.services = slices.DeleteFunc(p.services, func(s *Service) bool { return !v.isPublishable(p, s) })
 }
 
-// isPublishable reports whether a mesh's service can be kept, and adds a finding where it cannot. One that the terms do not let
-// the mesh export, and one whose drain has ended, are dropped without a finding.
+// isPublishable reports whether a mesh's service is kept, and adds a finding if it is not. A service that the terms do not allow
+// the mesh to export, or whose drain has ended, is dropped without a finding.
 func (v *validation) isPublishable(p *publisher, s *Service) bool {
 	mesh := p.name()
 	if kind, fault := findFault(s); kind != nil {
@@ -50,11 +50,11 @@
 }
 
 func (v *validation) addUnauthorizedClaim(mesh string, s *Service) {
-	v.add(UnauthorizedClaim, mesh, s.Name, "service %s is %s's, for whom %s may publish, not %s", s.Name, s.Owner,
-		cmp.Or(strings.Join(v.meshesByOwner[s.Owner], ", "), "no mesh"), mesh)
+	v.add(UnauthorizedClaim, mesh, s.Name, "mesh %s may not publish service %s of owner %s; meshes whose terms list this owner: %s",
+		mesh, s.Name, s.Owner, cmp.Or(strings.Join(v.meshesByOwner[s.Owner], ", "), "none"))
 }
 
-// mayPublishFor reports whether a mesh may publish an owner's services as its own.
+// mayPublishFor reports whether the terms allow a mesh to publish an owner's services as its own.
 func (v *validation) mayPublishFor(p *publisher, owner string) bool {
 	if len(p.terms.Owners) > 0 {
 		return slices.Contains(p.terms.Owners, owner)
@@ -62,10 +62,10 @@
 	return len(v.meshesByOwner[owner]) == 0
 }
 
-// findFault returns what is wrong with a service's record, for a finding; nil where it is valid.
+// findFault returns the kind and text of a finding about an invalid service record. kind is nil if the record is valid.
 func findFault(s *Service) (kind *apperror.Kind, text string) {
 	if !ValidName(s.Name) {
-		return BadName, fmt.Sprintf("service %.140q is malformed as a name", s.Name)
+		return BadName, fmt.Sprintf("service %.140q is not a valid name", s.Name)
 	}
 	pool := &s.Pool
 	selector := &s.Pool.Select
@@ -88,15 +88,15 @@
 	case pool.MaxOpen < 0 || pool.MaxWaiting < 0:
 		return BadService, fmt.Sprintf("its pool has a limit below 0: max_open %d, max_waiting %d", pool.MaxOpen, pool.MaxWaiting)
 	case len(selector.Cells) > maxListEntries:
-		return BadService, fmt.Sprintf("its pool selects %d cells, %d at most", len(selector.Cells), maxListEntries)
+		return BadService, fmt.Sprintf("its pool selects %d cells; at most %d are allowed", len(selector.Cells), maxListEntries)
 	case !selector.HasValidSizes():
-		return BadService, fmt.Sprintf("its pool selects sizes from %v to %v, which is no range of finite sizes of 0 or more",
+		return BadService, fmt.Sprintf("its pool selects sizes from %v to %v, which is not a range of finite sizes of 0 or more",
 			selector.SizeFrom, selector.SizeTo)
 	}
 	return nil, ""
 }
 
-// repeatedMesh returns a mesh that a re-export passes twice; "" where there is none. Via may begin with the origin.
+// repeatedMesh returns a mesh that a re-export passes through twice, or "" if there is none. Via may begin with the origin.
 func repeatedMesh(mesh string, s *Service) string {
 	if s.Origin == "" && len(s.Via) == 0 {
 		return ""
@@ -116,8 +116,8 @@
 	return ""
 }
 
-// validateReexports drops a mesh's re-exports that their origin does not publish, unless the mesh may publish for the owner
-// itself.
+// validateReexports drops a mesh's re-exports that their origin does not publish, unless the terms allow the mesh to publish for
+// the owner.
 func (v *validation) validateReexports(p *publisher) {
 	if !p.isActive() {
 		return
@@ -131,7 +131,7 @@
 	})
 }
 
-// originPublishes reports whether the origin of a re-export publishes that service as its own.
+// originPublishes reports whether the origin of a re-export publishes the same service as its own.
 func (v *validation) originPublishes(s *Service) bool {
 	origin := v.publisherByMesh[s.Origin]
 	if origin == nil {
