--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -17,21 +17,21 @@
 	"pgregory.net/rapid"
 )
 
-// scenario is a federation whose inputs a test changes step by step.
+// scenario is a federation. A test changes its inputs and merges them step by step.
 type scenario struct {
 	t        testing.TB
 	rules    Rules
 	state    *State
 	inputs   Inputs
 	at       time.Duration // agreed time
-	findings []Finding     // of the last step
+	findings []Finding     // of the last merge
 }
 
 func newService(name, owner, contract string) Service {
 	return Service{Name: name, Owner: owner, Contract: contract}
 }
 
-// setMesh sets the terms of a mesh.
+// setMesh adds or replaces the terms of a mesh.
 func (sc *scenario) setMesh(name string, precedence int, change ...func(*Mesh)) {
 	m := Mesh{Name: name, Precedence: precedence}
 	for _, f := range change {
@@ -40,7 +40,7 @@
 	sc.inputs.Meshes = append(slices.DeleteFunc(sc.inputs.Meshes, func(m Mesh) bool { return m.Name == name }), m)
 }
 
-// publish publishes services, given as "name owner contract", and aliases, given as "name>to".
+// publish replaces the publication of a mesh. Records are services, as "name owner contract", or aliases, as "name>to".
 func (sc *scenario) publish(mesh string, records ...string) {
 	sc.t.Helper()
 	p := Publication{Mesh: mesh, Seq: 1}
@@ -61,12 +61,12 @@
 	sc.inputs.Publications = append(sc.inputs.Publications, p)
 }
 
-// edit changes the first service of the latest publication.
-func (sc *scenario) edit(change func(s *Service)) {
+// editFirstService changes the first service of the latest publication.
+func (sc *scenario) editFirstService(change func(s *Service)) {
 	change(&sc.inputs.Publications[len(sc.inputs.Publications)-1].Services[0])
 }
 
-func (sc *scenario) lose(mesh string) {
+func (sc *scenario) loseMesh(mesh string) {
 	sc.inputs.Lost = append(sc.inputs.Lost, Loss{Mesh: mesh, Since: sc.at})
 }
 
@@ -74,14 +74,14 @@
 	sc.inputs.Lost = slices.DeleteFunc(slices.Clone(sc.inputs.Lost), func(l Loss) bool { return l.Mesh == mesh })
 }
 
-// step lets time pass and merges.
+// step advances the agreed time and merges.
 func (sc *scenario) step(elapsed time.Duration) {
 	sc.at += elapsed
 	sc.state, sc.findings = sc.rules.Merge(sc.state, sc.inputs, sc.at)
 }
 
-// describe formats the entries by name: services as "owner/contract mesh,mesh! status cause", where ! marks a lost one, and
-// aliases as ">to mesh,mesh status cause".
+// describe formats the entries of a state by name: services as "owner/contract mesh,mesh! status cause", where ! marks a lost
+// mesh, and aliases as ">to mesh,mesh status cause".
 func describe(s *State) map[string]string {
 	texts := map[string]string{}
 	for _, e := range s.Entries {
@@ -102,7 +102,7 @@
 	return texts
 }
 
-// wantEntries checks the entries, given as "name: description".
+// wantEntries compares the entries with entries, given as "name: text" where text is formatted as by describe.
 func (sc *scenario) wantEntries(what string, entries ...string) {
 	sc.t.Helper()
 	want := map[string]string{}
@@ -113,7 +113,7 @@
 	testkit.Equal(sc.t, what, want, describe(sc.state), cmpopts.EquateEmpty())
 }
 
-// wantFindings checks the findings of the last step, given as "kind name-or-mesh".
+// wantFindings compares the findings of the last merge with want, given as "kind name-or-mesh".
 func (sc *scenario) wantFindings(want ...string) {
 	sc.t.Helper()
 	var got []string
@@ -150,13 +150,14 @@
 	testkit.Equal(t, "an hour later", before, sc.state, cmpopts.IgnoreUnexported(State{}))
 }
 
-// precedenceCases are two claims on a name and who must own it. Each planted order must fail one of them.
+// precedenceCases are pairs of claims on a name with the expected owner. Each faulty order in TestPrecedenceAndFaultyOrders
+// fails at least one of them.
 var precedenceCases = []struct {
 	name      string
-	a         string // mesh, its precedence and the owner
-	b         string
+	a         string // mesh, its precedence and the owner, separated by spaces
+	b         string // formatted as a
 	override  Override
-	bIsFirst  bool // b has published before a
+	bIsFirst  bool // b is published and merged before a
 	wantOwner string
 	wantCause string
 }{
@@ -171,8 +172,8 @@
 	{"override for an owner that does not publish", "thies 1 X", "dakar 9 Y", Override{Owner: "Z"}, true, "Y", CausePrecedence},
 }
 
-// precedenceFaults are the cases that fail under these rules.
-func precedenceFaults(t testing.TB, rules Rules) (faults []string) {
+// failedPrecedenceCases returns the precedenceCases that fail with these rules.
+func failedPrecedenceCases(t testing.TB, rules Rules) (faults []string) {
 	t.Helper()
 	for _, c := range precedenceCases {
 		sc := newScenario(t)
@@ -206,9 +207,9 @@
 	return faults
 }
 
-func TestPrecedenceAndPlantedFaults(t *testing.T) {
-	if faults := precedenceFaults(t, Rules{}); faults != nil {
-		t.Errorf("%q", faults)
+func TestPrecedenceAndFaultyOrders(t *testing.T) {
+	if faults := failedPrecedenceCases(t, Rules{}); faults != nil {
+		t.Errorf("wrong owners: %q", faults)
 	}
 	for name, compare := range map[string]func(a, b *claimant) int{
 		"lower precedence first": func(a, b *claimant) int {
@@ -219,12 +220,12 @@
 		"owner before mesh name": func(a, b *claimant) int {
 			return cmp.Or(cmp.Compare(b.precedence, a.precedence), cmp.Compare(a.owner, b.owner), compareClaimants(a, b))
 		},
-		"mesh name backwards": func(a, b *claimant) int {
+		"mesh name descending": func(a, b *claimant) int {
 			return cmp.Or(cmp.Compare(b.precedence, a.precedence), cmp.Compare(b.firstMesh, a.firstMesh), compareClaimants(a, b))
 		},
 	} {
-		if precedenceFaults(t, Rules{compare: compare}) == nil {
-			t.Errorf("a planted fault is not noticed: %s", name)
+		if failedPrecedenceCases(t, Rules{compare: compare}) == nil {
+			t.Errorf("no case fails with the faulty order %q", name)
 		}
 	}
 }
@@ -235,7 +236,7 @@
 	sc.publish("dakar", "both Z c1")
 	sc.step(0)
 	sc.publish("dakar", "feed Y c1", "both Z c1")
-	sc.lose("thies")
+	sc.loseMesh("thies")
 	sc.step(time.Minute)
 	sc.wantEntries("lost", "feed: X/c1 thies! tombstone earlier holder", "feed.thies: X/c1 thies! tombstone qualified",
 		"feed.dakar: Y/c1 dakar held qualified", "both: Z/c1 dakar,thies! held sole")
@@ -244,7 +245,7 @@
 	sc.wantEntries("quarantine", "feed: X/c1 thies! quarantine earlier holder", "feed.thies: X/c1 thies! quarantine qualified",
 		"feed.dakar: Y/c1 dakar held qualified", "both: Z/c1 dakar held sole")
 	if _, ok := sc.state.Resolve("feed"); ok {
-		t.Error("a name in quarantine means something")
+		t.Error("a name in quarantine resolves")
 	}
 	returned := *sc
 	returned.returnMesh("thies")
@@ -253,7 +254,7 @@
 		"feed.dakar: Y/c1 dakar held qualified", "both: Z/c1 dakar,thies held sole")
 	sc.step(QuarantineDuration - time.Microsecond)
 	if e := sc.state.lookup("feed"); e.Owner != "X" {
-		t.Errorf("quarantine is cut short: %+v", e)
+		t.Errorf("the quarantine ended too early: %+v", e)
 	}
 	sc.step(time.Microsecond)
 	sc.wantEntries("free", "feed: Y/c1 dakar held sole", "feed.dakar: Y/c1 dakar held qualified", "both: Z/c1 dakar held sole")
@@ -268,7 +269,7 @@
 	sc.publish("thies", "feed X c1", "news>feed")
 	sc.step(time.Minute)
 	sc.inputs.Meshes = sc.inputs.Meshes[:1]
-	for _, at := range []time.Duration{time.Minute, time.Minute} { // its tombstone counts from the first merge without it
+	for _, at := range []time.Duration{time.Minute, time.Minute} { // the tombstone begins at the first merge without the mesh
 		sc.step(at)
 		sc.wantEntries("removed", "feed: X/c1 thies! tombstone sole", "news: >feed thies tombstone sole")
 	}
@@ -294,11 +295,11 @@
 	sc.wantEntries("updated", "feed: X/c2 dakar,thies held sole", "feed.thies: X/c2 dakar,thies held qualified",
 		"feed.dakar: X/c2 dakar,thies held qualified")
 	if e := sc.state.lookup("feed"); e.SinceState != since {
-		t.Errorf("an update made a new owner, since %d", e.SinceState)
+		t.Errorf("an update of the service changed SinceState to %d, want %d", e.SinceState, since)
 	}
 	sc.publish("thies")
 	sc.step(time.Second)
-	sc.wantEntries("one provider less", "feed: X/c2 dakar held sole", "feed.thies: X/c2 thies tombstone qualified",
+	sc.wantEntries("one provider withdrawn", "feed: X/c2 dakar held sole", "feed.thies: X/c2 thies tombstone qualified",
 		"feed.dakar: X/c2 dakar held qualified")
 
 	sc = newScenario(t, "dakar", "thies")
@@ -307,23 +308,23 @@
 	sc.publish("thies", "feed2 X c1", "feed>feed2")
 	sc.step(time.Second)
 	sc.wantEntries("renamed", "feed2: X/c1 thies held sole", "feed: >feed2 thies held sole")
-	sc.publish("thies", "feed Y c1") // another owner's: the name's tombstone and quarantine apply
+	sc.publish("thies", "feed Y c1") // a different owner, so the tombstone and quarantine of the name apply
 	sc.step(time.Second)
-	sc.wantEntries("another owner's", "feed2: X/c1 thies tombstone sole", "feed: >feed2 thies tombstone sole",
+	sc.wantEntries("published by another owner", "feed2: X/c1 thies tombstone sole", "feed: >feed2 thies tombstone sole",
 		"feed.thies: Y/c1 thies held qualified")
 
 	sc = newScenario(t, "dakar", "thies")
 	sc.publish("thies", "feed X c1")
 	sc.step(0)
 	sc.publish("thies", "feed X c1")
-	sc.edit(func(s *Service) { s.DrainBy = time.Hour })
+	sc.editFirstService(func(s *Service) { s.DrainBy = time.Hour })
 	sc.publish("dakar", "feed Y c1")
 	sc.step(time.Minute)
 	sc.wantEntries("drains", "feed: X/c1 thies draining earlier holder", "feed.thies: X/c1 thies draining qualified",
 		"feed.dakar: Y/c1 dakar held qualified")
-	sc.step(time.Hour - time.Minute) // to the moment
+	sc.step(time.Hour - time.Minute) // exactly at the end of the drain
 	if e := sc.state.lookup("feed"); e.Status != StatusTombstone || e.UntilUS != (time.Hour+TombstoneDuration).Microseconds() || !e.Ended {
-		t.Errorf("after its drain: %+v", e)
+		t.Errorf("after the drain, feed is %+v", e)
 	}
 	sc.step(TombstoneDuration + QuarantineDuration)
 	sc.wantEntries("free", "feed: Y/c1 dakar held sole", "feed.dakar: Y/c1 dakar held qualified")
@@ -341,7 +342,7 @@
 		"feed.dakar: Z/c1 dakar,thies held qualified")
 	sc.wantFindings("collision feed", "name-waits feed.thies")
 	testkit.Equal(t, "conflicts", []Conflict{{Mesh: "dakar", Owner: "Z", QualifiedName: "feed.dakar"}, {Mesh: "thies", Owner: "Z"}}, sc.state.lookup("feed").Conflicts)
-	sc.lose("thies") // a conflict of a lost mesh without a qualified name is dropped
+	sc.loseMesh("thies") // a conflict of a lost mesh without a qualified name is dropped
 	for range 2 {
 		sc.step(time.Second)
 		testkit.Equal(t, "conflicts", []Conflict{{Mesh: "dakar", Owner: "Z", QualifiedName: "feed.dakar"}}, sc.state.lookup("feed").Conflicts)
@@ -373,27 +374,27 @@
 			sc.setMesh("thies", 0, owners("X"))
 			sc.publish("thies", "feed X c1")
 			sc.publish("dakar", "feed X c1")
-			sc.edit(func(s *Service) { s.Origin, s.Via = "thies", []string{"thies"} })
+			sc.editFirstService(func(s *Service) { s.Origin, s.Via = "thies", []string{"thies"} })
 		}, []string{"feed: X/c1 dakar,thies held sole"}, nil},
-		{"a re-export of what its origin does not have", func(sc *scenario) {
+		{"a re-export that its origin does not publish", func(sc *scenario) {
 			sc.setMesh("thies", 0, owners("X"))
 			sc.publish("thies", "feed X c1")
 			sc.publish("dakar", "feed X c2")
-			sc.edit(func(s *Service) { s.Origin = "thies" })
+			sc.editFirstService(func(s *Service) { s.Origin = "thies" })
 		}, []string{"feed: X/c1 thies held sole"}, []string{"squatter feed"}},
 		{"a re-export to its origin", func(sc *scenario) {
 			sc.publish("thies", "feed X c1", "chat X c1")
-			sc.edit(func(s *Service) { s.Origin, s.Via = "dakar", []string{"thies"} })
+			sc.editFirstService(func(s *Service) { s.Origin, s.Via = "dakar", []string{"thies"} })
 		}, []string{"chat: X/c1 thies held sole"}, []string{"re-export-loop feed"}},
 		{"a re-export that passes a mesh twice", func(sc *scenario) {
 			sc.publish("thies", "feed X c1")
-			sc.edit(func(s *Service) { s.Origin, s.Via = "dakar", []string{"a", "b", "a"} })
+			sc.editFirstService(func(s *Service) { s.Origin, s.Via = "dakar", []string{"a", "b", "a"} })
 		}, nil, []string{"re-export-loop feed"}},
 		{"a re-export that passes its origin again", func(sc *scenario) {
 			sc.publish("thies", "feed X c1")
-			sc.edit(func(s *Service) { s.Origin, s.Via = "dakar", []string{"a", "dakar"} })
+			sc.editFirstService(func(s *Service) { s.Origin, s.Via = "dakar", []string{"a", "dakar"} })
 		}, nil, []string{"re-export-loop feed"}},
-		{"a cycle of aliases of two meshes, and one that leads into it", func(sc *scenario) {
+		{"a cycle of aliases of two meshes, and an alias that leads into it", func(sc *scenario) {
 			sc.publish("thies", "a>b", "x>a", "feed X c1")
 			sc.publish("dakar", "b>a")
 		}, []string{"feed: X/c1 thies held sole"}, []string{"alias-loop b", "alias-loop a", "alias-loop x"}},
@@ -404,12 +405,12 @@
 			sc.publish("dakar", "a>none")
 			sc.publish("thies", "a>feed", "feed X c1")
 		}, []string{"a: >feed thies held sole", "feed: X/c1 thies held sole"}, []string{"unknown-service a"}},
-		{"aliases of the same and of a service", func(sc *scenario) {
+		{"two meshes with the same alias, and an alias that conflicts with a service", func(sc *scenario) {
 			sc.publish("thies", "news>feed", "feed X c1", "chat>feed")
 			sc.publish("dakar", "news>feed", "chat Y c1")
 		}, []string{"feed: X/c1 thies held sole", "news: >feed dakar,thies held sole", "chat: Y/c1 dakar held mesh name",
 			"chat.dakar: Y/c1 dakar held qualified", "chat.thies: >feed thies held qualified"}, []string{"collision chat"}},
-		{"an alias means its own mesh's service first", func(sc *scenario) {
+		{"an alias prefers the service of its own mesh", func(sc *scenario) {
 			sc.publish("dakar", "feed Y c1")
 			sc.publish("thies", "feed X c1", "news>feed")
 		}, []string{"feed: Y/c1 dakar held mesh name", "feed.dakar: Y/c1 dakar held qualified",
@@ -431,7 +432,7 @@
 			s[4].Zones = []string{"\xff"}
 		}, []string{"s5: X/c thies held sole"},
 			[]string{"bad-service s0", "bad-service s1", "bad-service s2", "bad-service s3", "bad-service s4"}},
-		{"a service twice", func(sc *scenario) { sc.publish("thies", "feed X c2", "feed X c1", "feed X c1") },
+		{"a service published twice", func(sc *scenario) { sc.publish("thies", "feed X c2", "feed X c1", "feed X c1") },
 			[]string{"feed: X/c1 thies held sole"}, []string{"contradiction feed"}},
 		{"exports, one with a malformed pattern", func(sc *scenario) {
 			sc.setMesh("thies", 0, func(m *Mesh) { m.Export = []string{"[", "f*"} })
@@ -476,13 +477,13 @@
 	sc.publish("thies", records...)
 	sc.step(0)
 	if n := len(sc.state.Entries); n != 1+maxAliasChain {
-		t.Errorf("%d entries of a long chain", n)
+		t.Errorf("a long alias chain has %d entries, want %d", n, 1+maxAliasChain)
 	}
 	if e, ok := sc.state.Resolve(fmt.Sprintf("n%d", maxAliasChain)); !ok || e.Name != "n0" {
 		t.Errorf("the longest chain resolves to %+v", e)
 	}
 	if len(sc.findings) != maxFindings+1 {
-		t.Errorf("%d findings", len(sc.findings))
+		t.Errorf("%d findings, want %d", len(sc.findings), maxFindings+1)
 	}
 }
 
@@ -525,15 +526,15 @@
 		{"a replay", []Publication{first}, []string{"old-publication thies"}},
 		{"no publication", nil, nil},
 		{"the same number with other contents", []Publication{contradicting}, []string{"contradiction thies"}},
-		{"two of a number", []Publication{later, laterContradicting}, []string{"contradiction thies"}},
-		{"two of a number above the accepted one", []Publication{later, latest, laterContradicting}, []string{"contradiction thies"}},
+		{"two publications with one number", []Publication{later, laterContradicting}, []string{"contradiction thies"}},
+		{"two publications with one number above the accepted one", []Publication{later, latest, laterContradicting}, []string{"contradiction thies"}},
 	} {
 		sc.inputs.Publications = test.publications
 		sc.step(time.Second)
 		testkit.Equal(t, test.name, accepted, describe(sc.state))
 		sc.wantFindings(test.findings...)
 		if sc.state.Number != number {
-			t.Errorf("%s: number %d", test.name, sc.state.Number)
+			t.Errorf("%s: the state has number %d, want %d", test.name, sc.state.Number, number)
 		}
 	}
 	sc.inputs.Publications = []Publication{latest, restarted}
@@ -554,12 +555,12 @@
 	}{{"some", "feed", true}, {"some", "news", true}, {"some", "chat", false}, {"all", "chat", true}, {"thies", "chat", true},
 		{"dakar", "chat", true}, {"", "chat", true}, {"caroni", "chat", false}, {"all", "none", false}} {
 		if _, ok := sc.state.ResolveFor(test.mesh, test.name); ok != test.ok {
-			t.Errorf("%s resolves %s: %v", test.mesh, test.name, ok)
+			t.Errorf("mesh %q resolves %s: %v, want %v", test.mesh, test.name, ok, test.ok)
 		}
 	}
 	e, _ := sc.state.Resolve("feed")
 	if sc.state.IsVisible("some", e, &e.Providers[0]) || !sc.state.IsVisible("some", e, &e.Providers[1]) {
-		t.Error("a provider is seen that is not imported, or an imported one is not")
+		t.Error("a provider that is not imported is visible, or an imported one is not")
 	}
 	set := routing.Set{Pools: []routing.Pool{{Name: "p"}}, Routes: []routing.Route{{Name: "r", To: []routing.SplitShare{share("service:feed", routing.Whole)}}}}
 	if got, err := sc.rules.BindFor(set, sc.state, "", "some"); err != nil || len(got.Pools) != 2 || got.Pools[1].Name != "feed.thies" {
@@ -574,7 +575,7 @@
 		sc.state.ResolveFor("some", "news")
 		sc.state.ResolveFor("some", "chat")
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("resolving names made %v allocations, want 0", n)
 	}
 }
 
@@ -591,12 +592,12 @@
 	}
 	for i, m := range []string{"dakar", "thies", "caroni", "lost"} {
 		sc.publish(m, "feed X c1")
-		sc.edit(pool("z"+m, []float64{0.1, 0.2, 0.3, 0.9}[i]))
+		sc.editFirstService(pool("z"+m, []float64{0.1, 0.2, 0.3, 0.9}[i]))
 	}
 	sc.step(0)
 	sc.publish("dakar", "feed X c1", "chat Y c1", "news>feed")
-	sc.edit(pool("zdakar", 0.1))
-	sc.lose("lost")
+	sc.editFirstService(pool("zdakar", 0.1))
+	sc.loseMesh("lost")
 	sc.step(time.Second)
 	set := routing.Set{Pools: []routing.Pool{{Name: "all"}, {Name: "over"}},
 		Policies: []routing.Policy{{Name: "q", Attempts: 3, Fallback: []string{"over"}}, {Name: "f", Fallback: []string{"over", "service:news", "all"}}},
@@ -638,11 +639,11 @@
 		t.Errorf("a set without services: %+v, %v", same, err)
 	}
 	for name, change := range map[string]func(*routing.Set){
-		"unknown":         func(s *routing.Set) { s.Routes[0].To[0].Pool = "service:none" },
-		"in a policy":     func(s *routing.Set) { s.Policies[1].Fallback[1] = "service:none" },
-		"pool taken":      func(s *routing.Set) { s.Pools[1].Name = "feed.caroni" },
-		"policy taken":    func(s *routing.Set) { s.Policies[1].Name = "service:feed" },
-		"a pool's prefix": func(s *routing.Set) { s.Pools[1].Name = "service:feed" },
+		"unknown":                  func(s *routing.Set) { s.Routes[0].To[0].Pool = "service:none" },
+		"in a policy":              func(s *routing.Set) { s.Policies[1].Fallback[1] = "service:none" },
+		"pool name conflict":       func(s *routing.Set) { s.Pools[1].Name = "feed.caroni" },
+		"policy name conflict":     func(s *routing.Set) { s.Policies[1].Name = "service:feed" },
+		"pool with service prefix": func(s *routing.Set) { s.Pools[1].Name = "service:feed" },
 	} {
 		var bad routing.Set
 		if err := json.Unmarshal([]byte(text), &bad); err != nil {
@@ -668,7 +669,7 @@
 	sc.publish("thies", "feed X c1", "news>feed")
 	sc.step(0)
 	sc.publish("dakar", "feed Y c9")
-	sc.lose("thies")
+	sc.loseMesh("thies")
 	sc.step(time.Minute)
 	for name, parts := range map[string][]string{
 		"feed":       {"X", "c1", "thies", "lost", "held the name before", "since state 1", "tombstone until 10m0s", "Y's of dakar, known as feed.dakar"},
@@ -688,7 +689,7 @@
 	}
 }
 
-func TestDamagedStates(t *testing.T) {
+func TestInvalidStates(t *testing.T) {
 	for _, text := range []string{`{"entries":[{"name":"b"},{"name":"a"}]}`, `{"entries":[{"name":"a"},{"name":"a"}]}`,
 		`{"meshes":[{"mesh":""}]}`, `{"entries":7}`} {
 		var s State
@@ -698,20 +699,21 @@
 	}
 	s := State{Entries: []Entry{{Name: "a", AliasOf: "b", Status: StatusHeld}, {Name: "b", AliasOf: "a", Status: StatusHeld}}}
 	if _, ok := s.Resolve("a"); ok || !strings.Contains(s.Explain("a"), "in a row") {
-		t.Error("a cycle resolves")
+		t.Error("a cycle of aliases resolves")
 	}
-	next, _ := Rules{}.Merge(&s, Inputs{}, 0) // a state that Merge did not make
+	next, _ := Rules{}.Merge(&s, Inputs{}, 0) // previous state not made by Merge
 	if e := next.lookup("a"); e == nil || e.Status != StatusTombstone {
 		t.Errorf("a is %+v", e)
 	}
 }
 
-// drawStep draws a change of the inputs. There are so few names that claims conflict. seqs has the next number of each mesh.
+// drawStep draws a change of the inputs. It draws from few names, so that claims conflict. seqs holds the last sequence number of
+// each mesh.
 func drawStep(rt *rapid.T, in *Inputs, seqs map[string]uint64, at time.Duration) {
 	pick := func(label string, from ...string) string { return rapid.SampledFrom(from).Draw(rt, label) }
 	meshes := []string{"m1", "m2", "m3"}
 	mesh := pick("mesh", meshes...)
-	switch pick("what", "publish", "publish", "publish", "lose", "find", "terms", "part", "rule") {
+	switch pick("what", "publish", "publish", "publish", "lose", "return", "terms", "terms", "override") {
 	case "publish":
 		seqs[mesh]++
 		p := Publication{Mesh: mesh, Seq: seqs[mesh]}
@@ -733,24 +735,24 @@
 	case "lose":
 		age := rapid.SampledFrom([]time.Duration{0, time.Minute, time.Hour}).Draw(rt, "since")
 		in.Lost = append(in.Lost, Loss{Mesh: mesh, Since: max(0, at-age)})
-	case "find":
+	case "return":
 		in.Lost = slices.DeleteFunc(in.Lost, func(l Loss) bool { return l.Mesh == mesh })
-	case "terms", "part":
+	case "terms":
 		in.Meshes = slices.DeleteFunc(in.Meshes, func(m Mesh) bool { return m.Name == mesh })
-		if pick("in", "yes", "yes", "no") == "yes" {
+		if pick("member", "yes", "yes", "no") == "yes" {
 			in.Meshes = append(in.Meshes, Mesh{Name: mesh, Precedence: rapid.IntRange(0, 2).Draw(rt, "precedence"),
 				MaxServices: rapid.IntRange(0, 3).Draw(rt, "limit"), Owners: rapid.SampledFrom([][]string{nil, nil, {"X"}, {"X", "Y"}}).Draw(rt, "owners"),
 				Import: rapid.SampledFrom([][]Import{nil, {{From: "m1", Names: []string{"b", "a"}}, {From: "m2"}}}).Draw(rt, "import")})
 		}
-	case "rule":
+	case "override":
 		in.Overrides = nil
-		if pick("ruling", "yes", "no") == "yes" {
+		if pick("override", "yes", "no") == "yes" {
 			in.Overrides = []Override{{Name: pick("name", "a", "b"), Owner: pick("owner", "X", "Y"), Mesh: pick("of", "", "m2")}}
 		}
 	}
 }
 
-// checkRandomSteps merges random inputs step by step and checks each step.
+// checkRandomSteps merges random inputs step by step and calls check after each merge.
 func checkRandomSteps(t *testing.T, check func(rt *rapid.T, prev *State, in Inputs, at time.Duration, next *State, found []Finding)) {
 	t.Helper()
 	testkit.Property(t, func(rt *rapid.T) {
@@ -776,25 +778,25 @@
 func TestMergeIgnoresOrderAndDuplicates(t *testing.T) {
 	checkRandomSteps(t, func(rt *rapid.T, prev *State, in Inputs, at time.Duration, next *State, found []Finding) {
 		text := asJSON(&in)
-		shuffled := Inputs{Meshes: mixed(rt, in.Meshes), Publications: mixed(rt, in.Publications), Overrides: mixed(rt, in.Overrides), Lost: mixed(rt, in.Lost)}
+		shuffled := Inputs{Meshes: shuffleWithDuplicates(rt, in.Meshes), Publications: shuffleWithDuplicates(rt, in.Publications), Overrides: shuffleWithDuplicates(rt, in.Overrides), Lost: shuffleWithDuplicates(rt, in.Lost)}
 		for i, p := range shuffled.Publications {
-			shuffled.Publications[i].Services, shuffled.Publications[i].Aliases = mixed(rt, p.Services), mixed(rt, p.Aliases)
+			shuffled.Publications[i].Services, shuffled.Publications[i].Aliases = shuffleWithDuplicates(rt, p.Services), shuffleWithDuplicates(rt, p.Aliases)
 		}
 		other, otherFindings := Rules{}.Merge(prev, shuffled, at)
 		if a, b := asJSON(next), asJSON(other); a != b {
-			rt.Fatalf("order or duplicates matter:\n%s\n%s", a, b)
+			rt.Fatalf("the state depends on order or duplicates:\n%s\n%s", a, b)
 		}
 		if a, b := asJSON(&found), asJSON(&otherFindings); a != b {
 			rt.Fatalf("findings depend on order or duplicates:\n%s\n%s", a, b)
 		}
 		if asJSON(&in) != text {
-			rt.Fatal("the inputs were changed")
+			rt.Fatal("Merge modified the inputs")
 		}
 	})
 }
 
-// mixed shuffles a list and repeats some elements.
-func mixed[T any](rt *rapid.T, list []T) []T {
+// shuffleWithDuplicates returns a shuffled copy of a list with some elements repeated.
+func shuffleWithDuplicates[T any](rt *rapid.T, list []T) []T {
 	if len(list) == 0 {
 		return nil
 	}
@@ -806,12 +808,12 @@
 	checkRandomSteps(t, func(rt *rapid.T, _ *State, in Inputs, at time.Duration, next *State, _ []Finding) {
 		again, _ := Rules{}.Merge(next, in, at)
 		if a, b := asJSON(next), asJSON(again); a != b {
-			rt.Fatalf("merging again changes it:\n%s\n%s", a, b)
+			rt.Fatalf("merging again changes the state:\n%s\n%s", a, b)
 		}
 		text := asJSON(next)
 		var read State
 		if err := json.Unmarshal([]byte(text), &read); err != nil || asJSON(&read) != text {
-			rt.Fatalf("read as %s, %v", asJSON(&read), err)
+			rt.Fatalf("the state decodes to %s, %v", asJSON(&read), err)
 		}
 		for _, e := range next.Entries {
 			got, ok := read.Resolve(e.Name)
@@ -830,14 +832,14 @@
 					}
 				}
 				if m.MaxServices > 0 && n > m.MaxServices && !slices.ContainsFunc(in.Lost, func(l Loss) bool { return l.Mesh == m.Name }) {
-					rt.Fatalf("%s has %d names over its limit", m.Name, n)
+					rt.Fatalf("mesh %s has %d names, over its limit of %d", m.Name, n, m.MaxServices)
 				}
 			}
 		}
 	})
 }
 
-func TestCurrentNamesKeepTheirMeaning(t *testing.T) {
+func TestCurrentNamesKeepTheirOwners(t *testing.T) {
 	checkRandomSteps(t, func(rt *rapid.T, prev *State, in Inputs, at time.Duration, next *State, _ []Finding) {
 		if prev == nil {
 			return
@@ -853,27 +855,27 @@
 				return m.Lost && m.LostSinceUS+tombstoneUS+quarantineUS <= at.Microseconds()
 			}))
 			if expired {
-				continue // lost or drained for longer, as of the agreed time
+				continue // lost or drained longer ago than tombstone and quarantine last
 			}
 			n := next.lookup(e.Name)
 			switch {
 			case n == nil:
-				rt.Fatalf("%s is gone: it was %+v", e.Name, e)
+				rt.Fatalf("%s has no entry; it was %+v", e.Name, e)
 			case n.AliasOf == "" && e.AliasOf == "" && n.Owner != e.Owner:
-				rt.Fatalf("%s went from %+v to %+v", e.Name, e, n)
+				rt.Fatalf("%s changed its owner from %+v to %+v", e.Name, e, n)
 			case n.AliasOf == "" && e.AliasOf == "" && n.Contract != e.Contract && !slices.ContainsFunc(n.Providers, func(h Provider) bool {
 				return slices.ContainsFunc(e.Providers, func(o Provider) bool { return o.Mesh == h.Mesh })
 			}):
-				rt.Fatalf("%s went to another mesh's contract, from %+v to %+v", e.Name, e, n)
+				rt.Fatalf("%s changed to the contract of another mesh, from %+v to %+v", e.Name, e, n)
 			case n.AliasOf != "" && e.AliasOf != "" && !slices.ContainsFunc(n.PublishedBy, func(m string) bool { return slices.Contains(e.PublishedBy, m) }):
-				rt.Fatalf("alias %s went from %+v to %+v", e.Name, e, n)
+				rt.Fatalf("alias %s changed its publishers from %+v to %+v", e.Name, e, n)
 			}
 		}
 	})
 }
 
-// A mesh that is partitioned and returns with changes ends in the same meanings, whether or not it was seen as lost.
-func TestPartitionsHeal(t *testing.T) {
+// A mesh that returns from a partition with changes results in the same entries, whether or not it was reported as lost.
+func TestPartitionedMeshRecovers(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		sc := newScenario(t, "m1", "m2")
 		names := []string{"a", "b", "c", "d"}
@@ -889,8 +891,8 @@
 		sc.publish("m2", draw("Y")...)
 		sc.step(0)
 		before := maps.Clone(describe(sc.state))
-		unnoticed := *sc // without the loss
-		sc.lose("m2")
+		unnoticed := *sc // the partition is not reported as a loss
+		sc.loseMesh("m2")
 		sc.step(time.Second)
 		for range rapid.IntRange(0, 3).Draw(rt, "steps") {
 			sc.step(time.Minute)
@@ -906,7 +908,7 @@
 		testkit.Equal(t, "healed", describe(unnoticed.state), describe(sc.state))
 		for name, text := range before {
 			if e := sc.state.lookup(name); e == nil || !strings.HasPrefix(text, e.Owner+"/") {
-				rt.Fatalf("%s was %s, is %+v", name, text, e)
+				rt.Fatalf("%s was %s and is %+v after the partition", name, text, e)
 			}
 		}
 	})
--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -10,7 +10,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// goldenPool has every field set, as do the other values here.
+// goldenPool returns a pool with every field set. The other golden values set every field as well.
 func goldenPool(name string) routing.Pool {
 	return routing.Pool{Name: name, Precedence: 3, Was: []string{"post", "letters"}, MaxOpen: 400, MaxWaiting: 50,
 		Select: routing.Select{Zones: []string{"thies", "dakar"}, MachineTypes: []string{"m2"}, Cells: []int{7, 9},
@@ -41,7 +41,7 @@
 			Import: []Import{{From: "dakar", Names: []string{"chat"}}}, Lost: true, LostSinceUS: 60_000_000}}}
 }
 
-// Each JSON form of the package keeps its bytes.
+// The JSON encodings of the package must not change, since replicas of other releases and stored states use them.
 func TestGoldenEncodings(t *testing.T) {
 	for file, check := range map[string]func(t *testing.T, file string){
 		"publication.json": testkit.PinnedEncoding(goldenPublication()),
@@ -59,7 +59,7 @@
 	}
 }
 
-// The digest of a publication is kept in states and compared between releases.
+// The digest of a publication must not change, since states store it and a later release compares it.
 func TestGoldenPublicationDigest(t *testing.T) {
 	var decoded Publication
 	if err := json.Unmarshal(testkit.GoldenFile(t, "publication.json"), &decoded); err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Statuses and causes as they are encoded, and the kinds of findings as they are sent.
+// The encoded statuses and causes and the kinds of findings must not change, since other programs read them.
 func TestGoldenNames(t *testing.T) {
 	testkit.Equal(t, "statuses", []string{"held", "draining", "tombstone", "quarantine"},
 		[]string{StatusHeld, StatusDraining, StatusTombstone, StatusQuarantine})
--- a/internal/catalog/measure/main.go
+++ b/internal/catalog/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure measures what the catalog costs: merging, resolving and binding at full size, and adversarial input. It
-// writes a page with the command, the seed and the commit.
+// Command measure benchmarks the catalog: merging, encoding, binding and resolving at full size, and adversarial inputs. It
+// writes a Markdown page with the results, the command, the seed and the commit.
 package main
 
 import (
@@ -31,8 +31,8 @@
 	changedContracts   = 50
 )
 
-// newFederation makes the meshes' publications. A twentieth of the names is shared by two meshes, half of these as providers
-// of one service and half as conflicts, and each mesh has an alias for a tenth of its services.
+// newFederation returns the terms and publications of the meshes. Two meshes share a twentieth of the names: half of these as
+// providers of one service, half as conflicts. Each mesh publishes aliases for a tenth of its services.
 func newFederation(seed uint64) catalog.Inputs {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var inputs catalog.Inputs
@@ -44,7 +44,7 @@
 			owner := fmt.Sprintf("owner%d-%d", m, i%40)
 			name := fmt.Sprintf("service-%d-%d", m, i)
 			switch {
-			case i%20 == 0 && m > 0 && i%40 == 0: // a second provider of the previous mesh's service
+			case i%20 == 0 && m > 0 && i%40 == 0: // a second provider of the service of the previous mesh
 				owner = fmt.Sprintf("owner%d-%d", m-1, (i+1)%40)
 				name = fmt.Sprintf("service-%d-%d", m-1, i+1)
 			case i%20 == 0 && m > 0:
@@ -63,13 +63,13 @@
 	return inputs
 }
 
-// table collects rows of measurements in Markdown.
+// table collects measurements as rows of a Markdown table.
 type table struct {
 	text   strings.Builder
-	rounds int // of each measurement
+	rounds int // timed calls of each measurement
 }
 
-// processorTime is what this process has used, its garbage collector included.
+// processorTime returns the CPU time that this process has used, including garbage collection, or 0 if it is unknown.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -78,8 +78,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measure adds a row with the fastest, the median and the slowest call, what one call takes of processors and allocates, and
-// the call's result.
+// measure adds a row with the fastest, median and slowest call, the CPU time and allocated memory per call, and the result of
+// the call.
 func (t *table) measure(what string, call func() string) {
 	result := call()
 	var durations []time.Duration
@@ -101,7 +101,7 @@
 		float64(after.TotalAlloc-before.TotalAlloc)/float64(t.rounds)/(1<<20), result)
 }
 
-// loadAverage is the machine's load average of the last minute.
+// loadAverage returns the machine's load average over the last minute.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if first, _, ok := strings.Cut(string(text), " "); err == nil && ok {
@@ -111,10 +111,10 @@
 }
 
 func main() {
-	seed := flag.Uint64("seed", 1, "seed of the catalogs")
-	rounds := flag.Int("rounds", 21, "rounds of each row")
-	commit := flag.String("commit", cmp.Or(stats.Commit(7), "unknown"), "commit that the page names")
-	out := flag.String("out", "", "file to write; none: standard output")
+	seed := flag.Uint64("seed", 1, "seed of the generated publications")
+	rounds := flag.Int("rounds", 21, "timed calls for each row")
+	commit := flag.String("commit", cmp.Or(stats.Commit(7), "unknown"), "commit hash written to the page")
+	out := flag.String("out", "", "output file; if empty, standard output")
 	flag.Parse()
 	if flag.NArg() > 0 || *rounds < 1 {
 		flag.Usage()
@@ -132,7 +132,7 @@
 	}
 }
 
-// merge is a call that merges.
+// merge returns a function that merges and describes the result.
 func merge(previous *catalog.State, inputs catalog.Inputs, at time.Duration) func() string {
 	return func() string {
 		state, findings := catalog.Rules{}.Merge(previous, inputs, at)
@@ -140,7 +140,7 @@
 	}
 }
 
-// writePage takes all measurements.
+// writePage runs all measurements and returns the page.
 func writePage(seed uint64, rounds int, commit string) (string, error) {
 	t := &table{rounds: rounds}
 	inputs := newFederation(seed)
@@ -159,15 +159,15 @@
 command: go build -o measure ./internal/catalog/measure && GOMAXPROCS=%d ./measure --rounds %d --seed %d --commit $(git rev-parse --short HEAD) --out docs/results/catalog.md
 seed: %d, processors: %d, %s; used: %d, %s
 
-%d meshes with %d services in all; one in twenty is published under a name of the mesh before, half of these as a second
-provider and half as a conflict; %d aliases. Fastest, median and slowest of the rounds, and what one call
-takes of processors (the collector's part in it) and allocates. Where the load is over the number of processors, times are
-of waiting as well.
+%d meshes with %d services in total; one in twenty is published under a name of the previous mesh, half of these as a second
+provider and half as a conflict; %d aliases. The table lists the fastest, median and slowest round, and the CPU time
+(including garbage collection) and allocated memory per call. If the load exceeds the number of processors, the times
+include waiting for a processor.
 
 | step | fastest, ms | median, ms | slowest, ms | processor, ms | MiB | result |
 | --- | --- | --- | --- | --- | --- | --- |
 %s
-Required: less than 50 ms for the first two rows. Adversarial rows are of 100,000 records, of which the limits and rules refuse most.
+Required: less than 50 ms for the first two rows. The adversarial rows publish 100,000 records, most of which the limits and rules reject.
 
 | name resolved | ns | allocations |
 | --- | --- | --- |
@@ -198,7 +198,7 @@
 		return err
 	}
 	t.measure("state written as JSON", func() string {
-		text, _ := json.Marshal(state) // it has succeeded above
+		text, _ := json.Marshal(state) // cannot fail, since it succeeded above
 		return fmt.Sprintf("%d bytes", len(text))
 	})
 	t.measure("state read from JSON and indexed", func() string {
@@ -226,8 +226,8 @@
 	})
 }
 
-// measureAdversarial measures publications that are far over the limits of their mesh's terms, or have long chains of
-// aliases.
+// measureAdversarial measures publications that far exceed the limits of their mesh's terms, or contain long chains or cycles
+// of aliases.
 func measureAdversarial(t *table) {
 	flood := catalog.Publication{Mesh: "mesh00", Epoch: 9, Seq: 1}
 	chain := flood
@@ -249,7 +249,7 @@
 	t.measure("adversarial: a cycle of 100,000 aliases", publish(unlimited, cycle))
 }
 
-// benchmarkLookup is a row with what resolving a name costs.
+// benchmarkLookup returns a row with the time and allocations of resolving a name.
 func benchmarkLookup(state *catalog.State, name string) string {
 	result := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -11,7 +11,7 @@
 // publisher is a mesh during a merge: its terms, and the valid services and aliases of its publication.
 type publisher struct {
 	terms             Mesh
-	hasTerms          bool // the terms contain the mesh exactly once
+	hasTerms          bool // the terms contain the mesh, without contradicting entries
 	accepted          AcceptedPublication
 	services          []*Service // sorted by name
 	aliases           []Alias    // sorted by name
