--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -709,7 +709,7 @@
 
 // drawStep draws a change of the inputs. It draws from few names, so that claims conflict. seqs holds the last sequence number of
 // each mesh.
-func drawStep(rt *rapid.T, in *Inputs, seqs map[string]uint64, at time.Duration) {
+func drawStep(rt *rapid.T, inputs *Inputs, seqs map[string]uint64, at time.Duration) {
 	pick := func(label string, from ...string) string { return rapid.SampledFrom(from).Draw(rt, label) }
 	meshes := []string{"m1", "m2", "m3"}
 	mesh := pick("mesh", meshes...)
@@ -729,67 +729,67 @@
 			p.Aliases = append(p.Aliases, Alias{Name: pick("alias", "a", "b", "d", "e"), To: pick("to", "a", "c", "d", "e", "a.m1", "d.m2")})
 		}
 		if pick("keep", "all", "latest", "latest") == "latest" {
-			in.Publications = slices.DeleteFunc(in.Publications, func(o Publication) bool { return o.Mesh == mesh })
+			inputs.Publications = slices.DeleteFunc(inputs.Publications, func(o Publication) bool { return o.Mesh == mesh })
 		}
-		in.Publications = append(in.Publications, p)
+		inputs.Publications = append(inputs.Publications, p)
 	case "lose":
 		age := rapid.SampledFrom([]time.Duration{0, time.Minute, time.Hour}).Draw(rt, "since")
-		in.Lost = append(in.Lost, Loss{Mesh: mesh, Since: max(0, at-age)})
+		inputs.Lost = append(inputs.Lost, Loss{Mesh: mesh, Since: max(0, at-age)})
 	case "return":
-		in.Lost = slices.DeleteFunc(in.Lost, func(l Loss) bool { return l.Mesh == mesh })
+		inputs.Lost = slices.DeleteFunc(inputs.Lost, func(l Loss) bool { return l.Mesh == mesh })
 	case "terms":
-		in.Meshes = slices.DeleteFunc(in.Meshes, func(m Mesh) bool { return m.Name == mesh })
+		inputs.Meshes = slices.DeleteFunc(inputs.Meshes, func(m Mesh) bool { return m.Name == mesh })
 		if pick("member", "yes", "yes", "no") == "yes" {
-			in.Meshes = append(in.Meshes, Mesh{Name: mesh, Precedence: rapid.IntRange(0, 2).Draw(rt, "precedence"),
+			inputs.Meshes = append(inputs.Meshes, Mesh{Name: mesh, Precedence: rapid.IntRange(0, 2).Draw(rt, "precedence"),
 				MaxServices: rapid.IntRange(0, 3).Draw(rt, "limit"), Owners: rapid.SampledFrom([][]string{nil, nil, {"X"}, {"X", "Y"}}).Draw(rt, "owners"),
 				Import: rapid.SampledFrom([][]Import{nil, {{From: "m1", Names: []string{"b", "a"}}, {From: "m2"}}}).Draw(rt, "import")})
 		}
 	case "override":
-		in.Overrides = nil
+		inputs.Overrides = nil
 		if pick("override", "yes", "no") == "yes" {
-			in.Overrides = []Override{{Name: pick("name", "a", "b"), Owner: pick("owner", "X", "Y"), Mesh: pick("of", "", "m2")}}
+			inputs.Overrides = []Override{{Name: pick("name", "a", "b"), Owner: pick("owner", "X", "Y"), Mesh: pick("of", "", "m2")}}
 		}
 	}
 }
 
 // checkRandomSteps merges random inputs step by step and calls check after each merge.
-func checkRandomSteps(t *testing.T, check func(rt *rapid.T, prev *State, in Inputs, at time.Duration, next *State, found []Finding)) {
+func checkRandomSteps(t *testing.T, check func(rt *rapid.T, previous *State, inputs Inputs, at time.Duration, next *State, findings []Finding)) {
 	t.Helper()
 	testkit.Property(t, func(rt *rapid.T) {
-		var in Inputs
+		var inputs Inputs
 		for _, m := range []string{"m1", "m2", "m3"} {
-			in.Meshes = append(in.Meshes, Mesh{Name: m})
+			inputs.Meshes = append(inputs.Meshes, Mesh{Name: m})
 		}
-		var prev *State
+		var previous *State
 		var at time.Duration
 		seqs := map[string]uint64{}
 		for range rapid.IntRange(1, 8).Draw(rt, "steps") {
 			for range rapid.IntRange(1, 3).Draw(rt, "changes") {
-				drawStep(rt, &in, seqs, at)
+				drawStep(rt, &inputs, seqs, at)
 			}
-			next, found := Rules{}.Merge(prev, in, at)
-			check(rt, prev, in, at, next, found)
-			prev = next
+			next, findings := Rules{}.Merge(previous, inputs, at)
+			check(rt, previous, inputs, at, next, findings)
+			previous = next
 			at += rapid.SampledFrom([]time.Duration{time.Second, time.Minute, TombstoneDuration, TombstoneDuration + QuarantineDuration, time.Hour}).Draw(rt, "later")
 		}
 	})
 }
 
 func TestMergeIgnoresOrderAndDuplicates(t *testing.T) {
-	checkRandomSteps(t, func(rt *rapid.T, prev *State, in Inputs, at time.Duration, next *State, found []Finding) {
-		text := asJSON(&in)
-		shuffled := Inputs{Meshes: shuffleWithDuplicates(rt, in.Meshes), Publications: shuffleWithDuplicates(rt, in.Publications), Overrides: shuffleWithDuplicates(rt, in.Overrides), Lost: shuffleWithDuplicates(rt, in.Lost)}
+	checkRandomSteps(t, func(rt *rapid.T, previous *State, inputs Inputs, at time.Duration, next *State, findings []Finding) {
+		text := asJSON(&inputs)
+		shuffled := Inputs{Meshes: shuffleWithDuplicates(rt, inputs.Meshes), Publications: shuffleWithDuplicates(rt, inputs.Publications), Overrides: shuffleWithDuplicates(rt, inputs.Overrides), Lost: shuffleWithDuplicates(rt, inputs.Lost)}
 		for i, p := range shuffled.Publications {
 			shuffled.Publications[i].Services, shuffled.Publications[i].Aliases = shuffleWithDuplicates(rt, p.Services), shuffleWithDuplicates(rt, p.Aliases)
 		}
-		other, otherFindings := Rules{}.Merge(prev, shuffled, at)
+		other, otherFindings := Rules{}.Merge(previous, shuffled, at)
 		if a, b := asJSON(next), asJSON(other); a != b {
 			rt.Fatalf("the state depends on order or duplicates:\n%s\n%s", a, b)
 		}
-		if a, b := asJSON(&found), asJSON(&otherFindings); a != b {
+		if a, b := asJSON(&findings), asJSON(&otherFindings); a != b {
 			rt.Fatalf("findings depend on order or duplicates:\n%s\n%s", a, b)
 		}
-		if asJSON(&in) != text {
+		if asJSON(&inputs) != text {
 			rt.Fatal("Merge modified the inputs")
 		}
 	})
@@ -805,34 +805,34 @@
 }
 
 func TestMergedStatesAreConsistent(t *testing.T) {
-	checkRandomSteps(t, func(rt *rapid.T, _ *State, in Inputs, at time.Duration, next *State, _ []Finding) {
-		again, _ := Rules{}.Merge(next, in, at)
+	checkRandomSteps(t, func(rt *rapid.T, _ *State, inputs Inputs, at time.Duration, next *State, _ []Finding) {
+		again, _ := Rules{}.Merge(next, inputs, at)
 		if a, b := asJSON(next), asJSON(again); a != b {
 			rt.Fatalf("merging again changes the state:\n%s\n%s", a, b)
 		}
 		text := asJSON(next)
-		var read State
-		if err := json.Unmarshal([]byte(text), &read); err != nil || asJSON(&read) != text {
-			rt.Fatalf("the state decodes to %s, %v", asJSON(&read), err)
+		var decoded State
+		if err := json.Unmarshal([]byte(text), &decoded); err != nil || asJSON(&decoded) != text {
+			rt.Fatalf("the state decodes to %s, %v", asJSON(&decoded), err)
 		}
 		for _, e := range next.Entries {
-			got, ok := read.Resolve(e.Name)
-			why := next.Explain(e.Name)
-			if ok == strings.Contains(why, "means nothing") && !strings.Contains(why, "then means nothing") {
-				rt.Fatalf("%s resolves: %v, but: %s", e.Name, ok, why)
+			got, ok := decoded.Resolve(e.Name)
+			reason := next.Explain(e.Name)
+			if ok == strings.Contains(reason, "means nothing") && !strings.Contains(reason, "then means nothing") {
+				rt.Fatalf("%s resolves: %v, but: %s", e.Name, ok, reason)
 			}
-			if ok && (got.AliasOf != "" || len(got.Providers) == 0 || !strings.Contains(why, got.Owner+" with contract "+got.Contract)) {
-				rt.Fatalf("%s resolves to %+v, but: %s", e.Name, got, why)
+			if ok && (got.AliasOf != "" || len(got.Providers) == 0 || !strings.Contains(reason, got.Owner+" with contract "+got.Contract)) {
+				rt.Fatalf("%s resolves to %+v, but: %s", e.Name, got, reason)
 			}
-			for _, m := range in.Meshes {
-				n := 0
-				for _, o := range next.Entries {
-					if _, mesh := splitName(o.Name); mesh == "" && o.Status == StatusHeld && slices.ContainsFunc(o.Providers, func(h Provider) bool { return h.Mesh == m.Name }) {
-						n++
+			for _, m := range inputs.Meshes {
+				count := 0
+				for _, entry := range next.Entries {
+					if _, mesh := splitName(entry.Name); mesh == "" && entry.Status == StatusHeld && slices.ContainsFunc(entry.Providers, func(p Provider) bool { return p.Mesh == m.Name }) {
+						count++
 					}
 				}
-				if m.MaxServices > 0 && n > m.MaxServices && !slices.ContainsFunc(in.Lost, func(l Loss) bool { return l.Mesh == m.Name }) {
-					rt.Fatalf("mesh %s has %d names, over its limit of %d", m.Name, n, m.MaxServices)
+				if m.MaxServices > 0 && count > m.MaxServices && !slices.ContainsFunc(inputs.Lost, func(l Loss) bool { return l.Mesh == m.Name }) {
+					rt.Fatalf("mesh %s has %d names, over its limit of %d", m.Name, count, m.MaxServices)
 				}
 			}
 		}
@@ -840,35 +840,35 @@
 }
 
 func TestCurrentNamesKeepTheirOwners(t *testing.T) {
-	checkRandomSteps(t, func(rt *rapid.T, prev *State, in Inputs, at time.Duration, next *State, _ []Finding) {
-		if prev == nil {
+	checkRandomSteps(t, func(rt *rapid.T, previous *State, inputs Inputs, at time.Duration, next *State, _ []Finding) {
+		if previous == nil {
 			return
 		}
-		for _, e := range prev.Entries {
-			overridden := slices.ContainsFunc(in.Overrides, func(r Override) bool { return r.Name == e.Name })
-			if overridden || e.Status == StatusQuarantine && at.Microseconds() >= e.UntilUS || e.Status == StatusTombstone && at.Microseconds() >= e.UntilUS+quarantineUS {
+		for _, former := range previous.Entries {
+			overridden := slices.ContainsFunc(inputs.Overrides, func(o Override) bool { return o.Name == former.Name })
+			if overridden || former.Status == StatusQuarantine && at.Microseconds() >= former.UntilUS || former.Status == StatusTombstone && at.Microseconds() >= former.UntilUS+quarantineUS {
 				continue
 			}
-			expired := at >= TombstoneDuration+QuarantineDuration && (slices.ContainsFunc(e.Providers, func(h Provider) bool {
-				return h.DrainBy > 0 && h.DrainBy+TombstoneDuration+QuarantineDuration <= at
+			expired := at >= TombstoneDuration+QuarantineDuration && (slices.ContainsFunc(former.Providers, func(p Provider) bool {
+				return p.DrainBy > 0 && p.DrainBy+TombstoneDuration+QuarantineDuration <= at
 			}) || slices.ContainsFunc(next.Meshes, func(m AcceptedPublication) bool {
 				return m.Lost && m.LostSinceUS+tombstoneUS+quarantineUS <= at.Microseconds()
 			}))
 			if expired {
 				continue // lost or drained longer ago than tombstone and quarantine last
 			}
-			n := next.lookup(e.Name)
+			current := next.lookup(former.Name)
 			switch {
-			case n == nil:
-				rt.Fatalf("%s has no entry; it was %+v", e.Name, e)
-			case n.AliasOf == "" && e.AliasOf == "" && n.Owner != e.Owner:
-				rt.Fatalf("%s changed its owner from %+v to %+v", e.Name, e, n)
-			case n.AliasOf == "" && e.AliasOf == "" && n.Contract != e.Contract && !slices.ContainsFunc(n.Providers, func(h Provider) bool {
-				return slices.ContainsFunc(e.Providers, func(o Provider) bool { return o.Mesh == h.Mesh })
+			case current == nil:
+				rt.Fatalf("%s has no entry; it was %+v", former.Name, former)
+			case current.AliasOf == "" && former.AliasOf == "" && current.Owner != former.Owner:
+				rt.Fatalf("%s changed its owner from %+v to %+v", former.Name, former, current)
+			case current.AliasOf == "" && former.AliasOf == "" && current.Contract != former.Contract && !slices.ContainsFunc(current.Providers, func(p Provider) bool {
+				return slices.ContainsFunc(former.Providers, func(o Provider) bool { return o.Mesh == p.Mesh })
 			}):
-				rt.Fatalf("%s changed to the contract of another mesh, from %+v to %+v", e.Name, e, n)
-			case n.AliasOf != "" && e.AliasOf != "" && !slices.ContainsFunc(n.PublishedBy, func(m string) bool { return slices.Contains(e.PublishedBy, m) }):
-				rt.Fatalf("alias %s changed its publishers from %+v to %+v", e.Name, e, n)
+				rt.Fatalf("%s changed to the contract of another mesh, from %+v to %+v", former.Name, former, current)
+			case current.AliasOf != "" && former.AliasOf != "" && !slices.ContainsFunc(current.PublishedBy, func(m string) bool { return slices.Contains(former.PublishedBy, m) }):
+				rt.Fatalf("alias %s changed its publishers from %+v to %+v", former.Name, former, current)
 			}
 		}
 	})
@@ -905,7 +905,7 @@
 			s.publish("m2", changed...)
 			s.step(0)
 		}
-		testkit.Equal(t, "healed", describe(unnoticed.state), describe(sc.state))
+		testkit.Equal(t, "entries after the partition", describe(unnoticed.state), describe(sc.state))
 		for name, text := range before {
 			if e := sc.state.lookup(name); e == nil || !strings.HasPrefix(text, e.Owner+"/") {
 				rt.Fatalf("%s was %s and is %+v after the partition", name, text, e)
--- a/internal/catalog/claimants.go
+++ b/internal/catalog/claimants.go
@@ -7,12 +7,12 @@
 
 // claimant is a service or an alias target, with the claims of all meshes that publish it under the same name.
 type claimant struct {
-	claims     []*claim // by mesh
+	claims     []*claim // sorted by mesh
 	owner      string
 	contract   string
 	isAlias    bool
 	target     string // of an alias: the name that it refers to
-	precedence int    // the highest of its meshes; lost meshes count only if all are lost
+	precedence int    // the highest of its meshes; lost meshes are considered only if all are lost
 	firstMesh  string // the first mesh with that precedence, by name
 	live       bool   // at least one of its meshes is not lost
 	providers  []Provider
@@ -67,7 +67,7 @@
 }
 
 // status returns the status of a name that the claimant owns, and the end of that status in microseconds of agreed time, or
-// 0 if time alone does not end it. For a qualified name, only the mesh named by qualifier counts; qualifier is "" for a short
+// 0 if time alone does not end it. For a qualified name, only the claim of the mesh in qualifier is considered; qualifier is "" for a short
 // name.
 func (k *claimant) status(qualifier string) (status string, untilUS int64) {
 	var drainUS, lostUS int64 // the latest end of a drain and of a tombstone
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -91,8 +91,8 @@
 				d.claimants = []*claimant{k}
 			}
 		}
-		// If a former owner still holds the short name and the mesh was its provider, the pool of the former owner uses this
-		// qualified name.
+		// If a former owner still holds the short name and the mesh was its provider, the former owner's pool uses this qualified
+		// name.
 		former := &shortDecision.entry
 		formerLasts := shortDecision.hasEntry && shortDecision.winner == nil
 		if previous == nil && formerLasts && len(d.claimants) > 0 && former.Owner != d.claimants[0].owner && former.isProvidedBy(mesh) {
--- a/internal/catalog/measure/main.go
+++ b/internal/catalog/measure/main.go
@@ -69,8 +69,8 @@
 	rounds int // timed calls of each measurement
 }
 
-// processorTime returns the CPU time that this process has used, including garbage collection, or 0 if it is unknown.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used, including garbage collection, or 0 if it is unknown.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -85,19 +85,19 @@
 	var durations []time.Duration
 	var before, after runtime.MemStats
 	runtime.GC()
-	startTime := processorTime()
+	cpuStart := cpuTime()
 	runtime.ReadMemStats(&before)
 	for range t.rounds {
 		start := time.Now()
 		call()
 		durations = append(durations, time.Since(start))
 	}
-	used := (processorTime() - startTime) / time.Duration(t.rounds)
+	cpuPerCall := (cpuTime() - cpuStart) / time.Duration(t.rounds)
 	runtime.ReadMemStats(&after)
 	slices.Sort(durations)
 	milliseconds := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	fmt.Fprintf(&t.text, "| %s | %.2f | %.2f | %.2f | %.2f | %.1f | %s |\n", what, milliseconds(durations[0]),
-		milliseconds(durations[len(durations)/2]), milliseconds(durations[len(durations)-1]), milliseconds(used),
+		milliseconds(durations[len(durations)/2]), milliseconds(durations[len(durations)-1]), milliseconds(cpuPerCall),
 		float64(after.TotalAlloc-before.TotalAlloc)/float64(t.rounds)/(1<<20), result)
 }
 
--- a/internal/catalog/resolve.go
+++ b/internal/catalog/resolve.go
@@ -40,8 +40,8 @@
 }
 
 // IsVisible reports whether the proxies of a mesh may use a provider of an entry: the mesh is the provider itself or imports the
-// service from it. If mesh is "", every provider is visible. Import patterns are matched against the short name. No other
-// provider is visible to a mesh that the state does not contain.
+// service from it. If mesh is "", every provider is visible. Import patterns are matched against the short name. A
+// mesh that the state does not contain may use only its own providers.
 func (s *State) IsVisible(mesh string, e *Entry, p *Provider) bool {
 	if mesh == "" || mesh == p.Mesh {
 		return true
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -79,7 +79,7 @@
 	DrainBy          time.Duration `json:"drain_by,omitempty"` // agreed time
 }
 
-// Conflict is a claim on a short name by another claimant than its owner.
+// Conflict is a claim on a short name by a claimant other than its owner.
 type Conflict struct {
 	Mesh          string `json:"mesh"`
 	Owner         string `json:"owner"`
--- a/internal/catalog/validate_publications.go
+++ b/internal/catalog/validate_publications.go
@@ -34,7 +34,7 @@
 	}
 	slices.Sort(unknown)
 	for _, mesh := range unknown {
-		v.add(UnknownMesh, mesh, "", "its publication is rejected: the federation's terms do not contain the mesh")
+		v.add(UnknownMesh, mesh, "", "its publication is rejected: the federation's terms do not name it")
 	}
 	for _, p := range v.publishers {
 		if p.isActive() {
