--- a/internal/controlplane/errors.go
+++ b/internal/controlplane/errors.go
@@ -14,8 +14,8 @@
 	Stopping = apperror.NewKind("keeper/stopping", "ask another replica")
 	// BadRequest means that a request is malformed.
 	BadRequest = apperror.NewKind("keeper/bad-request", "correct what the cause names; docs/FLEET.md lists the calls")
-	// InvalidRules means that no proxy could apply a proposal's settings, routes or catalog.
-	InvalidRules = apperror.NewKind("keeper/broken-rules",
+	// InvalidProposal means that no proxy could apply a proposal's settings, routes or catalog.
+	InvalidProposal = apperror.NewKind("keeper/broken-rules",
 		"correct the member that is named and propose again; micafront config check says the same")
 	// Withdrawn means that a version was withdrawn while the caller waited for it to become active.
 	Withdrawn = apperror.NewKind("keeper/withdrawn", "do what the refusals' causes ask for, or propose again with force")
@@ -43,8 +43,8 @@
 	// DataLocked means that another process uses the data directory.
 	DataLocked = apperror.NewKind("keeper/data-locked",
 		"stop the other replica that runs on this data directory, or give this one a directory of its own")
-	// DataBroken means that the data directory is corrupt or of another format.
-	DataBroken = apperror.NewKind("keeper/data-broken",
+	// DataCorrupted means that the data directory is corrupt or of another format.
+	DataCorrupted = apperror.NewKind("keeper/data-broken",
 		"keep this directory for a report and start the replica on an empty one with --rejoin, while all others are up")
 	// DataFailed means that reading or writing the data directory failed.
 	DataFailed = apperror.NewKind("keeper/data-failed",
--- a/internal/controlplane/replica_test.go
+++ b/internal/controlplane/replica_test.go
@@ -597,14 +597,14 @@
 		kind    *apperror.Kind
 	}{
 		"nothing":            {func(*testing.T, string) {}, nil},
-		"a bit of the state": {edit(metaBucket, stateKey, flip), DataBroken},
-		"a bit of an entry":  {edit(logBucket, indexKey(2), flip), DataBroken},
-		"another form":       {edit(metaBucket, formatKey, func([]byte) []byte { return []byte("\xf2\x1a\x66\x65" + "99") }), DataBroken},
-		"a short count":      {edit(metaBucket, incarnationKey, func(v []byte) []byte { return v[:1] }), DataBroken},
-		"the first pages":    {overwrite(0, 8192), DataBroken},
-		"the other pages":    {overwrite(8192, 1<<40), DataBroken},
-		"the end":            {func(_ *testing.T, path string) { _ = os.Truncate(path, 9000) }, DataBroken},
-		"all of it":          {func(_ *testing.T, path string) { _ = os.WriteFile(path, []byte("not a database"), 0o600) }, DataBroken},
+		"a bit of the state": {edit(metaBucket, stateKey, flip), DataCorrupted},
+		"a bit of an entry":  {edit(logBucket, indexKey(2), flip), DataCorrupted},
+		"another form":       {edit(metaBucket, formatKey, func([]byte) []byte { return []byte("\xf2\x1a\x66\x65" + "99") }), DataCorrupted},
+		"a short count":      {edit(metaBucket, incarnationKey, func(v []byte) []byte { return v[:1] }), DataCorrupted},
+		"the first pages":    {overwrite(0, 8192), DataCorrupted},
+		"the other pages":    {overwrite(8192, 1<<40), DataCorrupted},
+		"the end":            {func(_ *testing.T, path string) { _ = os.Truncate(path, 9000) }, DataCorrupted},
+		"all of it":          {func(_ *testing.T, path string) { _ = os.WriteFile(path, []byte("not a database"), 0o600) }, DataCorrupted},
 		"being a file":       {func(_ *testing.T, path string) { _ = os.Remove(path); _ = os.Mkdir(path, 0o700) }, DataFailed},
 	} {
 		t.Run(what, func(t *testing.T) {
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -45,7 +45,7 @@
 }
 
 // openStore opens the file in a data directory, creating both where needed, and increments the incarnation. It fails with
-// DataLocked, DataBroken or DataFailed.
+// DataLocked, DataCorrupted or DataFailed.
 func openStore(dir string) (*store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, DataFailed.Wrap(dir, err)
@@ -65,7 +65,7 @@
 	case errors.Is(err, bbolterrors.ErrTimeout):
 		return DataLocked.New(s.path, "another process has it open")
 	case isCorruption(err):
-		return DataBroken.Wrap(s.path, err)
+		return DataCorrupted.Wrap(s.path, err)
 	case err != nil:
 		return DataFailed.Wrap(s.path, err)
 	}
@@ -98,7 +98,7 @@
 		return err
 	}
 	if format != nil && string(format) != storeFormat {
-		return DataBroken.New(s.path, "its format is %.20q, and this release reads %q", format, storeFormat)
+		return DataCorrupted.New(s.path, "its format is %.20q, and this release reads %q", format, storeFormat)
 	}
 	if s.incarnation, err = s.lastIncarnation(meta); err != nil {
 		return err
@@ -117,21 +117,21 @@
 	case value == nil:
 		return uint64(time.Now().UnixNano()), nil
 	case len(value) != indexBytes:
-		return 0, DataBroken.New(s.path, "its incarnation has %d bytes", len(value))
+		return 0, DataCorrupted.New(s.path, "its incarnation has %d bytes", len(value))
 	}
 	return binary.BigEndian.Uint64(value), nil
 }
 
 // recoverFaults runs an operation and turns what bbolt makes of a corrupt file, panics and faults of mapped memory, into a
-// DataBroken error. An error of no kind becomes DataFailed.
+// DataCorrupted error. An error of no kind becomes DataFailed.
 func (s *store) recoverFaults(operation func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = DataBroken.New(s.path, "%v", p)
+			err = DataCorrupted.New(s.path, "%v", p)
 		}
 	}()
-	if err = operation(); err != nil && !DataBroken.Of(err) && !DataLocked.Of(err) && !DataFailed.Of(err) {
+	if err = operation(); err != nil && !DataCorrupted.Of(err) && !DataLocked.Of(err) && !DataFailed.Of(err) {
 		err = DataFailed.Wrap(s.path, err)
 	}
 	return err
@@ -147,7 +147,7 @@
 	return bucket.Put(key, append(stored, value...))
 }
 
-// get returns a copy of a value, which lasts beyond the transaction; nil where there is none. The error is DataBroken.
+// get returns a copy of a value, which lasts beyond the transaction; nil where there is none. The error is DataCorrupted.
 func (s *store) get(bucket *bbolt.Bucket, key []byte) ([]byte, error) {
 	stored := bucket.Get(key)
 	if stored == nil {
@@ -156,15 +156,15 @@
 	return s.verifyChecksum(fmt.Sprintf("%s: %.20q", s.path, key), stored)
 }
 
-// verifyChecksum returns a copy of a value without its checksum, or DataBroken.
+// verifyChecksum returns a copy of a value without its checksum, or DataCorrupted.
 func (s *store) verifyChecksum(place string, stored []byte) ([]byte, error) {
 	if len(stored) < checksumBytes || binary.BigEndian.Uint32(stored) != crc32.Checksum(stored[checksumBytes:], castagnoli) {
-		return nil, DataBroken.New(place, "its %d bytes are not those that were written", len(stored))
+		return nil, DataCorrupted.New(place, "its %d bytes are not those that were written", len(stored))
 	}
 	return append([]byte{}, stored[checksumBytes:]...), nil
 }
 
-// Save implements consensus.Saver. The error is DataBroken or DataFailed.
+// Save implements consensus.Saver. The error is DataCorrupted or DataFailed.
 func (s *store) Save(save consensus.Save) error {
 	return s.recoverFaults(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error { return saveTo(tx, save) })
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// Load implements consensus.Storage. The error is DataBroken or DataFailed.
+// Load implements consensus.Storage. The error is DataCorrupted or DataFailed.
 func (s *store) Load() (stored consensus.Stored, err error) {
 	err = s.recoverFaults(func() error {
 		return s.db.View(func(tx *bbolt.Tx) (err error) {
@@ -238,17 +238,17 @@
 	return stored, err
 }
 
-// decodeEntry returns the log entry that is stored under a key. The error is DataBroken.
+// decodeEntry returns the log entry that is stored under a key. The error is DataCorrupted.
 func (s *store) decodeEntry(key, value []byte) (consensus.Entry, error) {
 	if len(key) != indexBytes {
-		return consensus.Entry{}, DataBroken.New(s.path, "the key of a log entry has %d bytes, not %d", len(key), indexBytes)
+		return consensus.Entry{}, DataCorrupted.New(s.path, "the key of a log entry has %d bytes, not %d", len(key), indexBytes)
 	}
 	index := binary.BigEndian.Uint64(key)
 	encoded, err := s.verifyChecksum(fmt.Sprintf("%s: entry %d", s.path, index), value)
 	return consensus.Entry{Index: index, Bytes: encoded}, err
 }
 
-// close releases the file; it does nothing where the file was not opened. The error is DataBroken or DataFailed.
+// close releases the file; it does nothing where the file was not opened. The error is DataCorrupted or DataFailed.
 func (s *store) close() error {
 	if s.db == nil {
 		return nil
--- a/internal/controlplane/validate.go
+++ b/internal/controlplane/validate.go
@@ -20,10 +20,10 @@
 	}
 	bundle, err := configbundle.Decode(body, configbundle.Place{})
 	if err != nil {
-		return InvalidRules.Wrap("proposal", err)
+		return InvalidProposal.Wrap("proposal", err)
 	}
 	if _, err := routing.New(bundle.Routing); err != nil {
-		return InvalidRules.Wrap("proposal: routing", err)
+		return InvalidProposal.Wrap("proposal: routing", err)
 	}
 	return nil
 }
