--- a/internal/controlplane/catalog_test.go
+++ b/internal/controlplane/catalog_test.go
@@ -12,7 +12,7 @@
 	"example.org/micafront/internal/routing"
 )
 
-// service returns a service with a pool of its own name.
+// service returns a service whose pool has the name of the service.
 func service(name, owner string) catalog.Service {
 	return catalog.Service{Name: name, Owner: owner, Contract: name + " of " + owner, Pool: routing.Pool{Name: name}}
 }
@@ -30,13 +30,14 @@
 func (c *cluster) awaitActiveCatalog(i int, what string, satisfied func(Catalog) bool) (current Catalog) {
 	c.t.Helper()
 	c.until(what, func() bool {
-		current = Catalog{} // members that are absent in one answer must not be those of the answer before
+		current = Catalog{} // members absent from this response must not keep the values of the previous one
 		c.get(c.replicas[i], "/v1/catalog", &current)
 		return current.Active && satisfied(current)
 	})
 	return current
 }
 
+// summaryOf returns a name's owner and status, and whether all its providers are lost. It is empty for an unlisted name.
 func (c Catalog) summaryOf(name string) string {
 	for _, entry := range c.Names {
 		if entry.Name == name {
@@ -53,7 +54,7 @@
 	terms := federation.Terms{Meshes: []catalog.Mesh{{Name: "dakar", Precedence: 2},
 		{Name: "thies", Precedence: 1, Owners: []string{"post"}}}}
 	if code, response := cluster.postUntilAvailable(cluster.replicas[next], "/v1/terms", terms, nil); code != 200 {
-		t.Fatalf("%d %+v", code, response)
+		t.Fatalf("the first terms: %d %+v", code, response)
 	}
 	if code, response := cluster.postUntilAvailable(cluster.replicas[leader], "/v1/terms", terms, nil); code != 409 ||
 		response.Kind != "federation/stale-terms" {
@@ -86,21 +87,21 @@
 	var resolution NameResolution
 	if cluster.get(cluster.replicas[next], "/v1/catalog/mail", &resolution); resolution.Entry == nil ||
 		!strings.Contains(resolution.Explanation, "post") {
-		t.Errorf("why: %+v", resolution)
+		t.Errorf("resolution of mail: %+v", resolution)
 	}
 	cluster.kill(leader)
 	cluster.publish(next, "thies", 2, service("mail", "post"), service("feed", "post"))
-	current = cluster.awaitActiveCatalog(next, "what was published without a leader",
+	current = cluster.awaitActiveCatalog(next, "the name that was published after the leader was killed",
 		func(current Catalog) bool { return current.summaryOf("feed") != "" })
 	if current.summaryOf("mail") != "post held false" || current.summaryOf("mail.dakar") != "courier held false" {
 		t.Errorf("after a change of leaders: %+v", current.Names)
 	}
-	// An operator's version keeps the catalog, and neither of the two blocks the other for long.
+	// An operator's version keeps the catalog. Proposals by the operator and of the catalog do not block each other forever.
 	cluster.until("an operator's version", func() bool {
 		code, _ := cluster.post(cluster.replicas[next], "/v1/propose?wait=active", newProposal("", "two"), nil)
 		return code == 200
 	})
-	cluster.awaitActiveCatalog(next, "the catalog beside it", func(current Catalog) bool {
+	cluster.awaitActiveCatalog(next, "the catalog in the operator's version", func(current Catalog) bool {
 		return current.summaryOf("feed") == "post held false"
 	})
 	cluster.restart(leader)
@@ -126,7 +127,7 @@
 		current.Meshes[1].LostSince == 0 {
 		t.Fatalf("while thies is lost: %+v", current)
 	}
-	cluster.until("its return", func() bool { // on a slow machine it may count as lost again
+	cluster.until("the return of thies", func() bool { // on a slow machine thies may count as lost again
 		cluster.publish((leader+1)%3, "thies", 2, service("mail", "post"), service("feed", "post"))
 		current = Catalog{}
 		cluster.get(cluster.replicas[leader], "/v1/catalog", &current)
@@ -136,7 +137,7 @@
 	cluster.get(cluster.replicas[leader], "/v1/history", &history)
 	for _, r := range history.History {
 		if strings.Contains(r.Reason, "courier's") {
-			t.Errorf("mail changed hands: %s", r.Reason)
+			t.Errorf("mail got another owner: %s", r.Reason)
 		}
 	}
 }
--- a/internal/controlplane/endpoint_list_test.go
+++ b/internal/controlplane/endpoint_list_test.go
@@ -21,8 +21,8 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// discoveryProxy forwards to a service discovery. It counts requests, and can switch to another discovery, answer nothing,
-// or answer 503.
+// discoveryProxy forwards requests to a discovery server and counts them. It can switch to another server, leave requests
+// unanswered, or respond with 503.
 type discoveryProxy struct {
 	*httptest.Server
 	mu                   sync.Mutex
@@ -58,7 +58,7 @@
 	return proxy
 }
 
-// switchTo changes the mode, and the backend unless that is nil, and ends the requests in flight.
+// switchTo changes the mode, and also the backend unless to is nil, and cancels the requests in flight.
 func (p *discoveryProxy) switchTo(mode string, to *fakes.DiscoveryServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-func (p *discoveryProxy) count() (calls, most int) {
+func (p *discoveryProxy) count() (calls, maxConcurrent int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls, p.maxConcurrent
@@ -141,7 +141,7 @@
 		}
 		r.cluster.must(json.Unmarshal([]byte(text), &object))
 		if object.Generation < r.listNumber {
-			r.cluster.t.Fatalf("list %d after %d", object.Generation, r.listNumber)
+			r.cluster.t.Fatalf("list %d was sent after list %d", object.Generation, r.listNumber)
 		}
 		if r.listNumber = object.Generation; object.Reset {
 			r.resets++
@@ -156,7 +156,7 @@
 		}
 		return object, true
 	case <-time.After(fakes.WaitTimeout):
-		r.cluster.t.Fatal("the watch sends nothing")
+		r.cluster.t.Fatal("the watch sent nothing in time")
 		return object, false
 	}
 }
@@ -169,19 +169,19 @@
 	}
 }
 
-// awaitList reads until the list has exactly these instances, each as "id lifecycle".
-func (r *watchReader) awaitList(words ...string) {
+// awaitList reads until the list contains exactly the wanted instances, each as "id lifecycle".
+func (r *watchReader) awaitList(want ...string) {
 	r.cluster.t.Helper()
 	for {
 		var got []string
 		for id, lifecycle := range r.lifecycles {
 			got = append(got, id+" "+lifecycle)
 		}
-		if slices.Sort(got); slices.Equal(got, words) {
+		if slices.Sort(got); slices.Equal(got, want) {
 			return
 		}
 		if _, ok := r.next(); !ok {
-			r.cluster.t.Fatalf("the watch ended with %q, not %q", got, words)
+			r.cluster.t.Fatalf("the watch ended at %q, want %q", got, want)
 		}
 	}
 }
@@ -193,7 +193,7 @@
 	return s.EndpointList.Number
 }
 
-// newDiscoveryCluster is a cluster whose leader follows a service discovery.
+// newDiscoveryCluster returns a cluster whose leader watches service discovery through a proxy.
 func newDiscoveryCluster(t *testing.T, proxy *discoveryProxy, change ...func(*Config)) *cluster {
 	cluster := newCluster(t, 3)
 	for i := range cluster.replicas {
@@ -243,7 +243,7 @@
 	second := cluster.leader()
 	reader = cluster.watch(cluster.replicas[second], before)
 	if object, _ := reader.next(); object.Generation < before {
-		t.Errorf("the next leader goes on at %d, after %d", object.Generation, before)
+		t.Errorf("the next leader sent list %d after list %d", object.Generation, before)
 	}
 	registry.Set(instance("s-4", endpointlist.Ready))
 	reader.awaitList("s-1 terminating", "s-2 in_service", "s-3 in_service", "s-4 in_service")
@@ -258,10 +258,10 @@
 	}
 	again := cluster.watch(cluster.replicas[second], reader.listNumber-1)
 	if object, _ := again.next(); object.Reset || object.Generation != reader.listNumber || len(object.Instances) != 1 {
-		t.Errorf("after list %d came list %d, full: %v, %d entries", reader.listNumber-1, object.Generation, object.Reset,
+		t.Errorf("list %d was followed by list %d, full: %v, %d entries", reader.listNumber-1, object.Generation, object.Reset,
 			len(object.Instances))
 	}
-	// Another discovery counts from 1 on: the numbers of the replicated list continue.
+	// Another discovery server numbers its lists from 1. The numbers of the replicated list continue.
 	previous := reader.listNumber
 	proxy.switchTo("", newDiscovery(t, "s-2", "s-9"))
 	reader.awaitList("s-2 in_service", "s-9 in_service")
@@ -278,7 +278,7 @@
 	if t.Logf("%d calls to discovery, %d at a time", calls, maxConcurrent); maxConcurrent > 1 {
 		t.Errorf("%d calls at a time", maxConcurrent)
 	}
-	// A configuration without discovery: the watches end, and leases name no list.
+	// Without a discovery address the watches end, and leases name no list.
 	for i, replica := range cluster.replicas {
 		if cluster.configs[i].Discovery = ""; replica != nil {
 			cluster.must(replica.UpdateAddresses(cluster.configs[i]))
@@ -296,11 +296,12 @@
 	})
 }
 
-// elect makes a replica the leader where elections have no timeout. Its messages may be lost while addresses change.
+// elect makes a replica the leader of a cluster in which no election times out. It campaigns repeatedly, because messages may
+// be lost while addresses change.
 func (c *cluster) elect(i int) {
 	c.t.Helper()
 	tries := 0
-	c.until("its election", func() bool {
+	c.until(fmt.Sprintf("the election of replica %d", i+1), func() bool {
 		leads, err := query(context.Background(), c.replicas[i], func(loop *eventLoop) bool {
 			if tries%200 == 0 && !loop.node.Leading() {
 				loop.recordFatal(loop.node.Campaign())
@@ -313,7 +314,7 @@
 	})
 }
 
-// newClusterLedByFirst is a cluster whose first replica leads, and which has no elections of its own while a test lasts.
+// newClusterLedByFirst returns a cluster whose first replica leads. Its election timeout is longer than a test.
 func newClusterLedByFirst(t *testing.T, proxy *discoveryProxy) *cluster {
 	cluster := newCluster(t, 3)
 	for i := range cluster.replicas {
@@ -327,8 +328,8 @@
 	return cluster
 }
 
-// A leader without a quorum publishes drains and removals, and nothing else. The committed list replaces what it has
-// published.
+// TestDrainsArePublishedWithoutQuorum checks that a leader without a quorum publishes only drains and removals, and that the
+// committed list later replaces them.
 func TestDrainsArePublishedWithoutQuorum(t *testing.T) {
 	registry := newDiscovery(t, "s-1", "s-2", "s-3")
 	proxy := newDiscoveryProxy(t, registry)
@@ -365,7 +366,8 @@
 	next.awaitList("s-1 in_service", "s-3 in_service", "s-4 in_service")
 }
 
-// A watch lasts as long as discovery responds, even with 503, and ends once it does not: proxies then ask it themselves.
+// TestWatchesEndWhenDiscoveryIsLost checks that a watch stays open while discovery responds, even with 503, and ends when it
+// does not, so that proxies query discovery themselves.
 func TestWatchesEndWhenDiscoveryIsLost(t *testing.T) {
 	registry := newDiscovery(t, "s-1")
 	proxy := newDiscoveryProxy(t, registry)
@@ -373,7 +375,7 @@
 	leader := cluster.leader()
 	reader := cluster.watch(cluster.replicas[leader], 0)
 	reader.awaitList("s-1 in_service")
-	timeout := 3 * keepAliveInterval // discovery is asked at least every 2 s
+	timeout := 3 * keepAliveInterval // requests to discovery are at most 2 s apart
 	cluster.replicas[leader].discovery.timeout.Store(int64(timeout))
 	proxy.switchTo("busy", nil)
 	for start := time.Now(); time.Since(start) < timeout+keepAliveInterval; {
@@ -389,10 +391,10 @@
 	cluster.get(cluster.replicas[leader], "/v1/status?local=1", &status)
 	code, response := cluster.get(cluster.replicas[leader], endpointListPath, nil)
 	if status.EndpointList.State != "silent" || code != http.StatusServiceUnavailable || response.Kind != "keeper/no-list" {
-		t.Errorf("%+v, and a call for the list: %d %+v", status.EndpointList, code, response)
+		t.Errorf("status %+v, and a request for the list: %d %+v", status.EndpointList, code, response)
 	}
 	if calls, maxConcurrent := proxy.count(); calls-before > 10 || maxConcurrent > 1 {
-		t.Errorf("a discovery that does not answer got %d requests, %d at a time", calls-before, maxConcurrent)
+		t.Errorf("an unresponsive discovery server got %d requests, %d at a time", calls-before, maxConcurrent)
 	}
 	cluster.replicas[leader].discovery.timeout.Store(int64(time.Minute))
 	proxy.switchTo("", registry)
@@ -400,7 +402,7 @@
 	cluster.watch(cluster.replicas[leader], 0).awaitList("s-1 in_service", "s-2 in_service")
 }
 
-// A watcher that does not read is disconnected, and delays no other.
+// TestUnreadWatchIsClosed checks that a watcher that does not read is disconnected, and does not delay other watchers.
 func TestUnreadWatchIsClosed(t *testing.T) {
 	registry := newDiscovery(t, "s-1")
 	cluster := newClusterLedByFirst(t, newDiscoveryProxy(t, registry))
@@ -419,7 +421,7 @@
 		entry.Weight, entry.MachineType = float64(i+2), strings.Repeat("x", 64<<10)
 		registry.Set(entry)
 		if object, ok := reader.next(); !ok || i > 3000 {
-			t.Fatalf("list %d, %v: after %d changes the watch that is not read is open", object.Generation, ok, i)
+			t.Fatalf("list %d, other watch open: %v: the unread watch is still open after %d changes", object.Generation, ok, i)
 		}
 	}
 	registry.Set(instance("s-2", endpointlist.Ready))
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -33,12 +33,13 @@
 	"go.etcd.io/bbolt"
 )
 
-// The tests in this file pin every form that this package puts on the wire or on disk. The files below testdata/golden
-// were written by the program before its names changed; they are never written again.
+// The tests in this file pin every format that this package uses on the wire and on disk. The files in testdata/golden were
+// written before identifiers of the program were renamed. They must not be regenerated, because they show that no format has
+// changed.
 
-// Values that the answers below share; every field is set.
+// Values that several responses below contain, with every field set.
 var (
-	goldenHead = VersionSummary{Number: 4, Digest: "d4", RollbackOf: 2, ProposedBy: "staff", Reason: "too slow", Force: true, Excluded: []string{"n1"}}
+	goldenVersionSummary = VersionSummary{Number: 4, Digest: "d4", RollbackOf: 2, ProposedBy: "staff", Reason: "too slow", Force: true, Excluded: []string{"n1"}}
 
 	goldenRejection = fleetconfig.Rejection{Kind: "memory/too-heavy", Cause: "too heavy", EstimatedBytes: 20, LimitBytes: 10,
 		LargestRoutes: []string{"all"}}
@@ -56,9 +57,9 @@
 		MaxWaiting: 3}
 )
 
-// goldenAnswers are the bodies of all answers whose types this package owns, and how a value is sent in which no field
-// is set, which tells the members that may be absent.
-var goldenAnswers = []struct {
+// goldenResponses are the bodies of all responses whose types this package declares. zero is the encoding of a value without
+// any field set, which shows the members that are always present.
+var goldenResponses = []struct {
 	file  string
 	zero  string
 	value any
@@ -67,7 +68,8 @@
 		&ProposeResponse{Number: 4, ID: "one", State: "active"}},
 	{"status.json", `{"keeper":0,"leader":0,"term":0,"applied":0,"keepers":null,"members":null}`,
 		&Status{Replica: 1, Leader: 2, Term: 3, Applied: 40, Rejoining: true,
-			Replicas: []Peer{{ID: 2, Address: "127.0.0.1:7002", MatchIndex: 39, Unreachable: true}}, Active: &goldenHead, Proposed: &goldenHead,
+			Replicas: []Peer{{ID: 2, Address: "127.0.0.1:7002", MatchIndex: 39, Unreachable: true}},
+			Active:   &goldenVersionSummary, Proposed: &goldenVersionSummary,
 			Members: []fleetconfig.Member{{Node: "n0", Incarnation: 7, JoinIndex: 12}},
 			Nodes: []fleetconfig.NodeStatus{{Renewal: goldenRenewal, SinceRenewal: 5 * time.Millisecond, Unresponsive: true, Unreachable: true,
 				BlocksProposal: true}}, BlockedBy: []string{"n0"},
@@ -90,7 +92,7 @@
 			Since: 3, Status: "held", Until: 9, Alias: "letters", PublishedBy: []string{"thies"}, Ended: true, Cause: "ruling",
 			Conflicts: []catalog.Conflict{goldenConflict}}}},
 	{"peer.json", `{"id":0,"address":""}`, &Peer{ID: 2, Address: "127.0.0.1:7002", MatchIndex: 39, Unreachable: true}},
-	{"head.json", `{"number":0,"digest":""}`, &goldenHead},
+	{"head.json", `{"number":0,"digest":""}`, &goldenVersionSummary},
 	{"lists.json", `{"number":0,"state":""}`,
 		&EndpointListStatus{Number: 5, Discovery: "127.0.0.1:7100", State: "failing", SinceContactMS: 6, LastError: "it ended", Watches: 2}},
 	{"name.json", `{"name":"","standing":"","cause":""}`, &CatalogName{Name: "mail", Owner: "post", Alias: "letters",
@@ -100,8 +102,8 @@
 		&ErrorResponse{Kind: "keeper/bad-request", Place: "renewal", Cause: "no node", Resolution: "correct it", Leader: 2}},
 }
 
-func TestGoldenAnswers(t *testing.T) {
-	for _, c := range goldenAnswers {
+func TestGoldenResponses(t *testing.T) {
+	for _, c := range goldenResponses {
 		t.Run(c.file, func(t *testing.T) {
 			testkit.CheckAllSet(t, c.file, reflect.ValueOf(c.value))
 			want := testkit.GoldenFile(t, c.file)
@@ -129,7 +131,7 @@
 	}
 }
 
-// goldenRequests are the bodies of all calls that have one, with every field set.
+// goldenRequests are the bodies of all requests that have one, with every field set.
 var goldenRequests = []struct {
 	file  string
 	value any
@@ -169,8 +171,8 @@
 	}
 }
 
-// TestGoldenFaults pins the kinds of errors as they are sent, with the status code of each and the header of a busy one.
-func TestGoldenFaults(t *testing.T) {
+// TestGoldenErrors pins the kinds of errors as they are sent, the status code of each, and the Retry-After header of a 503.
+func TestGoldenErrors(t *testing.T) {
 	cases := []struct {
 		kind *apperror.Kind
 		name string
@@ -239,7 +241,7 @@
 	}
 }
 
-// TestGoldenConfig pins the configuration file: every key, and that no other key is taken.
+// TestGoldenConfig pins the configuration file: it accepts every key, and no other key.
 func TestGoldenConfig(t *testing.T) {
 	want := Config{ID: 1, Listen: "127.0.0.1:7001", Data: "/var/lib/keeper",
 		Peers: map[string]string{"1": "127.0.0.1:7001", "2": "127.0.0.1:7002"}, TickMS: 20, ElectionTicks: 12, HeartbeatTicks: 2,
@@ -251,7 +253,7 @@
 		t.Fatal(err)
 	}
 	testkit.Equal(t, "encoded", string(text), string(encoded)+"\n")
-	want.Rejoin = false // a flag alone sets it
+	want.Rejoin = false // only a flag sets it
 	got, err := ReadConfig(filepath.Join("testdata", "golden", "config.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -270,12 +272,12 @@
 	}
 }
 
-// TestGoldenEnvironment pins the variable that hands on a listener.
+// TestGoldenEnvironment pins the environment variable that passes a listener.
 func TestGoldenEnvironment(t *testing.T) {
 	testkit.Equal(t, "variable", "MICAFRONT_KEEPER_FD", ListenerFDEnv)
 }
 
-// TestGoldenFrame pins the message between keepers, and the request that carries it.
+// TestGoldenFrame pins the frame between replicas, the request that carries it, and a forwarded request.
 func TestGoldenFrame(t *testing.T) {
 	want := frame{From: 1, To: 2, Messages: [][]byte{[]byte("first"), {1, 2, 3, 255}}}
 	testkit.CheckAllSet(t, "frame", reflect.ValueOf(want))
@@ -293,8 +295,8 @@
 	testkit.Equal(t, "decoded and encoded again", text, again)
 
 	type request struct {
-		line, kind, hop string
-		body            []byte
+		line, contentType, forwardedBy string
+		body                           []byte
 	}
 	requests := make(chan request, 2)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -303,28 +305,28 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer server.Close()
-	net := newTransport(1, map[uint64]string{1: "127.0.0.1:1", 2: server.Listener.Addr().String()}, newMetrics(),
+	sender := newTransport(1, map[uint64]string{1: "127.0.0.1:1", 2: server.Listener.Addr().String()}, newMetrics(),
 		func(uint64, bool, bool) {})
-	defer net.close()
+	defer sender.close()
 	var next batch
 	for _, m := range want.Messages {
 		next.add(consensus.Message{To: 2, Bytes: m})
 	}
-	if err := net.sendBatch(net.peers[2], next); err != nil {
+	if err := sender.sendBatch(sender.peers[2], next); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Equal(t, "request between keepers", fmt.Sprint(request{"POST /v1/peer", "application/cbor", "", text}),
+	testkit.Equal(t, "request between replicas", fmt.Sprint(request{"POST /v1/peer", "application/cbor", "", text}),
 		fmt.Sprint(<-requests))
-	resp, err := net.forward(t.Context(), 2, "POST", "/v1/renew", []byte("{}"))
+	resp, err := sender.forward(t.Context(), 2, "POST", "/v1/renew", []byte("{}"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	testkit.Equal(t, "forwarded call", fmt.Sprint(request{"POST /v1/renew", "application/json", "1", []byte("{}")}),
+	testkit.Equal(t, "forwarded request", fmt.Sprint(request{"POST /v1/renew", "application/json", "1", []byte("{}")}),
 		fmt.Sprint(<-requests))
 }
 
-// TestGoldenMetrics pins the names and labels that are scraped.
+// TestGoldenMetrics pins the names and labels of the metrics.
 func TestGoldenMetrics(t *testing.T) {
 	m := newMetrics()
 	m.addMessagesLost(2, 1)
@@ -346,7 +348,7 @@
 	testkit.Equal(t, "metrics", string(testkit.GoldenFile(t, "metrics.txt")), got.String())
 }
 
-// copyData copies the golden data folder, so that no test changes it.
+// copyData returns a copy of the golden data directory, so that no test changes the original.
 func copyData(t testing.TB) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), "data")
@@ -356,8 +358,8 @@
 	return to
 }
 
-// dump returns every value of a bbolt file, as bucket/hex of the key.
-func dump(t testing.TB, path string) map[string][]byte {
+// dumpStore returns the values of a bbolt file by bucket/key. Keys of the log bucket are in hexadecimal.
+func dumpStore(t testing.TB, path string) map[string][]byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
@@ -382,10 +384,11 @@
 	return out
 }
 
-// TestGoldenStore pins buckets, keys and checksums of the file, and that what it holds is stored again byte for byte.
+// TestGoldenStore pins the buckets, keys and checksums of the file, and checks that storing its contents again gives the same
+// bytes.
 func TestGoldenStore(t *testing.T) {
 	dir := copyData(t)
-	golden := dump(t, filepath.Join(dir, "keeper.db"))
+	golden := dumpStore(t, filepath.Join(dir, "keeper.db"))
 	testkit.Equal(t, "keys", strings.Fields(string(testkit.GoldenFile(t, "data-keys.txt"))), slices.Sorted(maps.Keys(golden)))
 	castagnoli := crc32.MakeTable(crc32.Castagnoli)
 	for key, value := range golden {
@@ -393,7 +396,7 @@
 			t.Errorf("%s does not begin with its checksum: %x", key, value)
 		}
 	}
-	testkit.Equal(t, "form", "90f599e331", hex.EncodeToString(golden["meta/form"]))
+	testkit.Equal(t, "format", "90f599e331", hex.EncodeToString(golden["meta/form"]))
 	from, err := openStore(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -415,42 +418,42 @@
 	if err := to.close(); err != nil {
 		t.Fatal(err)
 	}
-	stored := dump(t, filepath.Join(again, "keeper.db"))
-	delete(stored, "meta/incarnation") // each process counts it up
+	stored := dumpStore(t, filepath.Join(again, "keeper.db"))
+	delete(stored, "meta/incarnation") // each opening of a store increments it
 	delete(golden, "meta/incarnation")
 	testkit.Equal(t, "stored again", golden, stored)
 }
 
-// changing are the values in an answer that differ from run to run.
-var changing = regexp.MustCompile(`"(term|applied|address|holds|discovery|heard)":("[^"]*"|\d+)`)
+// variableMembers matches the members of a response whose values differ from run to run.
+var variableMembers = regexp.MustCompile(`"(term|applied|address|holds|discovery|heard)":("[^"]*"|\d+)`)
 
-// sinceContactMS differs from run to run too, and is absent where it is 0.
+// sinceContactMS matches a member that also differs from run to run, and is absent if it is 0.
 var sinceContactMS = regexp.MustCompile(`,"heard_ms":\d+`)
 
-// wording are the texts of a fault for humans; its kind, its place and the members' names are what programs read.
-var wording = regexp.MustCompile(`"(cause|remedy)":"(?:[^"\\]|\\.)+"`)
+// errorTexts matches the texts of an error for people. Programs read its kind, its place and the names of its members.
+var errorTexts = regexp.MustCompile(`"(cause|remedy)":"(?:[^"\\]|\\.)+"`)
 
-// mask gives an answer as it stands in its golden file: the status code on a line, then the body.
-func mask(code int, body string) string {
+// maskResponse returns a response in the format of its golden file: the status code on a line, then the body.
+func maskResponse(code int, body string) string {
 	body = sinceContactMS.ReplaceAllString(body, "")
-	body = changing.ReplaceAllString(body, `"$1":"MASKED"`)
+	body = variableMembers.ReplaceAllString(body, `"$1":"MASKED"`)
 	if code != http.StatusOK {
-		body = wording.ReplaceAllString(body, `"$1":"MASKED"`)
+		body = errorTexts.ReplaceAllString(body, `"$1":"MASKED"`)
 	}
 	return fmt.Sprintf("%d\n%s", code, body)
 }
 
-// goldenPublication is what mesh thies has published in the golden data folder.
+// goldenPublication is the publication of mesh thies in the golden data directory.
 const goldenPublication = `{"mesh":"thies","epoch":1,"seq":1,"services":[{"name":"mail","owner":"post","contract":"c1","zones":["a"],
 	"class":"feed","aim":30000000,"spare":0.5,"pool":{"name":"mail","select":{"zones":["a"]},"precedence":1,"was":["post"],
 	"max_open":10,"max_waiting":5}}],"aliases":[{"name":"letters","to":"mail"}]}`
 
-// goldenDiscovery answers as discovery does, with the list that the golden data folder holds.
+// goldenDiscovery starts a discovery server that sends the list in the golden data directory, and returns its address.
 func goldenDiscovery(t *testing.T) string {
 	list := testkit.GoldenFile(t, "discovery.json")
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.RequestURI != "/registry/instances?watch=1&from=0" {
-			t.Errorf("discovery is asked %s", r.RequestURI)
+			t.Errorf("discovery got an unexpected request: %s", r.RequestURI)
 		}
 		for text := list; ; text = []byte("\n") {
 			if _, err := w.Write(text); err != nil || http.NewResponseController(w).Flush() != nil {
@@ -467,8 +470,8 @@
 	return server.Listener.Addr().String()
 }
 
-// goldenCalls are asked in this order of a replica that goes on from the golden data folder. The answer to each is in
-// the file of its name: the status code on a line, then the body.
+// goldenCalls are sent in this order to a replica that starts on the golden data directory. The expected response to each is in
+// the file calls/NAME.txt: the status code on a line, then the body.
 var goldenCalls = []struct{ name, call, body string }{
 	{"version-1", "GET /v1/version/1", ""},
 	{"version-2", "GET /v1/version/2", ""},
@@ -510,8 +513,8 @@
 	{"withdraw", "POST /v1/withdraw", `{"number":6,"why":"no longer needed"}`},
 }
 
-// TestGoldenDataFolder starts a replica on a data folder of the program as it was, and compares all that it tells.
-func TestGoldenDataFolder(t *testing.T) {
+// TestGoldenDataDirectory starts a replica on the golden data directory and compares its responses with the golden files.
+func TestGoldenDataDirectory(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -522,7 +525,7 @@
 		MeshTimeoutMS: 3_600_000, Discovery: goldenDiscovery(t)}}
 	cluster.start(0, l)
 	defer cluster.kill(0)
-	cluster.until("the replica leads and has heard discovery", func() bool {
+	cluster.until("the replica to lead and to have a list from discovery", func() bool {
 		var status Status
 		cluster.get(cluster.replicas[0], "/v1/status?local=1", &status)
 		return status.Leader == 1 && status.EndpointList.State == "well" && len(status.Nodes) == 2
@@ -535,9 +538,9 @@
 			code, body = testkit.HTTPCall(t, method, "http://"+cluster.replicas[0].Addr()+path, c.body)
 			return code != http.StatusServiceUnavailable
 		})
-		testkit.Equal(t, c.name, string(testkit.GoldenFile(t, filepath.Join("calls", c.name+".txt"))), mask(code, body))
+		testkit.Equal(t, c.name, string(testkit.GoldenFile(t, filepath.Join("calls", c.name+".txt"))), maskResponse(code, body))
 	}
-	// A watch begins with the whole list, on a line.
+	// A watch begins with the full list on one line.
 	_, list, _ := strings.Cut(string(testkit.GoldenFile(t, "calls/list.txt")), "\n")
 	req, err := http.NewRequestWithContext(t.Context(), "GET", "http://"+cluster.replicas[0].Addr()+"/registry/instances?watch=1&from=0", nil)
 	cluster.must(err)
--- a/internal/controlplane/replica_test.go
+++ b/internal/controlplane/replica_test.go
@@ -33,7 +33,7 @@
 	"RetryAfter":true,"MayCancel":true,"Probes":true},"Invariants":{"AnswerSlack":0.016,"AskEvery":1,"Cold":8.9,"ColdFrom":0.3,
 	"DrainGrace":3,"Fall":1,"OverloadFactor":3}}`
 
-// newProposal returns a valid proposal, whose routes differ from those of others by the pool.
+// newProposal returns a valid proposal whose routes lead to the given pool.
 func newProposal(id, pool string) fleetconfig.Propose {
 	routing := fmt.Sprintf(`{"pools":[{"name":%q}],"routes":[{"name":"all","to":[{"pool":%q,"ppm":1000000}]}],"default":"all"}`,
 		pool, pool)
@@ -97,7 +97,7 @@
 	go func() { c.ended[i] <- replica.Run(); log.Close() }()
 }
 
-// restart starts a replica on its data directory, at a new address that the others are given.
+// restart starts a replica on its data directory at a new address, and gives the other replicas that address.
 func (c *cluster) restart(i int) {
 	c.t.Helper()
 	l := c.listenAtNewAddress()
@@ -110,8 +110,8 @@
 	}
 }
 
-// listenAtNewAddress listens at an address that no replica of the configuration has. The system may hand out the port of a
-// replica that was killed and has not been restarted, which still stands in the configuration.
+// listenAtNewAddress listens at an address that is not in the configuration. The system may assign the port of a replica that
+// was killed and has not been restarted, whose address is still in the configuration.
 func (c *cluster) listenAtNewAddress() net.Listener {
 	c.t.Helper()
 	for {
@@ -120,7 +120,7 @@
 		if !slices.Contains(slices.Collect(maps.Values(c.configs[0].Peers)), l.Addr().String()) {
 			return l
 		}
-		defer func() { c.must(l.Close()) }() // not before another port was found
+		defer func() { c.must(l.Close()) }() // on return, so that the system does not assign the same port again
 	}
 }
 
@@ -248,7 +248,7 @@
 	}
 	if version := cluster.awaitVersion((first+1)%3, 1); version.Number != 1 || version.Reason != "one" ||
 		version.Body.Digest() != version.Digest {
-		t.Fatalf("version 1 came as %+v", version)
+		t.Fatalf("version 1 is %+v", version)
 	}
 	cluster.kill(first)
 	if n := cluster.propose(follower, newProposal("b", "two"), "?wait=active"); n != 2 { // waits for the next leader
@@ -267,13 +267,13 @@
 	}
 	// A replica that has restarted applies what was committed once the next leader has committed an entry of its own term.
 	var status Status
-	cluster.until("version 2 to be active after a restart of all", func() bool {
+	cluster.until("version 2 to be active after a restart of all replicas", func() bool {
 		status = Status{}
 		code, _ := cluster.get(cluster.replicas[cluster.leader()], "/v1/status", &status)
 		return code == http.StatusOK && status.Active != nil && status.Active.Number >= 2
 	})
 	if status.Active.Number != 2 || status.Active.Reason != "two" {
-		t.Fatalf("after a restart of all %+v is active", status.Active)
+		t.Fatalf("active version after a restart of all replicas: %+v", status.Active)
 	}
 	testkit.Equal(t, "replicas in the status", 3, len(status.Replicas))
 	want := []string{"1 proposed", "1 active", "2 proposed", "2 active"}
@@ -285,7 +285,7 @@
 	testkit.Equal(t, "history", want, steps)
 }
 
-// history returns the steps of all versions that a replica has applied; none where it does not answer in time.
+// history returns the steps of all versions that a replica has applied; none if the replica does not respond in time.
 func (c *cluster) history(i int) (steps []string) {
 	c.t.Helper()
 	var history struct{ History []fleetconfig.HistoryEntry }
@@ -300,12 +300,12 @@
 	cluster := newCluster(t, 3)
 	leader := cluster.leader()
 	cluster.propose(cluster.replicas[leader], newProposal("a", "one"), "?wait=active")
-	ask := fleetconfig.Renewal{Node: "n", Incarnation: 1, Seq: 1}
+	renewal := fleetconfig.Renewal{Node: "n", Incarnation: 1, Seq: 1}
 	for i, replica := range cluster.replicas {
-		ask.Seq++
+		renewal.Seq++
 		var lease fleetconfig.Lease
-		code, response := cluster.postUntilAvailable(replica, "/v1/renew", ask, &lease)
-		if code != 200 || lease.Seq != ask.Seq || lease.ActiveVersion != 1 || lease.Terms.AgreementTimeout != 2*time.Second {
+		code, response := cluster.postUntilAvailable(replica, "/v1/renew", renewal, &lease)
+		if code != 200 || lease.Seq != renewal.Seq || lease.ActiveVersion != 1 || lease.Terms.AgreementTimeout != 2*time.Second {
 			t.Fatalf("replica %d grants %+v: %+v", i+1, lease, response)
 		}
 	}
@@ -323,30 +323,30 @@
 		nil); code != 409 || response.Kind != "agreement/already-proposed" {
 		t.Fatalf("a second proposal: %d %+v", code, response)
 	}
-	ask.PreparedVersion, ask.ActiveVersion = 2, 1
-	ask.Seq++
-	cluster.postUntilAvailable(cluster.replicas[leader], "/v1/renew", ask, nil)
-	cluster.until("version 2 is active", func() bool {
+	renewal.PreparedVersion, renewal.ActiveVersion = 2, 1
+	renewal.Seq++
+	cluster.postUntilAvailable(cluster.replicas[leader], "/v1/renew", renewal, nil)
+	cluster.until("version 2 to be active", func() bool {
 		var lease fleetconfig.Lease
-		ask.Seq++
-		cluster.postUntilAvailable(cluster.replicas[(leader+1)%3], "/v1/renew", ask, &lease)
+		renewal.Seq++
+		cluster.postUntilAvailable(cluster.replicas[(leader+1)%3], "/v1/renew", renewal, &lease)
 		return lease.ActiveVersion == 2
 	})
 	// A node's rejection withdraws the next version, and the caller that waits for it gets the reason.
-	waits := make(chan string, 1)
+	proposeResult := make(chan string, 1)
 	go func() {
 		code, response := cluster.postUntilAvailable(cluster.replicas[(leader+1)%3], "/v1/propose?wait=active",
 			newProposal("d", "four"), nil)
-		waits <- fmt.Sprint(code, " ", response.Kind, " ", response.Cause)
+		proposeResult <- fmt.Sprint(code, " ", response.Kind, " ", response.Cause)
 	}()
-	ask.RejectedVersion, ask.Rejection = 3, &fleetconfig.Rejection{Kind: "memory", Cause: "too large by far"}
-	cluster.until("it is withdrawn", func() bool {
-		ask.Seq++
-		cluster.postUntilAvailable(cluster.replicas[leader], "/v1/renew", ask, nil)
+	renewal.RejectedVersion, renewal.Rejection = 3, &fleetconfig.Rejection{Kind: "memory", Cause: "too large by far"}
+	cluster.until("version 3 to be withdrawn", func() bool {
+		renewal.Seq++
+		cluster.postUntilAvailable(cluster.replicas[leader], "/v1/renew", renewal, nil)
 		select {
-		case got := <-waits:
+		case got := <-proposeResult:
 			if !strings.HasPrefix(got, "409 keeper/withdrawn ") || !strings.Contains(got, "too large by far") {
-				t.Fatal(got)
+				t.Fatalf("the proposal of version 3: %s", got)
 			}
 			return true
 		default:
@@ -356,7 +356,7 @@
 	cluster.propose(cluster.replicas[leader], newProposal("e", "five"), "")
 	if code, response := cluster.postUntilAvailable(cluster.replicas[(leader+1)%3], "/v1/withdraw",
 		fleetconfig.Withdraw{Number: 4, Reason: "a mistake"}, nil); code != 200 {
-		t.Fatalf("%d %+v", code, response)
+		t.Fatalf("the withdrawal of version 4: %d %+v", code, response)
 	}
 	if code, response := cluster.postUntilAvailable(cluster.replicas[leader], "/v1/withdraw", fleetconfig.Withdraw{Number: 4},
 		nil); code != 409 || response.Kind != "agreement/not-proposed" {
@@ -364,11 +364,11 @@
 	}
 }
 
-func TestMinorityRefusesWithinTimeout(t *testing.T) {
+func TestMinorityFailsRequestsWithinTimeout(t *testing.T) {
 	cluster := newCluster(t, 3, func(cluster *cluster) { cluster.commitTimeout = time.Second })
 	leader := cluster.leader()
 	cluster.propose(cluster.replicas[leader], newProposal("a", "one"), "?wait=active")
-	cluster.awaitVersion(leader, 1) // another replica may lead by now, and have answered
+	cluster.awaitVersion(leader, 1) // another replica may lead by now, and may have sent the response
 	cluster.kill((leader + 1) % 3)
 	cluster.kill((leader + 2) % 3)
 	for _, test := range []struct {
@@ -380,27 +380,27 @@
 		{"/v1/renew", fleetconfig.Renewal{Node: "n", Incarnation: 1, Seq: 1}, renewTimeout, "quorum/not-leading keeper/timed-out"},
 		{"/v1/propose", newProposal("b", "two"), 2 * time.Second, "quorum/not-leading quorum/uncertain keeper/timed-out"},
 		{"/v1/withdraw", fleetconfig.Withdraw{Number: 1}, 2 * time.Second, "quorum/not-leading quorum/uncertain keeper/timed-out"},
-	} { // timed out: the machine is so slow that the event loop had no turn in all that time
+	} { // keeper/timed-out: on a slow machine the event loop may have no turn within the timeout
 		start := time.Now()
 		code, response := cluster.post(cluster.replicas[leader], test.path, test.body, nil)
 		if code != 503 && code != 504 || !strings.Contains(test.kinds, response.Kind) {
 			t.Errorf("%s: %d %+v", test.path, code, response)
 		}
-		if took := time.Since(start); took > test.timeout+10*time.Second { // an allowance for slow machines
-			t.Errorf("%s took %v", test.path, took)
+		if elapsed := time.Since(start); elapsed > test.timeout+10*time.Second { // an allowance for slow machines
+			t.Errorf("%s took %v", test.path, elapsed)
 		}
 	}
 	var version fleetconfig.Version
 	if code, _ := cluster.get(cluster.replicas[leader], "/v1/version/1", &version); code != 200 || version.Number != 1 {
-		t.Errorf("the version that it has applied: %d", code)
+		t.Errorf("the version that the replica has applied: %d", code)
 	}
 	var status Status
 	if code, _ := cluster.get(cluster.replicas[leader], "/v1/status", &status); code != 200 || status.Active.Number != 1 {
-		t.Errorf("its own status: %d %+v", code, status)
+		t.Errorf("the status of the replica: %d %+v", code, status)
 	}
 }
 
-// blockEventLoop has a replica's event loop handle nothing until the end of the test.
+// blockEventLoop blocks a replica's event loop until the end of the test.
 func blockEventLoop(t *testing.T, replica *Replica) {
 	t.Helper()
 	release := make(chan struct{})
@@ -410,22 +410,23 @@
 	<-blocked
 }
 
-// TestTimeoutReportsPreviousError blocks the event loop while the time of a call runs out.
+// TestTimeoutReportsPreviousError cancels calls while the event loop is blocked. A command fails with Uncertain. An attempt to
+// call the leader fails with the error of the previous attempt, or with TimedOut if it is the first.
 func TestTimeoutReportsPreviousError(t *testing.T) {
 	cluster := newCluster(t, 1)
 	replica := cluster.replicas[cluster.leader()]
 	blockEventLoop(t, replica)
-	timedOut := func(f func(ctx context.Context) error) error {
+	errorAfterCancel := func(f func(ctx context.Context) error) error {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		before := len(replica.events)
 		got := make(chan error, 1)
 		go func() { got <- f(ctx) }()
-		cluster.until("the query is queued", func() bool { return len(replica.events) > before })
+		cluster.until("the query to be queued", func() bool { return len(replica.events) > before })
 		cancel()
 		return <-got
 	}
-	if err := timedOut(func(ctx context.Context) error {
+	if err := errorAfterCancel(func(ctx context.Context) error {
 		_, err := replica.commit(ctx, fleetconfig.Command{Withdraw: &fleetconfig.Withdraw{Number: 1}})
 		return err
 	}); !consensus.Uncertain.Of(err) {
@@ -435,7 +436,7 @@
 		before error
 		want   *apperror.Kind
 	}{{consensus.NotLeading.New("keeper 1", "no leader is known"), consensus.NotLeading}, {nil, TimedOut}} {
-		if err := timedOut(func(ctx context.Context) error {
+		if err := errorAfterCancel(func(ctx context.Context) error {
 			_, err := replica.callLeaderOnce(ctx, false, leaderCall{}, test.before)
 			return err
 		}); !test.want.Of(err) {
@@ -444,9 +445,9 @@
 	}
 }
 
-// TestEndedContextIsOverloadedOnlyOnAFullQueue asks an event loop that is blocked, with contexts that have ended: the
-// answer is Overloaded where the event queue is full, and TimedOut where it has room.
-func TestEndedContextIsOverloadedOnlyOnAFullQueue(t *testing.T) {
+// TestQueryIsOverloadedOnlyOnFullQueue queries a blocked event loop with a context that has ended. The error must be Overloaded
+// if the event queue is full, and TimedOut if it has room.
+func TestQueryIsOverloadedOnlyOnFullQueue(t *testing.T) {
 	cluster := newCluster(t, 1)
 	replica := cluster.replicas[cluster.leader()]
 	blockEventLoop(t, replica)
@@ -454,7 +455,7 @@
 	cancel()
 	for i := range 1000 {
 		if _, err := query(ended, replica, func(*eventLoop) bool { return true }); !TimedOut.Of(err) {
-			t.Fatalf("call %d with %d of %d events waiting: %v", i, len(replica.events), cap(replica.events), err)
+			t.Fatalf("query %d with %d of %d events queued: %v", i, len(replica.events), cap(replica.events), err)
 		}
 	}
 	for full := false; !full; {
@@ -474,49 +475,49 @@
 	replica := cluster.replicas[cluster.leader()]
 	cluster.propose(replica, newProposal("a", "one"), "?wait=active")
 	proposals := 0
-	with := func(change func(*fleetconfig.Propose)) fleetconfig.Propose {
-		proposals++ // a repeated id would get the first answer
+	proposalWith := func(change func(*fleetconfig.Propose)) fleetconfig.Propose {
+		proposals++ // a repeated id would get the response to the first proposal
 		p := newProposal(fmt.Sprint("x", proposals), "x")
 		change(&p)
 		return p
 	}
-	names := func(service, state string) fleetconfig.Propose {
-		return with(func(p *fleetconfig.Propose) {
+	proposalForService := func(service, state string) fleetconfig.Propose {
+		return proposalWith(func(p *fleetconfig.Propose) {
 			p.Body.Routing = json.RawMessage(`{"pools":[{"name":"a"}],"routes":[{"name":"r","to":[{"pool":"service:` + service + `","ppm":1000000}]}],"default":"r"}`)
 			p.Body.Catalog = json.RawMessage(state)
 		})
 	}
-	const state = `{"number":1,"at":1,"entries":[{"name":"album","owner":"o","contract":"c","since":1,"standing":"held","cause":"sole",
+	const catalogText = `{"number":1,"at":1,"entries":[{"name":"album","owner":"o","contract":"c","since":1,"standing":"held","cause":"sole",
 		"homes":[{"mesh":"thies","zones":["a"],"pool":{"name":"album.thies","select":{}}}]}],
 		"meshes":[{"mesh":"lagos","import":[{"from":"dakar"}]},{"mesh":"thies"}]}`
-	strange, err := cbor.Marshal(frame{From: 7, To: 1})
+	frameOfUnknownReplica, err := cbor.Marshal(frame{From: 7, To: 1})
 	cluster.must(err)
 	for _, test := range []struct {
-		call        string
-		body        any
-		code        int
-		kind, words string
+		call       string
+		body       any
+		code       int
+		kind, text string
 	}{
-		{"POST /v1/propose", with(func(p *fleetconfig.Propose) { p.Body.Settings = json.RawMessage(`{"Balancers":1}`) }),
+		{"POST /v1/propose", proposalWith(func(p *fleetconfig.Propose) { p.Body.Settings = json.RawMessage(`{"Balancers":1}`) }),
 			422, "keeper/broken-rules", "settings"},
-		{"POST /v1/propose", with(func(p *fleetconfig.Propose) {
+		{"POST /v1/propose", proposalWith(func(p *fleetconfig.Propose) {
 			p.Body.Settings = json.RawMessage(strings.Replace(validSettings, `"GiveUp":60,`, "", 1))
 		}), 422, "keeper/broken-rules", "GiveUp"},
-		{"POST /v1/propose", with(func(p *fleetconfig.Propose) { p.Body.Settings = nil }),
+		{"POST /v1/propose", proposalWith(func(p *fleetconfig.Propose) { p.Body.Settings = nil }),
 			422, "agreement/bad-body", "settings"},
-		{"POST /v1/propose", with(func(p *fleetconfig.Propose) {
+		{"POST /v1/propose", proposalWith(func(p *fleetconfig.Propose) {
 			p.Body.Routing = json.RawMessage(`{"pools":[{"name":"a"}],"routes":[{"name":"r","to":[{"pool":"b"}]}],"default":"r"}`)
 		}), 422, "keeper/broken-rules", "b"},
-		{"POST /v1/propose", names("notes", ""), 422, "keeper/broken-rules", `the version has none, and its routes name service "notes"`},
-		{"POST /v1/propose", names("notes", state), 422, "keeper/broken-rules", `route r: service "notes"`},
-		{"POST /v1/propose", with(func(p *fleetconfig.Propose) { p.Body.Routing = json.RawMessage(`{"pool":1}`) }),
+		{"POST /v1/propose", proposalForService("notes", ""), 422, "keeper/broken-rules", `the version has none, and its routes name service "notes"`},
+		{"POST /v1/propose", proposalForService("notes", catalogText), 422, "keeper/broken-rules", `route r: service "notes"`},
+		{"POST /v1/propose", proposalWith(func(p *fleetconfig.Propose) { p.Body.Routing = json.RawMessage(`{"pool":1}`) }),
 			422, "keeper/broken-rules", "pool"},
-		{"POST /v1/propose", with(func(p *fleetconfig.Propose) { p.Body.Fleet.AgreementTimeout = 5 * time.Microsecond }),
+		{"POST /v1/propose", proposalWith(func(p *fleetconfig.Propose) { p.Body.Fleet.AgreementTimeout = 5 * time.Microsecond }),
 			422, "agreement/bad-terms", "within"},
-		{"POST /v1/propose", with(func(p *fleetconfig.Propose) { p.Base = 9 }), 409, "agreement/stale-base", "9"},
-		{"POST /v1/propose", with(func(p *fleetconfig.Propose) { p.Body, p.RollbackOf = nil, 9 }),
+		{"POST /v1/propose", proposalWith(func(p *fleetconfig.Propose) { p.Base = 9 }), 409, "agreement/stale-base", "9"},
+		{"POST /v1/propose", proposalWith(func(p *fleetconfig.Propose) { p.Body, p.RollbackOf = nil, 9 }),
 			404, "agreement/unknown-version", "9"},
-		{"POST /v1/propose", with(func(p *fleetconfig.Propose) { p.Body = nil }), 422, "agreement/bad-body", "body"},
+		{"POST /v1/propose", proposalWith(func(p *fleetconfig.Propose) { p.Body = nil }), 422, "agreement/bad-body", "body"},
 		{"POST /v1/propose?wait=peace", newProposal("y", "y"), 400, "keeper/bad-request", "peace"},
 		{"POST /v1/propose?wait=active&timeout=1", newProposal("y", "y"), 400, "keeper/bad-request", "timeout"},
 		{"POST /v1/propose", []byte(`{"id":"a"} {}`), 400, "keeper/bad-request", "proposal"},
@@ -530,21 +531,21 @@
 		{"GET /v1/version/one", nil, 400, "keeper/bad-request", "one"},
 		{"GET /v1/renew", nil, 400, "keeper/bad-request", "no such call"},
 		{"POST " + peerPath, []byte("noise"), 422, "quorum/bad-message", "peer"},
-		{"POST " + peerPath, strange, 422, "quorum/bad-message", "replica 7"},
+		{"POST " + peerPath, frameOfUnknownReplica, 422, "quorum/bad-message", "replica 7"},
 	} {
 		method, path, _ := strings.Cut(test.call, " ")
-		text, raw := test.body.([]byte)
+		body, raw := test.body.([]byte)
 		if !raw && test.body != nil {
-			text, err = json.Marshal(test.body)
+			body, err = json.Marshal(test.body)
 			cluster.must(err)
 		}
-		code, response := cluster.call(replica, method, path, text, nil)
-		if code != test.code || response.Kind != test.kind || !strings.Contains(response.Place+" "+response.Cause, test.words) {
-			t.Errorf("%s: %d %+v, not %d %s %q", test.call, code, response, test.code, test.kind, test.words)
+		code, response := cluster.call(replica, method, path, body, nil)
+		if code != test.code || response.Kind != test.kind || !strings.Contains(response.Place+" "+response.Cause, test.text) {
+			t.Errorf("%s: %d %+v, want %d %s %q", test.call, code, response, test.code, test.kind, test.text)
 		}
 	}
 	if n := cluster.propose(replica, newProposal("", "two"), ""); n != 2 {
-		t.Errorf("a proposal without an id became version %d: a refused one was taken", n)
+		t.Errorf("a proposal without an id became version %d, want 2: an invalid proposal was committed", n)
 	}
 }
 
@@ -556,16 +557,16 @@
 	}
 	if code, response := cluster.post(replica, "/v1/renew", fleetconfig.Renewal{Node: "n"}, nil); code != 503 ||
 		response.Kind != "keeper/overloaded" {
-		t.Fatalf("%d %+v", code, response)
+		t.Fatalf("a renewal beyond the limit: %d %+v", code, response)
 	}
 	if n := cluster.propose(replica, newProposal("a", "one"), ""); n != 1 {
-		t.Fatal("renewals use up the limit of proposals")
+		t.Fatal("renewals count toward the limit of proposals")
 	}
 }
 
 func TestCorruptDataDirectory(t *testing.T) {
 	cfg := Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[string]string{"1": "127.0.0.1:1"}}
-	edit := func(bucket, key []byte, change func([]byte) []byte) func(*testing.T, string) {
+	editValue := func(bucket, key []byte, change func([]byte) []byte) func(*testing.T, string) {
 		return func(t *testing.T, path string) {
 			db, err := bbolt.Open(path, 0o600, nil)
 			if err == nil {
@@ -591,21 +592,21 @@
 			}
 		}
 	}
-	flip := func(v []byte) []byte { v[len(v)-1] ^= 1; return v }
+	flipBit := func(v []byte) []byte { v[len(v)-1] ^= 1; return v }
 	for what, test := range map[string]struct {
 		corrupt func(*testing.T, string)
 		kind    *apperror.Kind
 	}{
-		"nothing":            {func(*testing.T, string) {}, nil},
-		"a bit of the state": {edit(metaBucket, stateKey, flip), DataCorrupted},
-		"a bit of an entry":  {edit(logBucket, indexKey(2), flip), DataCorrupted},
-		"another form":       {edit(metaBucket, formatKey, func([]byte) []byte { return []byte("\xf2\x1a\x66\x65" + "99") }), DataCorrupted},
-		"a short count":      {edit(metaBucket, incarnationKey, func(v []byte) []byte { return v[:1] }), DataCorrupted},
-		"the first pages":    {overwrite(0, 8192), DataCorrupted},
-		"the other pages":    {overwrite(8192, 1<<40), DataCorrupted},
-		"the end":            {func(_ *testing.T, path string) { _ = os.Truncate(path, 9000) }, DataCorrupted},
-		"all of it":          {func(_ *testing.T, path string) { _ = os.WriteFile(path, []byte("not a database"), 0o600) }, DataCorrupted},
-		"being a file":       {func(_ *testing.T, path string) { _ = os.Remove(path); _ = os.Mkdir(path, 0o700) }, DataFailed},
+		"nothing":                          {func(*testing.T, string) {}, nil},
+		"a bit of the state":               {editValue(metaBucket, stateKey, flipBit), DataCorrupted},
+		"a bit of an entry":                {editValue(logBucket, indexKey(2), flipBit), DataCorrupted},
+		"another format":                   {editValue(metaBucket, formatKey, func([]byte) []byte { return []byte("\xf2\x1a\x66\x65" + "99") }), DataCorrupted},
+		"a short incarnation":              {editValue(metaBucket, incarnationKey, func(v []byte) []byte { return v[:1] }), DataCorrupted},
+		"the first pages":                  {overwrite(0, 8192), DataCorrupted},
+		"the other pages":                  {overwrite(8192, 1<<40), DataCorrupted},
+		"the end":                          {func(_ *testing.T, path string) { _ = os.Truncate(path, 9000) }, DataCorrupted},
+		"the whole file":                   {func(_ *testing.T, path string) { _ = os.WriteFile(path, []byte("not a database"), 0o600) }, DataCorrupted},
+		"a directory in place of the file": {func(_ *testing.T, path string) { _ = os.Remove(path); _ = os.Mkdir(path, 0o700) }, DataFailed},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
@@ -628,7 +629,7 @@
 				err = replica.Run()
 			}
 			if test.kind == nil && err != nil || test.kind != nil && !test.kind.Of(err) {
-				t.Errorf("%v", err)
+				t.Errorf("a start on the data directory: %v", err)
 			}
 		})
 	}
@@ -646,14 +647,15 @@
 		}
 	}()
 	if err := <-cluster.ended[0]; !DataFailed.Of(err) {
-		t.Fatalf("%v", err)
+		t.Fatalf("the replica ended with %v", err)
 	}
 	cluster.replicas[0] = nil
 }
 
-// TestFullDiskIsWaitedFor lets no file grow for a while: the replica keeps what it has acknowledged, takes the proposal on once there is
-// room, and has both after a restart. It does not run beside other tests, whose files could not grow either.
-func TestFullDiskIsWaitedFor(t *testing.T) {
+// TestReplicaRetriesSaveOnFullDisk limits the size of files for a while, so that writes fail as on a full disk. The replica must
+// keep the version that it has acknowledged, commit a second proposal when there is space again, and have both after a restart.
+// The test is not parallel, because the limit applies to the whole process.
+func TestReplicaRetriesSaveOnFullDisk(t *testing.T) {
 	cluster := &cluster{t: t, replicas: make([]*Replica, 1), ended: make([]chan error, 1), commitTimeout: time.Minute}
 	cluster.configs = []Config{{ID: 1, Listen: "127.0.0.1:0", Data: t.TempDir(), Peers: map[string]string{"1": "127.0.0.1:1"}, TickMS: 20}}
 	listener := cluster.listenAtNewAddress()
@@ -663,7 +665,7 @@
 	replica := cluster.replicas[cluster.leader()]
 	cluster.propose(replica, newProposal("a", "one"), "?wait=active")
 
-	signal.Ignore(unix.SIGXFSZ) // so that writes fail in place of ending this process
+	signal.Ignore(unix.SIGXFSZ) // so that writes fail instead of ending this process
 	var limit unix.Rlimit
 	cluster.must(unix.Getrlimit(unix.RLIMIT_FSIZE, &limit))
 	full := unix.Rlimit{Cur: 1, Max: limit.Max}
@@ -694,7 +696,7 @@
 
 func TestConfigCheck(t *testing.T) {
 	good := `{"id":1,"listen":"127.0.0.1:0","data":"d","peers":{"1":"127.0.0.1:7001","2":"[::1]:7002"}}`
-	for _, test := range []struct{ from, to, words string }{
+	for _, test := range []struct{ from, to, text string }{
 		{"", "", ""},
 		{`"id":1`, `"id":3`, "replica 3 itself"},
 		{`"id":1,`, ``, "id: it is 0"},
@@ -708,34 +710,34 @@
 		{`"id":1`, `"id":1,"discovery":"localhost:7100"`, "discovery"},
 		{`"id":1`, `"id":1,"election_ticks":-1`, "election_ticks"},
 		{`"id":1`, `"id":1,"heartbeat_ticks":-1`, "heartbeat_ticks"},
-		{`"id":1`, `"id":1,"elction_ticks":5`, "elction_ticks"}, //nolint:misspell // an unknown key: the misspelling is the case
+		{`"id":1`, `"id":1,"elction_ticks":5`, "elction_ticks"}, //nolint:misspell // the misspelled key is unknown
 		{`}}`, `}} 1`, "trailing data"},
 		{`{`, `[`, ""},
 	} {
 		path := filepath.Join(t.TempDir(), "keeper.json")
-		text := strings.Replace(good, test.from, test.to, 1)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		file := strings.Replace(good, test.from, test.to, 1)
+		if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cfg, err := ReadConfig(path)
 		if err == nil {
 			err = cfg.Check()
 		}
-		if text == good && err == nil {
+		if file == good && err == nil {
 			continue
-		} else if text == good || !BadConfig.Of(firstTypedError(err)) || !strings.Contains(err.Error(), test.words) {
-			t.Errorf("%s: %v", text, err)
+		} else if file == good || !BadConfig.Of(firstTypedError(err)) || !strings.Contains(err.Error(), test.text) {
+			t.Errorf("%s: %v", file, err)
 		}
 	}
-	replica := newCluster(t, 1)
-	cfg := replica.configs[0]
+	cluster := newCluster(t, 1)
+	cfg := cluster.configs[0]
 	cfg.Peers = map[string]string{"1": "127.0.0.1:7001", "2": "127.0.0.1:7002"}
-	if err := replica.replicas[0].UpdateAddresses(cfg); !BadConfig.Of(err) {
+	if err := cluster.replicas[0].UpdateAddresses(cfg); !BadConfig.Of(err) {
 		t.Errorf("another set of replicas: %v", err)
 	}
 }
 
-// firstTypedError returns the first of joined errors.
+// firstTypedError returns the first apperror.Error of joined errors.
 func firstTypedError(err error) error {
 	var e *apperror.Error
 	errors.As(err, &e)
@@ -750,27 +752,27 @@
 		cluster.restart(i)
 	}
 	leader := cluster.leader()
-	late := (leader + 1) % 3
+	lagging := (leader + 1) % 3
 	cluster.propose(cluster.replicas[leader], newProposal("v0", "p0"), "?wait=active")
-	cluster.awaitVersion(late, 1)
-	cluster.kill(late)
-	for i := range 300 { // more than is kept in memory for peers that lag
+	cluster.awaitVersion(lagging, 1)
+	cluster.kill(lagging)
+	for i := range 300 { // more entries than are kept in memory for lagging peers
 		p := newProposal(fmt.Sprint("v", i), "p0")
-		p.Base = 77 // refused by the state machine, and in the log all the same
+		p.Base = 77 // rejected by the state machine, but still written to the log
 		cluster.post(cluster.replicas[leader], "/v1/propose", p, nil)
 	}
 	cluster.propose(cluster.replicas[leader], newProposal("end", "p1"), "?wait=active")
-	cluster.restart(late)
-	cluster.awaitVersion(late, 2)
+	cluster.restart(lagging)
+	cluster.awaitVersion(lagging, 2)
 	var status Status
-	// The snapshot may end with the proposal of version 2. Its activation follows in the log then, after a round trip.
+	// The snapshot may end with the proposal of version 2. The log then contains its activation, which arrives a round trip later.
 	cluster.until("version 2 to be active at the lagging replica", func() bool {
 		status = Status{}
-		code, _ := cluster.get(cluster.replicas[late], "/v1/status?local=1", &status)
+		code, _ := cluster.get(cluster.replicas[lagging], "/v1/status?local=1", &status)
 		return code == http.StatusOK && status.Active != nil && status.Active.Number == 2
 	})
 	if status.Applied < 300 {
-		t.Fatalf("%+v", status)
+		t.Fatalf("the status of the lagging replica: %+v", status)
 	}
 }
 
@@ -784,14 +786,14 @@
 	cluster.configs[lost].Rejoin = true
 	cluster.restart(lost)
 	cluster.awaitVersion(lost, 1)
-	cluster.until("its vote", func() bool {
+	cluster.until("the replica that lost its data to vote", func() bool {
 		var status Status
 		cluster.get(cluster.replicas[lost], "/v1/status?local=1", &status)
 		return !status.Rejoining
 	})
-	cluster.kill(lost) // it may be restarted with the same flag
+	cluster.kill(lost) // a restart with the same flag is allowed
 	cluster.restart(lost)
-	cluster.kill((lost + 1) % 3) // it counts towards a majority
+	cluster.kill((lost + 1) % 3) // the replica that lost its data counts toward the majority
 	if n := cluster.propose(cluster.replicas[lost], newProposal("b", "two"), "?wait=active"); n != 2 {
 		t.Fatalf("the second version is %d", n)
 	}
