--- a/internal/consensus/apply.go
+++ b/internal/consensus/apply.go
@@ -71,7 +71,7 @@
 		Answer:     n.state.Apply(entry.GetIndex(), record.Command),
 	}
 	if id := record.ProposalID; id == n.proposalID(id.Seq) {
-		applied.Own = n.pendingProposals[id.Seq]
+		applied.Local = n.pendingProposals[id.Seq]
 		delete(n.pendingProposals, id.Seq)
 	}
 	n.outcome.Applied = append(n.outcome.Applied, applied)
--- a/internal/consensus/catalog_proposer.go
+++ b/internal/consensus/catalog_proposer.go
@@ -58,7 +58,7 @@
 
 // followLeadership starts and stops the publisher tracker with the node's leadership.
 func (p *CatalogProposer) followLeadership(now time.Duration) {
-	settled := p.node.Settled()
+	settled := p.node.LeaderReady()
 	if settled && p.term == p.node.Term() {
 		return
 	}
@@ -105,7 +105,7 @@
 func (p *CatalogProposer) proposeChange(change federation.Change) (ProposalID, error) {
 	id, err := p.node.Propose(fleetconfig.Command{MeshChange: &change})
 	if err != nil {
-		p.publishers.ChangeApplied(change)
+		p.publishers.ChangeDone(change)
 		return id, err
 	}
 	p.inFlight[id] = change
@@ -139,7 +139,7 @@
 func (p *CatalogProposer) changeDone(id ProposalID) {
 	if change, ok := p.inFlight[id]; ok {
 		delete(p.inFlight, id)
-		p.publishers.ChangeApplied(change)
+		p.publishers.ChangeDone(change)
 	}
 }
 
@@ -167,13 +167,13 @@
 	if !hasActive || hasProposed {
 		return nil
 	}
-	text, cause := p.publishers.MissingCatalog(active.Body.Catalog)
+	text, cause := p.publishers.CatalogUpdate(active.Body.Catalog)
 	p.upToDate = p.publishers.BatchComplete()
 	if text == nil {
 		p.blockedReason = ""
 		return nil
 	}
-	_, digest := p.state.Federation().Text()
+	_, digest := p.state.Federation().EncodedCatalog()
 	shortDigest := digest[:shortDigestChars]
 	marker := "catalog " + shortDigest + ": "
 	latest, withdrawn := p.versionsSince(active.Number, marker)
@@ -241,7 +241,7 @@
 	if len(body.Catalog) > 0 {
 		return body
 	}
-	text, _ := p.state.Federation().Text()
+	text, _ := p.state.Federation().EncodedCatalog()
 	if active, ok := p.state.Active(); ok && text != nil && !p.publishers.BatchComplete() {
 		text = active.Body.Catalog
 	}
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -198,7 +198,7 @@
 		replies, outcome, err = r.leases.Run(0, r.disk, send)
 		r.replies = append(r.replies, replies...)
 	} else {
-		outcome, err = r.node.Settle(r.disk, send)
+		outcome, err = r.node.ProcessWork(r.disk, send)
 	}
 	if errors.Is(err, errCrash) {
 		c.crash(id)
@@ -233,7 +233,7 @@
 func (c *cluster) checkApplied(r *replica, applied []Applied) {
 	c.t.Helper()
 	for _, a := range applied {
-		if !a.Own {
+		if !a.Local {
 			continue
 		}
 		if r.proposed[a.ProposalID] != commandName(a.Command) {
@@ -315,7 +315,7 @@
 		leader = 0
 		for _, id := range c.ids {
 			node := c.replicas[id].node
-			if node != nil && node.Settled() && (leader == 0 || node.Term() > c.replicas[leader].node.Term()) {
+			if node != nil && node.LeaderReady() && (leader == 0 || node.Term() > c.replicas[leader].node.Term()) {
 				leader = id
 			}
 		}
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -11,7 +11,7 @@
 	// Uncertain means that leadership was lost while a proposal was in flight: it may still be committed.
 	Uncertain = apperror.NewKind("quorum/uncertain",
 		"it may or may not have been taken: send it again under the same id, which gets the first one's answer")
-	// TooLarge means that a command is above MaxCommand.
+	// TooLarge means that a command is above MaxCommandBytes.
 	TooLarge = apperror.NewKind("quorum/too-large", "make the version smaller: fewer routes, or a smaller catalog")
 	// Busy means that too much is waiting for the quorum, so nothing was done.
 	Busy = apperror.NewKind("quorum/busy",
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -196,7 +196,7 @@
 			busy = false
 			for _, id := range slices.Sorted(maps.Keys(nodes)) {
 				var sent []Message
-				if _, err := nodes[id].Settle(stores[id], func(m Message) { sent = append(sent, m) }); err != nil {
+				if _, err := nodes[id].ProcessWork(stores[id], func(m Message) { sent = append(sent, m) }); err != nil {
 					t.Fatal(err)
 				}
 				for _, m := range sent {
@@ -301,7 +301,7 @@
 			late, state := goldenNode(t, Config{ID: 3, Incarnation: 7}, Stored{})
 			if err := late.Step(golden); err != nil {
 				t.Fatal(err)
-			} else if _, err := late.Settle(&MemoryStore{}, func(Message) {}); err != nil {
+			} else if _, err := late.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil {
 				t.Fatal(err)
 			}
 			data, err := state.Snapshot()
@@ -363,7 +363,7 @@
 		}
 		testkit.RequireBytes(t, "entry", golden.Entries[i].Bytes, again)
 	}
-	if _, err := node.Settle(&MemoryStore{}, func(Message) {}); err != nil {
+	if _, err := node.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil {
 		t.Fatal(err)
 	}
 	// The last commit index is not saved by itself, so entry 8 waits for a leader.
@@ -420,8 +420,8 @@
 		snapshot, state := testkit.GoldenFile(t, tc.name+"_snapshot.pb"), testkit.GoldenFile(t, tc.name+"_state.bin")
 		testkit.RequireBytes(t, tc.name+" snapshot", snapshot, save.Snapshot)
 		testkit.RequireBytes(t, tc.name+" state", state, save.State)
-		if save.Drop != 1 || len(save.Entries) != 0 {
-			t.Errorf("%s drops entries up to %d and saves %d", tc.name, save.Drop, len(save.Entries))
+		if save.DropThrough != 1 || len(save.Entries) != 0 {
+			t.Errorf("%s drops entries up to %d and saves %d", tc.name, save.DropThrough, len(save.Entries))
 		}
 		node, _ = goldenNode(t, Config{ID: 1, Incarnation: 2}, Stored{Snapshot: snapshot, State: state})
 		if node.Rejoining() != tc.rejoin || node.Term() != 1 {
@@ -444,7 +444,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		out, err := node.Settle(store, func(Message) {})
+		out, err := node.ProcessWork(store, func(Message) {})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/consensus/leadership.go
+++ b/internal/consensus/leadership.go
@@ -94,15 +94,15 @@
 // Leading reports whether this replica takes itself for the leader. Only Confirm makes sure.
 func (n *Node) Leading() bool { return n.lastRole.leading }
 
-// Settled reports whether this replica leads and has applied all that earlier leaders committed, which it has once an
+// LeaderReady reports whether this replica leads and has applied all that earlier leaders committed, which it has once an
 // entry of its own term is applied.
-func (n *Node) Settled() bool { return n.lastRole.leading && n.appliedTerm == n.lastRole.term }
+func (n *Node) LeaderReady() bool { return n.lastRole.leading && n.appliedTerm == n.lastRole.term }
 
 // AppliedIndex is the index of the last applied entry.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// Matches returns, on the leader, up to which index each replica is known to have the log, by ID; nil elsewhere.
-func (n *Node) Matches() map[uint64]uint64 {
+// MatchIndexes returns, on the leader, up to which index each replica is known to have the log, by ID; nil elsewhere.
+func (n *Node) MatchIndexes() map[uint64]uint64 {
 	if !n.lastRole.leading {
 		return nil
 	}
--- a/internal/consensus/lease_server.go
+++ b/internal/consensus/lease_server.go
@@ -72,7 +72,7 @@
 	switch {
 	case s.term == 0:
 		return s.node.notLeading()
-	case s.Waiting() >= maxPendingRenewals:
+	case s.PendingRenewals() >= maxPendingRenewals:
 		return Busy.New(s.node.place(), "%d renewals wait", maxPendingRenewals)
 	}
 	for _, command := range s.leases.HandleRenewal(now, r) {
@@ -87,8 +87,10 @@
 	return nil
 }
 
-// Waiting is the number of renewals without a reply.
-func (s *LeaseServer) Waiting() int { return len(s.queued) + len(s.confirming) + len(s.confirmed) }
+// PendingRenewals is the number of renewals without a reply.
+func (s *LeaseServer) PendingRenewals() int {
+	return len(s.queued) + len(s.confirming) + len(s.confirmed)
+}
 
 // Tick makes the next Step look for commands that time has made due.
 func (s *LeaseServer) Tick() { s.checkDue = true }
@@ -96,7 +98,7 @@
 // followLeadership starts and stops the LeaseService with the node's leadership. Where leadership is lost, all pending
 // renewals fail.
 func (s *LeaseServer) followLeadership(now time.Duration) {
-	settled := s.node.Settled()
+	settled := s.node.LeaderReady()
 	if settled && s.term == s.node.Term() {
 		return
 	}
@@ -184,7 +186,7 @@
 	var replies []Reply
 	var all Outcome
 	for {
-		outcome, err := s.node.Settle(storage, send)
+		outcome, err := s.node.ProcessWork(storage, send)
 		all.add(outcome)
 		if err != nil {
 			return replies, all, err
--- a/internal/consensus/lease_server_test.go
+++ b/internal/consensus/lease_server_test.go
@@ -132,8 +132,8 @@
 	}
 	cluster.until("the leader steps down", func() bool { return !leader.node.Leading() })
 	cluster.settle(leader.node.cfg.ID)
-	if len(leader.replies) != 3 || leader.leases.Waiting() != 0 {
-		t.Fatalf("%d replies, %d renewals wait", len(leader.replies), leader.leases.Waiting())
+	if len(leader.replies) != 3 || leader.leases.PendingRenewals() != 0 {
+		t.Fatalf("%d replies, %d renewals wait", len(leader.replies), leader.leases.PendingRenewals())
 	}
 	for _, r := range leader.replies {
 		if !NotLeading.Of(r.Err) {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -12,9 +12,9 @@
 
 // Limits of the raft library.
 const (
-	maxUncommittedBytes = 2 * MaxCommand // of commands that wait for a quorum
-	maxMessageBytes     = 1 << 20        // of entries in one message, where there is more than one
-	maxInFlightMessages = 64             // to one peer that has not answered
+	maxUncommittedBytes = 2 * MaxCommandBytes // of commands that wait for a quorum
+	maxMessageBytes     = 1 << 20             // of entries in one message, where there is more than one
+	maxInFlightMessages = 64                  // to one peer that has not answered
 )
 
 // Node is one replica's part in the group. It is not safe for concurrent use.
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -147,7 +147,7 @@
 		n, err := New(cfg, state, s)
 		if c.kind == nil {
 			cluster.require(err)
-			if _, err := n.Settle(&MemoryStore{}, func(Message) {}); err != nil || len(state.IDs) < 6 {
+			if _, err := n.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil || len(state.IDs) < 6 {
 				t.Fatalf("a valid state gave %q, %v", state.IDs, err)
 			}
 		} else if !c.kind.Of(err) || len(apperror.Resolutions(err)) == 0 {
@@ -232,7 +232,7 @@
 			if err := node.Step(b); err != nil && !BadMessage.Of(err) && !Broken.Of(err) && !LostData.Of(err) {
 				r.Fatalf("%v has no expected kind", err)
 			}
-			if _, err := node.Settle(&MemoryStore{}, func(Message) {}); err != nil && !Broken.Of(err) && !LostData.Of(err) {
+			if _, err := node.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil && !Broken.Of(err) && !LostData.Of(err) {
 				r.Fatalf("%v has no expected kind", err)
 			}
 		}
@@ -242,7 +242,7 @@
 func TestTooLargeCommandIsRejected(t *testing.T) {
 	cluster := newCluster(t, 1, 1, nil)
 	big := proposeCommand("big")
-	big.Propose.Body = &fleetconfig.Body{Settings: make([]byte, MaxCommand)}
+	big.Propose.Body = &fleetconfig.Body{Settings: make([]byte, MaxCommandBytes)}
 	if _, err := cluster.replicas[cluster.leader()].node.Propose(big); !TooLarge.Of(err) {
 		t.Fatal(err)
 	}
@@ -258,7 +258,7 @@
 	if err := node.raft.Propose(later); err != nil {
 		t.Fatal(err)
 	}
-	_, err = node.Settle(&MemoryStore{}, func(Message) {})
+	_, err = node.ProcessWork(&MemoryStore{}, func(Message) {})
 	if !Broken.Of(err) || len(cluster.replicas[1].state.IDs) != 0 {
 		t.Fatalf("applied %q, error %v", cluster.replicas[1].state.IDs, err)
 	}
--- a/internal/consensus/persistence.go
+++ b/internal/consensus/persistence.go
@@ -147,10 +147,10 @@
 	var err error
 	switch {
 	case received: // it replaces the whole log
-		save.Drop = math.MaxUint64
+		save.DropThrough = math.MaxUint64
 		save.Snapshot, err = proto.Marshal(n.ready.Snapshot)
 	case n.unsavedSnapshot != nil:
-		save.Drop = n.unsavedSnapshot.GetMetadata().GetIndex()
+		save.DropThrough = n.unsavedSnapshot.GetMetadata().GetIndex()
 		save.Snapshot, err = proto.Marshal(n.unsavedSnapshot)
 	}
 	if err != nil {
--- a/internal/consensus/proposals.go
+++ b/internal/consensus/proposals.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxCommand is the most bytes that an encoded command may have: a largest body and its envelope.
-const MaxCommand = fleetconfig.MaxBody + 1<<20
+// MaxCommandBytes is the most bytes that an encoded command may have: a largest body and its envelope.
+const MaxCommandBytes = fleetconfig.MaxBody + 1<<20
 
 // ProposalID identifies a proposal or a confirmation among those of all replicas and their earlier processes.
 type ProposalID struct {
@@ -75,8 +75,8 @@
 		if err != nil {
 			return TooLarge.Wrap(n.place(), err)
 		}
-		if len(data) > MaxCommand {
-			return TooLarge.New(n.place(), "a command of %d bytes; %d is the most", len(data), MaxCommand)
+		if len(data) > MaxCommandBytes {
+			return TooLarge.New(n.place(), "a command of %d bytes; %d is the most", len(data), MaxCommandBytes)
 		}
 		if err := n.raft.Propose(data); err != nil {
 			return Busy.Wrap(n.place(), err)
@@ -91,7 +91,7 @@
 // Outcome.Failed. It fails with NotLeading.
 func (n *Node) Confirm() (id ProposalID, err error) {
 	err = n.guard(func() error {
-		if !n.Settled() {
+		if !n.LeaderReady() {
 			return n.notLeading()
 		}
 		id = n.nextProposalID()
--- a/internal/consensus/rejoin_test.go
+++ b/internal/consensus/rejoin_test.go
@@ -68,7 +68,7 @@
 		elected := false
 		for range 200 {
 			cluster.tick()
-			elected = elected || cluster.replicas[behind].node.Settled() || cluster.replicas[lost].node.Settled()
+			elected = elected || cluster.replicas[behind].node.LeaderReady() || cluster.replicas[lost].node.LeaderReady()
 		}
 		if elected == rejoin { // without Rejoin the acknowledged command is lost, so the case is a real one
 			t.Fatalf("rejoin %v: the other two elected a leader: %v", rejoin, elected)
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -16,10 +16,10 @@
 // Save is a change of the stored data, made in this order: a snapshot, which makes the entries up to Drop obsolete;
 // entries, which replace all from the first one's index on; and the state. The bytes are opaque and never modified.
 type Save struct {
-	Snapshot []byte // nil: unchanged
-	Drop     uint64 // 0: no entry
-	Entries  []Entry
-	State    []byte // nil: unchanged
+	Snapshot    []byte // nil: unchanged
+	DropThrough uint64 // 0: no entry
+	Entries     []Entry
+	State       []byte // nil: unchanged
 }
 
 // Entry is an encoded log entry.
@@ -44,7 +44,7 @@
 		m.contents.Snapshot = s.Snapshot
 	}
 	entries := slices.DeleteFunc(slices.Clone(m.contents.Entries), func(e Entry) bool {
-		return e.Index <= s.Drop || len(s.Entries) > 0 && e.Index >= s.Entries[0].Index
+		return e.Index <= s.DropThrough || len(s.Entries) > 0 && e.Index >= s.Entries[0].Index
 	})
 	entries = append(entries, s.Entries...)
 	m.contents.Entries = entries
--- a/internal/consensus/work.go
+++ b/internal/consensus/work.go
@@ -25,7 +25,7 @@
 type Applied struct {
 	Index      uint64
 	ProposalID ProposalID
-	Own        bool // this process proposed it and waits for the answer
+	Local      bool // this process proposed it and waits for the answer
 	Command    fleetconfig.Command
 	Answer     fleetconfig.Answer
 }
@@ -136,9 +136,9 @@
 	return outcome, err
 }
 
-// Settle does all pending work: it saves, sends and returns the outcome. An error of Save ends it: the messages must not be
+// ProcessWork does all pending work: it saves, sends and returns the outcome. An error of Save ends it: the messages must not be
 // sent then, and the process must end.
-func (n *Node) Settle(storage Saver, send func(Message)) (Outcome, error) {
+func (n *Node) ProcessWork(storage Saver, send func(Message)) (Outcome, error) {
 	var all Outcome
 	for {
 		work, err := n.Work()
--- a/internal/controlplane/catalog.go
+++ b/internal/controlplane/catalog.go
@@ -58,7 +58,7 @@
 	}
 	return r.commitFederationChange(w, req, body, submit, func(loop *eventLoop) any {
 		state := loop.state.Federation()
-		_, digest := state.Text()
+		_, digest := state.EncodedCatalog()
 		return PublishResponse{
 			Mesh:     publication.Mesh,
 			Epoch:    publication.Epoch,
@@ -206,7 +206,7 @@
 // catalog is this replica's Catalog. Before the first change of the federation it has no names and no meshes.
 func (l *eventLoop) catalog() Catalog {
 	federated := l.state.Federation()
-	text, digest := federated.Text()
+	text, digest := federated.EncodedCatalog()
 	result := Catalog{
 		Names:         []CatalogName{},
 		Meshes:        []CatalogMesh{},
--- a/internal/controlplane/endpoint_list.go
+++ b/internal/controlplane/endpoint_list.go
@@ -35,7 +35,7 @@
 // step follows the outcome of the node's work: it begins or ends serving, and proposes and publishes changes.
 func (p *listPublisher) step(loop *eventLoop, outcome consensus.Outcome) {
 	addr := *loop.replica.discovery.addr.Load()
-	serves := loop.node.Settled() && addr != "" && !p.closing
+	serves := loop.node.LeaderReady() && addr != "" && !p.closing
 	if p.term != 0 && (!serves || p.term != loop.node.Term()) {
 		p.stopServing(loop)
 	}
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -142,7 +142,7 @@
 	m.term.Set(float64(loop.node.Term()))
 	m.isLeader.Set(isLeader)
 	m.appliedIndex.Set(float64(loop.node.AppliedIndex()))
-	m.renewalsWaiting.Set(float64(loop.leaseServer.Waiting()))
+	m.renewalsWaiting.Set(float64(loop.leaseServer.PendingRenewals()))
 	m.activeVersion.Set(float64(active.Number))
 	m.proposedVersion.Set(float64(proposed.Number))
 	m.members.Set(float64(len(loop.state.Members())))
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -92,7 +92,7 @@
 		EndpointList: l.endpointListStatus(),
 	}
 	status.BlockedBy = blockingNodes(status.Nodes)
-	matches := l.node.Matches()
+	matches := l.node.MatchIndexes()
 	for _, id := range slices.Sorted(maps.Keys(l.replica.config.peers())) {
 		entry := Peer{ID: id, Address: l.replica.Addr(), MatchIndex: matches[id]}
 		if remote := l.replica.transport.peers[id]; remote != nil {
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -179,7 +179,7 @@
 			return err
 		}
 	}
-	if err := deleteRange(log, 0, save.Drop); err != nil {
+	if err := deleteRange(log, 0, save.DropThrough); err != nil {
 		return err
 	}
 	if len(save.Entries) > 0 { // they replace all that follows the first of them
--- a/internal/federation/federation_test.go
+++ b/internal/federation/federation_test.go
@@ -23,7 +23,7 @@
 }
 
 func digestOf(s *State) string {
-	_, digest := s.Text()
+	_, digest := s.EncodedCatalog()
 	return digest
 }
 
@@ -190,7 +190,7 @@
 			if err := s.Apply(c); err != nil {
 				t.Fatal(err)
 			}
-			tracker.ChangeApplied(c)
+			tracker.ChangeDone(c)
 			applied = append(applied, fmt.Sprint(c.Publish != nil, c.MarkLost, c.MarkReturned, c.Tick))
 		}
 		return applied
@@ -224,9 +224,9 @@
 	p = newPublication("thies", 2, "mail", "feed")
 	now += time.Minute
 	testkit.Equal(t, "returned", []string{"falsethiesfalse", "truefalse"}, apply(tracker.HandlePublication(now, p)))
-	_, reason := tracker.MissingCatalog(nil)
+	_, reason := tracker.CatalogUpdate(nil)
 	testkit.Equal(t, "reason", "feed is new; mail is new", reason)
-	if text, _ := tracker.MissingCatalog(slices.Clone(s.text)); text != nil {
+	if text, _ := tracker.CatalogUpdate(slices.Clone(s.text)); text != nil {
 		t.Error("the active catalog is missing")
 	}
 	// The mesh is lost for good: tombstone and quarantine of its names end by ticks alone.
--- a/internal/federation/golden_test.go
+++ b/internal/federation/golden_test.go
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	testkit.Equal(t, "restored", string(testkit.GoldenFile(t, "snapshot.json")), string(again))
-	text, digest := state.Text()
+	text, digest := state.EncodedCatalog()
 	testkit.Equal(t, "text of the restored state", string(testkit.GoldenFile(t, "restored-catalog.json")), string(text))
 	testkit.Equal(t, "its digest", "117869c60dde437039d08085dd6871e57b3ef00e3a62986013a4ccd378854988", digest)
 }
--- a/internal/federation/snapshot.go
+++ b/internal/federation/snapshot.go
@@ -42,7 +42,7 @@
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return BrokenSnapshot.Wrap(place, err)
 	}
-	restored := &State{Rules: s.Rules, agreedTime: decoded.AgreedTime, terms: decoded.Terms, lost: decoded.Lost}
+	restored := &State{Merger: s.Merger, agreedTime: decoded.AgreedTime, terms: decoded.Terms, lost: decoded.Lost}
 	for _, p := range decoded.Publications {
 		text, err := json.Marshal(p)
 		if err != nil {
--- a/internal/federation/state.go
+++ b/internal/federation/state.go
@@ -29,9 +29,9 @@
 	// NextDue is the agreed time at which the catalog next changes by the passage of time alone, such as when a tombstone
 	// ends; 0: it does not.
 	NextDue() time.Duration
-	// Text is the catalog as it is encoded into a version, and its digest; nil where there is none. It depends on the
+	// EncodedCatalog is the catalog as it is encoded into a version, and its digest; nil where there is none. It depends on the
 	// catalog's meaning alone, not on when that was last confirmed.
-	Text() (text json.RawMessage, digest string)
+	EncodedCatalog() (text json.RawMessage, digest string)
 	// Snapshot encodes the state.
 	Snapshot() ([]byte, error)
 	// Restore replaces the state by that of a snapshot. On an error the state is left as it was.
@@ -44,8 +44,8 @@
 // known at its end. The order of changes within a batch therefore does not matter, which would otherwise decide who owns a
 // name that two meshes publish at once.
 type State struct {
-	// Rules merge the publications. Tests replace them.
-	Rules catalog.Merger
+	// Merger merges the publications. Tests replace it.
+	Merger catalog.Merger
 
 	agreedTime   time.Duration
 	terms        Terms
@@ -61,7 +61,7 @@
 var _ ReplicatedState = (*State)(nil)
 
 // NewState makes the State of a federation without meshes.
-func NewState() *State { return &State{Rules: catalog.Rules{}} }
+func NewState() *State { return &State{Merger: catalog.Rules{}} }
 
 // Apply applies a committed change. One that is rejected changes nothing, agreed time included.
 func (s *State) Apply(c Change) error {
@@ -109,7 +109,7 @@
 		s.digest = ""
 		return
 	}
-	next, findings := s.Rules.Merge(s.beforeBatch, s.Inputs(), s.agreedTime)
+	next, findings := s.Merger.Merge(s.beforeBatch, s.Inputs(), s.agreedTime)
 	if s.beforeBatch != nil && next.Number == s.beforeBatch.Number {
 		next = s.beforeBatch // they are equal, so one copy is enough
 	}
--- a/internal/federation/text.go
+++ b/internal/federation/text.go
@@ -8,8 +8,8 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// Text returns the catalog as it is encoded into a version, and its digest; nil where there is none.
-func (s *State) Text() (json.RawMessage, string) {
+// EncodedCatalog returns the catalog as it is encoded into a version, and its digest; nil where there is none.
+func (s *State) EncodedCatalog() (json.RawMessage, string) {
 	if s.text == nil && s.catalog != nil {
 		s.text, s.digest = encodeCatalog(s.catalog)
 	}
--- a/internal/federation/tracker.go
+++ b/internal/federation/tracker.go
@@ -22,14 +22,14 @@
 	// where it is new, and the mesh's return where it was lost.
 	HandlePublication(now time.Duration, p catalog.Publication) []Change
 	// DueChanges returns the changes that are due by time: losses of meshes, and a Tick where State.NextDue has been
-	// reached. A change that is in flight is not returned again before ChangeApplied.
+	// reached. A change that is in flight is not returned again before ChangeDone.
 	DueChanges(now time.Duration) []Change
-	// ChangeApplied is called when a proposed change was applied, or will never be.
-	ChangeApplied(c Change)
-	// MissingCatalog returns the catalog text that the active version should have, and the reason for the change; nil
+	// ChangeDone is called when a proposed change was applied, or will never be.
+	ChangeDone(c Change)
+	// CatalogUpdate returns the catalog text that the active version should have, and the reason for the change; nil
 	// where the active version has it. The leader then proposes a version with the active body and that text, unless
 	// another version is pending.
-	MissingCatalog(active json.RawMessage) (text json.RawMessage, reason string)
+	CatalogUpdate(active json.RawMessage) (text json.RawMessage, reason string)
 }
 
 // PublisherTracker implements LeaderTracker. It also derives the current agreed time: the State's, advanced by the local
@@ -103,7 +103,7 @@
 	return (t.stateTime + now - t.stateSeenAt).Truncate(time.Microsecond) + time.Microsecond
 }
 
-// AssignTime returns a change with the current agreed time. On a leader the change is in flight until ChangeApplied.
+// AssignTime returns a change with the current agreed time. On a leader the change is in flight until ChangeDone.
 func (t *PublisherTracker) AssignTime(now time.Duration, c Change) Change {
 	c.At = t.AgreedTime(now)
 	if t.leading {
@@ -212,8 +212,8 @@
 	}
 }
 
-// ChangeApplied implements LeaderTracker.
-func (t *PublisherTracker) ChangeApplied(c Change) {
+// ChangeDone implements LeaderTracker.
+func (t *PublisherTracker) ChangeDone(c Change) {
 	if !t.leading {
 		return
 	}
@@ -237,9 +237,9 @@
 	return true
 }
 
-// MissingCatalog implements LeaderTracker.
-func (t *PublisherTracker) MissingCatalog(active json.RawMessage) (text json.RawMessage, reason string) {
-	text, _ = t.state.Text()
+// CatalogUpdate implements LeaderTracker.
+func (t *PublisherTracker) CatalogUpdate(active json.RawMessage) (text json.RawMessage, reason string) {
+	text, _ = t.state.EncodedCatalog()
 	if !t.leading || text == nil || !t.BatchComplete() || bytes.Equal(text, active) {
 		return nil, ""
 	}
--- a/internal/fleetconfig/state_machine_federation.go
+++ b/internal/fleetconfig/state_machine_federation.go
@@ -25,7 +25,7 @@
 // restoredFederation decodes the federation's part of a snapshot, under the rules of the present state.
 func (s *StateMachine) restoredFederation(snapshot json.RawMessage) (*federation.State, error) {
 	restored := federation.NewState()
-	restored.Rules = s.federation.Rules
+	restored.Merger = s.federation.Merger
 	if len(snapshot) == 0 {
 		return restored, nil
 	}
--- a/internal/fleetsim/replica.go
+++ b/internal/fleetsim/replica.go
@@ -149,7 +149,7 @@
 
 // traceLeadership adds each term that the replica leads in to the trace.
 func (r *Replica) traceLeadership() {
-	if term := r.node.Term(); r.node.Settled() && r.lastLedTerm != term {
+	if term := r.node.Term(); r.node.LeaderReady() && r.lastLedTerm != term {
 		r.lastLedTerm = term
 		r.engine.Trace(r.Name, "leads", term, "")
 	}
@@ -170,7 +170,7 @@
 // handleOutcome answers the proposals of this replica that have been applied, and forgets those that have failed.
 func (r *Replica) handleOutcome(outcome consensus.Outcome) {
 	for _, applied := range outcome.Applied {
-		if handle := r.answerHandlers[applied.ProposalID]; applied.Own && handle != nil {
+		if handle := r.answerHandlers[applied.ProposalID]; applied.Local && handle != nil {
 			handle(applied.Answer)
 		}
 		delete(r.answerHandlers, applied.ProposalID)
--- a/internal/fleetsim/replica_catalog.go
+++ b/internal/fleetsim/replica_catalog.go
@@ -13,7 +13,7 @@
 // newCatalogProposer returns the proposer beside the replica's node, with the fleet's hooks.
 func (r *Replica) newCatalogProposer(machine *fleetconfig.StateMachine) *consensus.CatalogProposer {
 	state := machine.Federation().(*federation.State)
-	state.Rules = r.fleet.Hooks.wrapMerger(r.fleet.Merger)
+	state.Merger = r.fleet.Hooks.wrapMerger(r.fleet.Merger)
 	publishers := federation.NewPublisherTracker(state)
 	publishers.MeshTimeout = meshTimeout
 	tracker := checkedPublisherTracker{r.fleet.Hooks.wrapPublishers(publishers), r}
--- a/internal/fleetsim/scenario_publishers.go
+++ b/internal/fleetsim/scenario_publishers.go
@@ -52,7 +52,7 @@
 		if leader == nil || !f.Settled() {
 			return false
 		}
-		merged, _ := leader.state.Federation().Text()
+		merged, _ := leader.state.Federation().EncodedCatalog()
 		return merged != nil && (bytes.Equal(merged, f.Active().Body.Catalog) || leader.proposer.BlockedReason() != "")
 	}
 	s.await("I7: the merged catalog after all faults", DefaultTerms.MemberTimeout+healingTime, active)
