--- a/balancer/events.go
+++ b/balancer/events.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Event is anything that a Balancer reacts to.
+// Event is an input of a Balancer.
 type Event interface{ event() }
 
 // Phase is the state of an endpoint in service discovery.
 type Phase int
 
 const (
-	// Ready endpoints take new connections.
+	// Ready endpoints accept new connections.
 	Ready Phase = iota
-	// Draining endpoints keep their connections for DrainGrace and take no new ones.
+	// Draining endpoints keep their connections for Rules.DrainGrace and accept no new ones.
 	Draining
 	// Removed endpoints are no longer listed.
 	Removed
@@ -21,13 +21,13 @@
 type Endpoint struct {
 	ID        string
 	Phase     Phase
-	StartedAt Instant // of its process; 0: long ago
-	Size      float64 // relative capacity; 0 is read as 1
+	StartedAt Instant // start of the endpoint's process; 0: long ago
+	Size      float64 // relative capacity; 0 counts as 1
 	Zone      string
 	Cell      int
 }
 
-// ListKind tells how to read an EndpointUpdate.
+// ListKind specifies which entries an EndpointUpdate holds.
 type ListKind int
 
 const (
@@ -35,31 +35,31 @@
 	DeltaList ListKind = iota
 	// FullList holds all entries.
 	FullList
-	// CachedList holds all entries as saved by an earlier process.
+	// CachedList holds all entries as an earlier process saved them.
 	CachedList
-	// ListFailed means that discovery could not be reached; it has no entries.
+	// ListFailed means that service discovery could not be reached. The update holds no entries.
 	ListFailed
 )
 
-// Status is how an attempt or a health check ended.
+// Status is the result of an attempt or a health check.
 type Status int
 
 const (
-	// OK is success.
+	// OK means success.
 	OK Status = iota
-	// AppError is an error of the application, which executed the request.
+	// AppError means that the application executed the request and returned an error.
 	AppError
-	// RejectedByEndpoint means that the endpoint rejected the request before its execution.
+	// RejectedByEndpoint means that the endpoint rejected the request without executing it.
 	RejectedByEndpoint
-	// Timeout means that no answer came in time.
+	// Timeout means that no answer arrived in time.
 	Timeout
-	// ConnectFailed means that no connection was made.
+	// ConnectFailed means that the connection could not be established.
 	ConnectFailed
-	// Reset means that the connection broke.
+	// Reset means that the connection was reset.
 	Reset
-	// Canceled means that this node gave up the attempt or the client left.
+	// Canceled means that this node canceled the attempt or that the client disconnected.
 	Canceled
-	// NotSent means that the request never left this node.
+	// NotSent means that this node did not send the request.
 	NotSent
 )
 
@@ -68,46 +68,47 @@
 	return s == RejectedByEndpoint || s == ConnectFailed || s == NotSent
 }
 
-// LoadReport is an endpoint's load report: figures by name.
+// LoadReport is an endpoint's load report: metric values by metric name.
 type LoadReport map[string]float64
 
-// The figures of a load report that decisions need.
+// The metrics of a load report that the Balancer uses.
 const (
-	// UtilizationMetric is the load asked of an endpoint over what it can serve; 1 is all of it.
+	// UtilizationMetric is the load offered to an endpoint divided by its capacity; 1 is full load.
 	UtilizationMetric = "x0"
-	// ConnectionsMetric is how many connections it holds.
+	// ConnectionsMetric is the number of connections that the endpoint holds.
 	ConnectionsMetric = "outstanding"
 )
 
-// EndpointUpdate is a list of endpoints from service discovery. An entry absent from a full or cached list is removed.
+// EndpointUpdate is a list of endpoints from service discovery. An endpoint absent from a full or cached list is removed.
 type EndpointUpdate struct {
 	Kind    ListKind
 	Version int64
 	Entries []Endpoint
 }
 
-// Request is a client's connection request. It gets one final answer before Deadline.
+// Request is a client's connection request. The Balancer answers it once before Deadline.
 type Request struct {
 	ID          string
 	Class       string
 	Tenant      string
-	Group       string // clients of a group are placed together; "" for none
-	Key         string // of the client
+	Group       string // clients of a group are placed together; "": no group
+	Key         string // placement key of the client
 	Deadline    Instant
 	LoadHint    float64 `json:"Hint"`     // expected load; 0 if unknown
-	Resumed     bool    `json:"MidFlow"`  // packets of a connection that is established somewhere now arrive here
+	Resumed     bool    `json:"MidFlow"`  // packets of an already established connection now arrive at this node
 	ClientRetry bool    `json:"Repeat"`   // marked by the client as a retry
-	Returning   bool    `json:"Returned"` // the client was disconnected or migrated and reconnects
-	MaxAttempts int     `json:"Attempts"` // that it may have here; 0: as many as the limits say
+	Returning   bool    `json:"Returned"` // the client reconnects after a disconnect or a migration
+	MaxAttempts int     `json:"Attempts"` // limit for this node; 0: only Limits.Attempts applies
 }
 
-// Adopted is a connection that is established already, by attempt 0: another process handed it over.
+// Adopted reports an established connection that another process handed over. Attempt 0 counts as the one that established
+// it.
 type Adopted struct {
 	Request
 	Endpoint string `json:"Server"`
 }
 
-// Established says that an attempt's connection is established; the deadline no longer applies.
+// Established reports that an attempt established its connection. The request's deadline no longer applies.
 type Established struct {
 	ID       string
 	Endpoint string
@@ -115,7 +116,7 @@
 	Latency  time.Duration
 }
 
-// AttemptEnded is the one end of an attempt. Final is set where the request has concluded.
+// AttemptEnded reports the end of an attempt, once for each attempt. Final is set if the request has concluded with it.
 type AttemptEnded struct {
 	ID       string
 	Endpoint string
@@ -126,10 +127,10 @@
 	Load     LoadReport
 }
 
-// ClientDisconnected says that the client left; it needs no answer any more.
+// ClientDisconnected reports that the client disconnected. Its request needs no answer.
 type ClientDisconnected struct{ ID string }
 
-// LoadChanged carries the present load of an established connection, in work per second.
+// LoadChanged reports the current load of an established connection, in units of work per second.
 type LoadChanged struct {
 	ID       string
 	Endpoint string
@@ -137,7 +138,7 @@
 	Load     float64
 }
 
-// LatencyChanged carries the time that a message takes at an endpoint now.
+// LatencyChanged reports the current message latency of an endpoint.
 type LatencyChanged struct {
 	ID       string
 	Endpoint string
@@ -153,13 +154,13 @@
 	Load     LoadReport
 }
 
-// PeerMessage comes from another node of the tier. A Balancer ignores it.
+// PeerMessage is a message from another node of the tier. A Balancer ignores it.
 type PeerMessage struct {
 	From int
 	Data string
 }
 
-// Timer is a timer that came due.
+// Timer reports that a timer set by SetTimer has expired.
 type Timer struct{ Token string }
 
 func (EndpointUpdate) event()     {}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -79,7 +79,7 @@
 		Classes:            goldenSettings().Classes,
 		ClassIndex:         map[string]int{"light": 2003, "heavy": 2004},
 		MeanLoads:          map[string]float64{"": 2.005, "light": 2.006},
-		Endpoints:          []EndpointSnapshot{goldenServerSnapshot()},
+		Endpoints:          []EndpointSnapshot{goldenEndpointSnapshot()},
 		EndpointIndex:      map[string]int{"s001": 2007},
 		ZoneOutliers:       map[string]OutlierSnapshot{"east": {Failures: 2008, RetryAt: 2009, TrialInFlight: true}},
 		ActiveByTenant:     map[string]int{"tenant": 2010},
@@ -130,7 +130,7 @@
 	}
 }
 
-func goldenServerSnapshot() EndpointSnapshot {
+func goldenEndpointSnapshot() EndpointSnapshot {
 	return EndpointSnapshot{
 		ID: "s001", Zone: "east", Cell: 2501, Phase: Draining, Size: 2.502,
 		Outlier: OutlierSnapshot{Failures: 2503, RetryAt: 2504, TrialInFlight: true}, StartedAt: 2505, LastResetAt: 2506,
--- a/balancer/handle.go
+++ b/balancer/handle.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Handle applies one event at its time and returns what to do, in order. Times should not run backwards; an earlier
-// one counts as the latest so far.
+// Handle applies one event at its time and returns the actions to perform, in order. Times should not run backwards; a time
+// before that of an earlier event is replaced by the latest time so far.
 func (b *Balancer) Handle(now Instant, event Event) []Action {
 	b.beginEvent(now)
 	b.advanceEpoch()
@@ -40,11 +40,11 @@
 	return b.actions
 }
 
-// The tokens of timers; a request's deadline has one of its own.
+// Timer tokens. Each request's deadline timer has another token (request.timerToken).
 const (
 	watchTimer       = "watch"
 	loadReportTimer  = "reports"
-	drainTimerPrefix = "leave:" // and the endpoint's ID
+	drainTimerPrefix = "leave:" // followed by the endpoint's ID
 )
 
 func (b *Balancer) handleTimer(token string) {
--- a/balancer/handover_resume.go
+++ b/balancer/handover_resume.go
@@ -11,13 +11,14 @@
 	"example.org/micafront/balancer/hotkeys"
 )
 
-// This file takes over the state of another process.
+// Resumption from the state that another process handed over.
 
-// Resume starts from the state of another process on the same node, in place of a first EndpointUpdate. A state that
-// no process can have gives an error and changes nothing.
+// Resume starts a new Balancer from the state of another process on the same node, instead of from a first EndpointUpdate. It
+// returns the actions to perform. It returns an error and changes nothing if the Balancer has started already or if the state is
+// invalid.
 func (b *Balancer) Resume(now Instant, state State) ([]Action, error) {
 	if b.started {
-		return nil, errors.New("already started")
+		return nil, errors.New("the balancer has already started")
 	}
 	if state.AdmissionRate == 0 {
 		state.AdmissionRate = state.CompactAdmissionRate
@@ -53,12 +54,13 @@
 	b.RestoreEstablishedConnections(state.ClientEndpoints)
 	b.scheduleLoadReports()
 	if b.settings.Subscribe {
-		b.emit(Watch{On: true}) // at once: it is one node's call, and the list is as old as the handover
+		// No random delay: only this node subscribes, and its list is as old as the handover.
+		b.emit(Watch{On: true})
 	}
 	return b.actions, nil
 }
 
-// restoreGroupCounts ignores counts that no frequency tracker has.
+// restoreGroupCounts ignores counts that a frequency tracker cannot hold.
 func (b *Balancer) restoreGroupCounts(counts map[uint64]float64) {
 	for group, count := range counts {
 		count = math.Floor(count)
@@ -70,7 +72,8 @@
 	}
 }
 
-// RestoreEstablishedConnections takes over where another process has clients' connections, by client hash.
+// RestoreEstablishedConnections records the endpoint IDs of the connections that another process holds, by client hash. Unknown
+// endpoints are ignored.
 func (b *Balancer) RestoreEstablishedConnections(connections map[uint64]string) {
 	if !b.settings.PassThrough {
 		return
@@ -82,10 +85,10 @@
 	}
 }
 
-// stateDecoder checks a State and resolves the references in it.
+// stateDecoder validates a State and resolves its references.
 type stateDecoder struct {
 	state  *State
-	latest Instant // no time in the state can lie beyond
+	latest Instant // upper bound of all times in the state
 
 	endpoints     []*endpointState // by index
 	endpointsByID map[string]*endpointState
@@ -109,10 +112,10 @@
 		}
 	}
 	if !withinRange(d.state.BaselineLocalShare, d.state.AdmissionRate) || d.state.AdmissionRate <= 0 {
-		return fmt.Errorf("its local share %v or its admission rate %v is out of range", d.state.BaselineLocalShare, d.state.AdmissionRate)
+		return fmt.Errorf("local share %v or admission rate %v is out of range", d.state.BaselineLocalShare, d.state.AdmissionRate)
 	}
-	if !d.possible(d.state.StartedAt, d.state.PreviousTablesAt) {
-		return fmt.Errorf("its start %v or the time of its tables %v is below 0 or after %v", d.state.StartedAt,
+	if !d.validTimes(d.state.StartedAt, d.state.PreviousTablesAt) {
+		return fmt.Errorf("start time %v or time of the previous tables %v is negative or after %v", d.state.StartedAt,
 			d.state.PreviousTablesAt, d.latest)
 	}
 	for class, load := range d.state.MeanLoads {
@@ -123,14 +126,14 @@
 	return nil
 }
 
-// decodeEndpoints prefers, of several endpoints with one ID, one that is listed.
+// decodeEndpoints prefers a listed endpoint among several endpoints with the same ID.
 func (d *stateDecoder) decodeEndpoints() error {
 	d.endpoints = make([]*endpointState, len(d.state.Endpoints))
 	d.endpointsByID = map[string]*endpointState{}
 	for i := range d.state.Endpoints {
 		encoded := &d.state.Endpoints[i]
 		if !d.validEndpoint(encoded) {
-			return fmt.Errorf("endpoint %q has no ID, or a figure or time that is out of range", encoded.ID)
+			return fmt.Errorf("endpoint %q has no ID, or a value or time that is out of range", encoded.ID)
 		}
 		d.endpoints[i] = resumeEndpoint(encoded)
 		if other := d.endpointsByID[encoded.ID]; other == nil || other.phase == Removed {
@@ -143,27 +146,27 @@
 func (d *stateDecoder) validEndpoint(encoded *EndpointRecord) bool {
 	return encoded.ID != "" && encoded.Phase >= Ready && encoded.Phase <= Removed && encoded.Size > 0 &&
 		withinRange(encoded.Size, encoded.AdmittedFraction, encoded.SlowStartTokens) && encoded.Outlier.Failures >= 0 &&
-		d.possible(encoded.StartedAt, encoded.LastResetAt, encoded.MessageLatency, encoded.MessageLatencyAt,
+		d.validTimes(encoded.StartedAt, encoded.LastResetAt, encoded.MessageLatency, encoded.MessageLatencyAt,
 			encoded.AdmittedFractionAt, encoded.SlowStartTokensAt, encoded.Outlier.RetryAt)
 }
 
-// endpointAt is an endpointLookup.
+// endpointAt implements endpointLookup.
 func (d *stateDecoder) endpointAt(index int) (*endpointState, error) {
 	if index < 0 || index >= len(d.endpoints) {
-		return nil, errors.New("a slot has no owner")
+		return nil, errors.New("a table refers to an endpoint that the state does not contain")
 	}
 	return d.endpoints[index], nil
 }
 
-// possible tells whether times can be another process's.
-func (d *stateDecoder) possible(times ...Instant) bool {
+// validTimes reports whether all times are between 0 and d.latest.
+func (d *stateDecoder) validTimes(times ...Instant) bool {
 	return !slices.ContainsFunc(times, func(t Instant) bool { return t < 0 || t > d.latest })
 }
 
-// withinRange tells whether figures are numbers of a magnitude with which sums stay withinRange.
-func withinRange(figures ...float64) bool {
-	const most = 1e12
-	return !slices.ContainsFunc(figures, func(figure float64) bool { return !(figure >= -most && figure <= most) })
+// withinRange reports whether all values are numbers, and small enough that their sums stay finite.
+func withinRange(values ...float64) bool {
+	const maxMagnitude = 1e12
+	return !slices.ContainsFunc(values, func(value float64) bool { return !(value >= -maxMagnitude && value <= maxMagnitude) })
 }
 
 func resumeEndpoint(encoded *EndpointRecord) *endpointState {
--- a/balancer/handover_state.go
+++ b/balancer/handover_state.go
@@ -8,10 +8,10 @@
 	"example.org/micafront/balancer/hashing"
 )
 
-// This file is the state that a process hands over to its successor at a hot restart.
+// State that a process hands over to its successor at a hot restart.
 
-// State is what a successor on the same node needs in order to decide alike. Its times are those of the fleet's clock,
-// which all processes share. It holds no requests: those stay with their own process to the end.
+// State is what a successor process on the same node needs to make the same decisions. Its times are on the fleet's clock,
+// which all processes share. It holds no requests, because each request stays with its process until it ends.
 type State struct {
 	StartedAt          Instant
 	LastEpoch          int64
@@ -21,36 +21,36 @@
 	BaselineLocalShare float64 `json:"UsualPart"`
 	Table              TableState
 	ZoneTables         map[string]TableState    `json:"Zoned"`
-	PreviousTablesAt   Instant                  `json:"FormerAt"` // when the tables' previous forms were retained
+	PreviousTablesAt   Instant                  `json:"FormerAt"` // when the previous versions of the tables were retained
 	Endpoints          []EndpointRecord         `json:"Servers"`
 	ZoneOutliers       map[string]OutlierRecord `json:"Zones"`
 	AdmissionRate      float64                  `json:"Gate"`   // 0: see CompactAdmissionRate
-	MeanLoads          map[string]float64       `json:"Usual"`  // by class
+	MeanLoads          map[string]float64       `json:"Usual"`  // by class name
 	GroupCounts        map[uint64]float64       `json:"Groups"` // by group hash
-	ClientEndpoints    map[uint64]string        `json:"Seen"`   // endpoints of connections, by client hash
+	ClientEndpoints    map[uint64]string        `json:"Seen"`   // endpoint IDs of connections, by client hash
 
-	// CompactAdmissionRate is the admission rate of a state in which a table has members in place of owners. Releases that
-	// know no such tables would take them to be empty: they reject a state whose AdmissionRate is 0, and start without it.
+	// CompactAdmissionRate replaces AdmissionRate, which is 0 then, in a state in which a table has members instead of owners.
+	// Older releases would read such a table as empty. They reject a state whose AdmissionRate is 0 and start without it.
 	CompactAdmissionRate float64 `json:",omitempty"`
 }
 
-// TableState is a hash table. It has the owners of all slots or, where these are too many, the members from which the owners
-// follow.
+// TableState is the encoded form of a slotTable. It holds the owners of all slots. If there are too many slots, it holds the
+// members instead, from which a reader computes the owners.
 type TableState struct {
-	Counts   []int       // history of the number of slots
-	Owners   []int       `json:"Owner"`  // of the slots, as indices into the list of endpoints
-	SlotSize float64     `json:"Unit"`   // endpoint size that earns one slot
-	Previous *TableState `json:"Before"` // its earlier form; nil if none is retained
-	Members  []int       `json:",omitempty"`
+	Counts   []int       // history of the number of slots, latest last
+	Owners   []int       `json:"Owner"`      // owner of each slot, as an index into the list of endpoints
+	SlotSize float64     `json:"Unit"`       // endpoint size per slot
+	Previous *TableState `json:"Before"`     // previous version of the table; nil if none is retained
+	Members  []int       `json:",omitempty"` // as indices into the list of endpoints
 }
 
 // OutlierRecord is the outlier state of an endpoint or a zone.
 type OutlierRecord struct {
-	Failures int `json:"Fails"` // since the last success
+	Failures int `json:"Fails"` // number of failures since the last success
 	RetryAt  Instant
 }
 
-// EndpointRecord is what is known of an endpoint.
+// EndpointRecord is the part of an endpoint's state that a process hands over.
 type EndpointRecord struct {
 	ID                 string
 	Zone               string
@@ -69,14 +69,15 @@
 	SlowStartTokensAt  Instant       `json:"TokensAt"`
 }
 
-// State returns what a successor needs. Its list of endpoints is in no particular order.
+// State returns the state for a successor process. Its endpoints are in no particular order.
 func (b *Balancer) State() State {
 	state := b.CaptureState()
 	state.ComputeOwners()
 	return state
 }
 
-// CaptureState is State without the owners of slots, which ComputeOwners adds: finding them takes long.
+// CaptureState returns the same as State, but all tables have members instead of owners. ComputeOwners replaces them; it takes
+// long and may run outside the event loop.
 func (b *Balancer) CaptureState() State {
 	state := State{
 		StartedAt:          b.startedAt,
@@ -100,7 +101,7 @@
 			continue
 		}
 		indices[endpoint] = len(state.Endpoints)
-		state.Endpoints = append(state.Endpoints, endpoint.handoverState())
+		state.Endpoints = append(state.Endpoints, endpoint.handoverRecord())
 	}
 	endpointIndex := func(endpoint *endpointState) int { return indices[endpoint] }
 	state.Table = encodeMembers(&b.fleetTable, endpointIndex)
@@ -119,8 +120,8 @@
 	return state
 }
 
-// referencedEndpoints lists all endpoints, some repeatedly: slots may belong to ones that are no longer listed, until the
-// next epoch.
+// referencedEndpoints returns the endpoints of the list and of all tables, some of them several times. Until the next epoch,
+// tables may refer to endpoints that are no longer listed.
 func (b *Balancer) referencedEndpoints() []*endpointState {
 	endpoints := slices.Collect(maps.Values(b.endpoints))
 	for _, table := range append(slices.Collect(maps.Values(b.zoneTables)), &b.fleetTable) {
@@ -131,7 +132,7 @@
 	return endpoints
 }
 
-func (e *endpointState) handoverState() EndpointRecord {
+func (e *endpointState) handoverRecord() EndpointRecord {
 	return EndpointRecord{
 		ID:                 e.id,
 		Zone:               e.zone,
@@ -151,8 +152,8 @@
 	}
 }
 
-// ComputeOwners replaces the members of tables by the owners of their slots, but in tables that are too large for that. It uses nothing
-// but the state, so it may run beside the Balancer.
+// ComputeOwners replaces the members of each table with the owners of its slots, except in tables with more than
+// maxEncodedOwners slots. It accesses only the state, so it may run concurrently with the Balancer.
 func (s *State) ComputeOwners() {
 	claims := make([]claim, len(s.Endpoints))
 	for i := range s.Endpoints {
@@ -168,8 +169,8 @@
 	}
 }
 
-// computeOwners replaces the members of a table and of its earlier forms, and reports whether any has kept them. claims are those of
-// the state's endpoints, by index.
+// computeOwners replaces the members of a table and of its previous versions with owners. It reports whether any of them is
+// too large and keeps its members. claims holds the claims of the state's endpoints, by index.
 func (t *TableState) computeOwners(claims []claim) (compact bool) {
 	if t.Previous != nil {
 		compact = t.Previous.computeOwners(claims)
--- a/balancer/report.go
+++ b/balancer/report.go
@@ -1,9 +1,9 @@
 package balancer
 
-// This file answers questions about the Balancer's state. It decides nothing.
+// Read-only queries of the Balancer's state.
 
-// UnavailableEndpoints counts the listed endpoints to which nothing new is sent now: those that drain, and those that
-// are ejected or whose zone is.
+// UnavailableEndpoints returns the number of listed endpoints that get no new requests now: those that drain, are ejected, or
+// are in an ejected zone.
 func (b *Balancer) UnavailableEndpoints() int {
 	count := 0
 	for _, endpoint := range b.endpoints {
@@ -14,8 +14,8 @@
 	return count
 }
 
-// Misplaced tells whether an established connection is not where other nodes would look for it by its key. One that is
-// not known is.
+// Misplaced reports whether other nodes, which look up connections by key, would look for an established connection at another
+// endpoint. An unknown connection counts as misplaced.
 func (b *Balancer) Misplaced(id string) bool {
 	table := b.localTable
 	if table.isEmpty() {
@@ -25,7 +25,8 @@
 	return req == nil || req.endpoint != b.lookupEstablished(table, req.keyHash)
 }
 
-// EstablishedConnections returns the endpoints of this process's established connections, by client hash.
+// EstablishedConnections returns the endpoint IDs of this process's established connections, by client hash. Connections whose
+// clients were asked to migrate are left out.
 func (b *Balancer) EstablishedConnections() map[uint64]string {
 	byClient := map[uint64]string{}
 	for _, req := range b.requests {
@@ -36,7 +37,8 @@
 	return byClient
 }
 
-// Connection returns an established connection as the event by which another process adopts it; false if there is none.
+// Connection returns the event with which another process adopts an established connection, and false if there is no such
+// connection.
 func (b *Balancer) Connection(id string) (Adopted, bool) {
 	req := b.requests[id]
 	if req == nil || !req.established || req.endpoint == nil {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,55 +8,56 @@
 	"time"
 )
 
-// This file holds the settings and their validation. It decides nothing.
+// Settings of a Balancer and their validation.
 
-// Idempotency tells whether a request of a class may be executed twice.
+// Idempotency specifies whether a request of a class may be executed more than once.
 type Idempotency int
 
 const (
-	// Idempotent requests may be repeated and rejected freely.
+	// Idempotent requests may always be retried and rejected.
 	Idempotent Idempotency = iota
-	// IdempotentByKey requests carry a key by which the hosts of a DedupScope discard repeats for the DedupWindow.
+	// IdempotentByKey requests carry an idempotency key. The endpoints of a DedupScope discard duplicates with the same key
+	// for the DedupWindow.
 	IdempotentByKey
-	// NotIdempotent requests may be repeated or rejected only when no attempt was executed.
+	// NotIdempotent requests may be retried or rejected only if no attempt was executed.
 	NotIdempotent
 )
 
-// DedupScope is the group of endpoints that discards repeats of a keyed request.
+// DedupScope is the group of endpoints that together discard duplicates of a request with an idempotency key.
 type DedupScope int
 
 const (
-	// ScopeAll is all endpoints together.
+	// ScopeAll covers all endpoints.
 	ScopeAll DedupScope = iota
-	// ScopeZone is those of one zone.
+	// ScopeZone covers the endpoints of one zone.
 	ScopeZone
-	// ScopeCell is those of one cell of a zone.
+	// ScopeCell covers the endpoints of one cell of a zone.
 	ScopeCell
 )
 
-// Class describes one class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration `json:"Aim"`        // a connection established within it earns its full weight
-	Timeout          time.Duration `json:"GiveUp"`     // the client leaves after this, all its attempts together
-	MessageObjective time.Duration `json:"MessageAim"` // of a message on an established connection; 0 if unknown
+	LatencyObjective time.Duration `json:"Aim"`        // a connection established within it counts with its full PriorityWeight
+	Timeout          time.Duration `json:"GiveUp"`     // the client gives up after this time, over all attempts together
+	MessageObjective time.Duration `json:"MessageAim"` // latency objective of a message on an established connection; 0: unknown
 	PriorityWeight   float64       `json:"Worth"`
 	Idempotency      Idempotency   `json:"Effect"`
 	DedupScope       DedupScope    `json:"Dedup"`  // for IdempotentByKey
-	DedupWindow      time.Duration `json:"Memory"` // for IdempotentByKey: how long repeats are recognized
+	DedupWindow      time.Duration `json:"Memory"` // for IdempotentByKey: how long duplicates are recognized
 }
 
 // Tenant is a customer with a share of the fleet.
 type Tenant struct {
 	Name        string
 	PerSecond   float64
-	Share       float64 // of all that is active
-	Connections float64 // open ones within the share, over all nodes; 0 if unknown
+	Share       float64 // fraction of all active connections
+	Connections float64 // open connections within the share, over all nodes; 0: unknown
 }
 
-// Limits are the limits and capabilities of a site.
+// Limits holds the limits and capabilities of a site.
 type Limits struct {
-	Attempts       int // of one request, at most
+	Attempts       int // maximum number of attempts of a request
 	ConnectTimeout time.Duration
 	MaxRetryAfter  time.Duration
 	MaxOpen        int
@@ -66,36 +67,36 @@
 	HedgedRequests bool `json:"SecondCopies"`
 }
 
-// Rules are the times and figures that a site's operators set.
+// Rules holds the durations and factors that a site's operators set.
 type Rules struct {
-	AnswerSlack       time.Duration // by how much an answer may miss the deadline
-	DiscoveryInterval time.Duration `json:"AskEvery"` // within which a lost subscription is renewed
-	WarmUp            time.Duration `json:"Cold"`     // in which a started endpoint reaches its full capacity
-	InitialCapacity   float64       `json:"ColdFrom"` // part of its capacity that it has at its start
-	DrainGrace        time.Duration // between the announcement that an endpoint drains and its stop
-	OverloadWindow    time.Duration `json:"Fall"` // in which overload does harm
-	OverloadFactor    float64       // how many times its capacity overloads an endpoint within OverloadWindow
+	AnswerSlack       time.Duration // how late after the deadline an answer may be
+	DiscoveryInterval time.Duration `json:"AskEvery"` // a lost subscription is renewed within this time
+	WarmUp            time.Duration `json:"Cold"`     // time from an endpoint's start to its full capacity
+	InitialCapacity   float64       `json:"ColdFrom"` // fraction of its full capacity that an endpoint has at its start
+	DrainGrace        time.Duration // time from the announcement that an endpoint drains to its stop
+	OverloadWindow    time.Duration `json:"Fall"` // time within which overload causes harm
+	OverloadFactor    float64       // multiple of its capacity that overloads an endpoint within OverloadWindow
 }
 
-// Settings are the configuration of a node.
+// Settings holds the configuration of a node.
 type Settings struct {
-	Nodes           int // nodes in the tier, this one included
+	Nodes           int // number of nodes in the tier, including this one
 	NodeIndex       int `json:"Self"` // 0-based index of this node in the tier
 	Zone            string
 	Classes         []Class
 	Tenants         []Tenant
 	Limits          Limits
 	Rules           Rules
-	Subscribe       bool    // discovery sends changes only to subscribers
-	PassThrough     bool    // packets pass through; connections outlive the node
-	LoadReports     bool    `json:"Reports"`        // health checks bring UtilizationMetric and ConnectionsMetric
-	OverQuotaWeight float64 `json:"OverShareWorth"` // factor on the PriorityWeight of connections beyond a tenant's share
+	Subscribe       bool    // service discovery sends changes only to subscribers
+	PassThrough     bool    // the node forwards packets, so connections outlive it
+	LoadReports     bool    `json:"Reports"`        // health checks return UtilizationMetric and ConnectionsMetric
+	OverQuotaWeight float64 `json:"OverShareWorth"` // factor on the PriorityWeight of connections beyond their tenant's share
 }
 
-// Validate returns why settings can't be used, or nil.
+// Validate returns an error that names the first invalid setting by its key in a settings file, or nil.
 func (s Settings) Validate() error { return s.cloneAndValidate() }
 
-// cloneAndValidate returns why settings can't be used. It copies the lists, which then are the Balancer's own.
+// cloneAndValidate copies the lists, so that the Balancer does not share them with its caller, and validates the settings.
 func (s *Settings) cloneAndValidate() error {
 	s.Classes = slices.Clone(s.Classes)
 	s.Tenants = slices.Clone(s.Tenants)
@@ -148,14 +149,14 @@
 	)
 }
 
-// requirement is a condition on a setting. Its text names the setting by its key in a settings file (internal/simwire), where
-// an operator has to correct it, and the condition, which also fails for a number that is NaN.
+// requirement is a condition on a setting; NaN must not meet it. The text states the condition and names the setting by its
+// key in a settings file (internal/simwire), because an operator has to correct it there.
 type requirement struct {
 	met  bool
 	text string
 }
 
-// requireAll returns the text of the first requirement that is not met as an error, or nil.
+// requireAll returns an error with the text of the first requirement that is not met, or nil.
 func requireAll(requirements ...requirement) error {
 	for _, requirement := range requirements {
 		if !requirement.met {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -6,26 +6,26 @@
 	"example.org/micafront/balancer/loadreport"
 )
 
-// This file declares the form of a snapshot.
+// Types of a snapshot.
 
-// SnapshotVersion is the version of Snapshot's form. It changes whenever a field comes, goes or changes its meaning.
+// SnapshotVersion is the version of the Snapshot format. It changes whenever a field is added, removed or changes its meaning.
 const SnapshotVersion = 5
 
-// CompactSnapshotVersion is that of a snapshot in which a table has members in place of owners. All else is as in
+// CompactSnapshotVersion is the version of a snapshot in which a table has members instead of owners. Everything else is as in
 // SnapshotVersion.
 const CompactSnapshotVersion = 6
 
-// Snapshot is the whole state of a Balancer, exactly: one that is restored from it takes the same actions ever after. A
-// State is less: what another process needs in order to go on.
+// Snapshot is the complete state of a Balancer. A Balancer restored from it returns the same actions as the original for all
+// further events. A State, in contrast, holds only what a successor process needs.
 //
-// Endpoints, requests and classes refer to one another by their indices in the lists here; -1 is none.
+// Endpoints, requests and classes refer to each other by index in the lists of the Snapshot; noIndex (-1) is no reference.
 type Snapshot struct {
 	Version     int
 	Settings    Settings
-	RandomState []byte `json:"Chance"` // of the random number generator
+	RandomState []byte `json:"Chance"` // state of the random number generator
 	Now         Instant
 
-	Classes            []Class                    // in force, dropped, and as they were when requests came under them
+	Classes            []Class                    // current classes, dropped ones, and earlier versions that requests still use
 	ClassIndex         map[string]int             `json:"ClassOf"`
 	MeanLoads          map[string]float64         `json:"Usual"`
 	Endpoints          []EndpointSnapshot         `json:"Servers"`
@@ -37,7 +37,7 @@
 	Table              TableState
 	ZoneTables         map[string]TableState `json:"Zoned"`
 	PreviousTablesAt   Instant               `json:"FormerAt"`
-	LocalTable         *TableState           `json:"Home"` // nil: the one of LocalZone
+	LocalTable         *TableState           `json:"Home"` // nil: the table of LocalZone
 	LocalZone          string                `json:"HomeZone"`
 	ClientEndpoints    [2]map[uint64]int     `json:"Seen"`
 	ActiveCount        int                   `json:"Held"`
@@ -74,7 +74,7 @@
 	TrialInFlight bool `json:"Trial"`
 }
 
-// EndpointSnapshot is all that is known of an endpoint.
+// EndpointSnapshot is the complete state of an endpoint.
 type EndpointSnapshot struct {
 	ID                 string
 	Zone               string
@@ -85,7 +85,7 @@
 	StartedAt          Instant         `json:"Started"`
 	LastResetAt        Instant         `json:"BrokeAt"`
 	CrashSuspected     bool            `json:"Crashed"`
-	Active             []int           `json:"Held"` // requests, in their order
+	Active             []int           `json:"Held"` // indices of the active requests, in order
 	ActiveLoad         float64         `json:"Weight"`
 	DrainStepsLeft     int             `json:"Leaving"`
 	DrainForcedAt      Instant         `json:"LeaveBy"`
@@ -97,14 +97,14 @@
 	SlowStartTokensAt  Instant         `json:"TokensAt"`
 }
 
-// RequestSnapshot is a request until its last attempt has ended, or an established connection.
+// RequestSnapshot is the state of a request whose last attempt has not ended, or of an established connection.
 type RequestSnapshot struct {
 	Request         Request
 	Class           int
 	KeyHash         uint64 `json:"KeyID"`
 	ClientHash      uint64 `json:"ClientID"`
 	TimerToken      string `json:"Token"`
-	TimerPending    bool   `json:"Timed"` // the deadline's timer has not come due
+	TimerPending    bool   `json:"Timed"` // the deadline timer has not expired
 	Attempts        int
 	ActiveIndex     int  `json:"Place"`
 	Endpoint        int  `json:"At"`
--- a/balancer/snapshot_decode.go
+++ b/balancer/snapshot_decode.go
@@ -9,13 +9,13 @@
 	"example.org/micafront/balancer/hashing"
 )
 
-// This file restores snapshots.
+// Restoration of a Balancer from a snapshot.
 
-// Restore makes the Balancer that a snapshot was taken of. A snapshot of another version, or whose parts don't fit one
-// another, gives an error.
+// Restore returns a Balancer with the state of a snapshot. It returns an error if the snapshot has an unsupported version or
+// invalid settings, or if its references are inconsistent.
 func Restore(snapshot Snapshot) (*Balancer, error) {
 	if snapshot.Version != SnapshotVersion && snapshot.Version != CompactSnapshotVersion {
-		return nil, fmt.Errorf("balancer: the snapshot has version %d, this program reads %d and %d", snapshot.Version, SnapshotVersion,
+		return nil, fmt.Errorf("balancer: the snapshot has version %d, but supported versions are %d and %d", snapshot.Version, SnapshotVersion,
 			CompactSnapshotVersion)
 	}
 	b, err := New(snapshot.Settings, 0)
@@ -24,7 +24,7 @@
 	}
 	b.randomSource = &rand.PCG{}
 	if err := b.randomSource.UnmarshalBinary(snapshot.RandomState); err != nil {
-		return nil, fmt.Errorf("balancer: the snapshot's random generator: %w", err)
+		return nil, fmt.Errorf("balancer: restoring the random generator of the snapshot: %w", err)
 	}
 	b.random = rand.New(b.randomSource)
 	decoder := snapshotDecoder{balancer: b, snapshot: &snapshot}
@@ -35,7 +35,7 @@
 	return b, nil
 }
 
-// restoreScalars restores what refers to nothing.
+// restoreScalars restores the fields that hold no references.
 func (b *Balancer) restoreScalars(snapshot *Snapshot) {
 	b.now = snapshot.Now
 	b.nextTimerID = snapshot.NextTimerID
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// endpoint returns the endpoint of an index, nil for noIndex.
+// endpoint returns the endpoint at an index, or nil for noIndex.
 func (d *snapshotDecoder) endpoint(index int) (*endpointState, error) {
 	if index == noIndex {
 		return nil, nil
@@ -118,11 +118,11 @@
 	clear(b.classes)
 	for name, index := range snapshot.ClassIndex {
 		if index < 0 || index >= len(d.classes) {
-			return errors.New("the snapshot names a class that it does not have")
+			return errors.New("the snapshot names a class that it does not contain")
 		}
 		b.classes[name] = d.classes[index]
 	}
-	// Classes in force are shared with the settings.
+	// An unchanged current class is the same object as in the settings.
 	for i := range b.settings.Classes {
 		class := &b.settings.Classes[i]
 		if index, known := snapshot.ClassIndex[class.Name]; known && snapshot.Classes[index] == *class {
@@ -141,7 +141,7 @@
 			return err
 		}
 		if b.requests[req.ID] != nil {
-			return fmt.Errorf("the snapshot has request %q twice", req.ID)
+			return fmt.Errorf("the snapshot contains request %q twice", req.ID)
 		}
 		b.requests[req.ID] = req
 		d.requests = append(d.requests, req)
@@ -154,7 +154,7 @@
 
 func (d *snapshotDecoder) restoreRequest(encoded *RequestSnapshot) (*request, error) {
 	if encoded.Class < 0 || encoded.Class >= len(d.classes) {
-		return nil, fmt.Errorf("the snapshot's request %q has no class", encoded.Request.ID)
+		return nil, fmt.Errorf("request %q of the snapshot refers to a class that the snapshot does not contain", encoded.Request.ID)
 	}
 	endpoint, err := d.endpoint(encoded.Endpoint)
 	if err != nil {
@@ -192,13 +192,13 @@
 	return req, nil
 }
 
-// restoreActive lists the active requests of each endpoint, in their order.
+// restoreActive restores the list of active requests of each endpoint, in order.
 func (d *snapshotDecoder) restoreActive() error {
 	for i, endpoint := range d.endpoints {
 		for activeIndex, index := range d.snapshot.Endpoints[i].Active {
 			if index < 0 || index >= len(d.requests) || d.requests[index].endpoint != endpoint ||
 				d.requests[index].activeIndex != activeIndex {
-				return fmt.Errorf("the snapshot's endpoint %q has an active request that is not there", endpoint.id)
+				return fmt.Errorf("endpoint %q of the snapshot lists an active request that does not match it", endpoint.id)
 			}
 			endpoint.active = append(endpoint.active, d.requests[index])
 		}
@@ -210,7 +210,7 @@
 	for id, index := range d.snapshot.EndpointIndex {
 		endpoint, err := d.endpoint(index)
 		if err != nil || endpoint == nil {
-			return errors.Join(err, fmt.Errorf("the snapshot lists endpoint %q, which it does not have", id))
+			return errors.Join(err, fmt.Errorf("the snapshot lists endpoint %q, which it does not contain", id))
 		}
 		d.balancer.endpoints[id] = endpoint
 	}
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// tableEndpoint is an endpointLookup.
+// tableEndpoint implements endpointLookup.
 func (d *snapshotDecoder) tableEndpoint(index int) (*endpointState, error) {
 	endpoint, err := d.endpoint(index)
 	if err != nil || endpoint == nil {
@@ -245,7 +245,7 @@
 	}
 	b.localTable = b.zoneTables[snapshot.LocalZone]
 	if b.localTable == nil {
-		return fmt.Errorf("the snapshot has no table of zone %q", snapshot.LocalZone)
+		return fmt.Errorf("the snapshot contains no table of zone %q", snapshot.LocalZone)
 	}
 	return nil
 }
--- a/balancer/snapshot_encode.go
+++ b/balancer/snapshot_encode.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// This file takes snapshots.
+// Encoding of a Balancer as a snapshot.
 
-// noIndex stands for a nil reference in a Snapshot.
+// noIndex represents a nil reference in a Snapshot.
 const noIndex = -1
 
-// Snapshot returns the whole state of the Balancer. It shares nothing with it.
+// Snapshot returns the complete state of the Balancer. The result shares no memory with the Balancer.
 func (b *Balancer) Snapshot() Snapshot {
-	randomState, _ := b.randomSource.MarshalBinary() // a PCG's never fails
+	randomState, _ := b.randomSource.MarshalBinary() // PCG.MarshalBinary never fails
 	snapshot := Snapshot{
 		Version:            SnapshotVersion,
 		Settings:           b.settings,
@@ -76,7 +76,8 @@
 	return OutlierSnapshot{Failures: o.failures, RetryAt: o.retryAt, TrialInFlight: o.trialInFlight}
 }
 
-// snapshotEncoder assigns indices to what refers to one another, in the order in which it meets them.
+// snapshotEncoder assigns indices to endpoints, requests and classes. It numbers endpoints and classes in the order in which
+// it first encodes a reference to them, and requests in the order of their IDs.
 type snapshotEncoder struct {
 	balancer        *Balancer
 	snapshot        *Snapshot
@@ -177,7 +178,7 @@
 	return encoded
 }
 
-// encodeEndpoints comes last, when all that refer to endpoints have been encoded.
+// encodeEndpoints must run last, because encoding tables, clients and requests adds endpoints.
 func (e *snapshotEncoder) encodeEndpoints() {
 	for _, endpoint := range e.endpoints {
 		encoded := EndpointSnapshot{
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter runs many independent balancer instances on the simulator's wire: it reads batches of events from
-// standard input, one a line, and writes a line of actions for each to standard output before it reads the next one. It
-// ends with the input, or with an error on malformed input.
+// Command simadapter runs independent balancer instances for the simulator. It reads batches of events from standard input, one
+// batch per line, and writes one line of actions for each batch to standard output before it reads the next batch. It exits at
+// the end of the input, or with an error on malformed input.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// bufferSize is that of both streams, in bytes: lines may be longer.
+// bufferSize is the buffer size of both streams, in bytes. Lines may be longer.
 const bufferSize = 1 << 20
 
 func run(input io.Reader, output io.Writer) error {
@@ -42,7 +42,7 @@
 				return fmt.Errorf("writing standard output: %w", err)
 			}
 		}
-		if readErr != nil { // the end of the input
+		if readErr != nil { // io.EOF
 			return nil
 		}
 	}
@@ -55,11 +55,11 @@
 	return writer.Flush()
 }
 
-// instances are the running instances by their node's number.
+// instances holds the running instances by node number.
 type instances map[int]*balancer.Balancer
 
-// handleBatch passes a line's events to their instances and returns the reply. The first failure of an instance ends the
-// reply: the simulated day ends with it.
+// handleBatch passes the events of a line to their instances and returns the reply. It skips the events after the first failure
+// of an instance, because the simulator stops its run then.
 func (running instances) handleBatch(line []byte) ([]byte, error) {
 	batch, err := simwire.Decode(line)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return reply.Line(), nil
 }
 
-// handleInput adds the actions of one input to the reply, or the failure of its instance.
+// handleInput adds the actions for one input, or the failure of its instance, to the reply.
 func (running instances) handleInput(input *simwire.Input, now balancer.Instant, reply *simwire.Reply) (failed bool, err error) {
 	switch {
 	case input.Kill:
@@ -86,7 +86,7 @@
 	case input.Start != nil:
 		instance, err := balancer.New(input.Start.Settings, input.Start.Seed)
 		if err != nil {
-			return false, fmt.Errorf("Configure: %w", err) //nolint:staticcheck // it is the name of an event
+			return false, fmt.Errorf("Configure: %w", err) //nolint:staticcheck // Configure is the name of an event
 		}
 		running[input.Node] = instance
 	case input.Event != nil:
@@ -109,7 +109,7 @@
 	return false, nil
 }
 
-// handleSafely passes an event to an instance. The text of a panic, if there is one, is returned as the failure.
+// handleSafely passes an event to an instance. If the instance panics, it returns the text of the panic as the failure.
 func handleSafely(instance *balancer.Balancer, now balancer.Instant, event balancer.Event) (actions []balancer.Action, failure string) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestPanicEndsTheDay(t *testing.T) {
+func TestPanicIsReportedAsFailure(t *testing.T) {
 	reply, err := instances{}.handleBatch([]byte(batch(7)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,6 +1,6 @@
-// Package simwire translates the simulator's wire format to package balancer's events and settings, and its actions back.
-// cmd/simadapter reads and writes the simulator's lines by it; package config reads settings in the same form. It decides
-// nothing: each name and unit of the wire is mapped here and nowhere else.
+// Package simwire decodes the simulator's wire format to the events and settings of package balancer, and encodes actions to it.
+// Command simadapter uses it for the simulator's lines; package config decodes settings of the same format with it. All names and
+// units of the wire format are mapped in this package only.
 package simwire
 
 import (
@@ -14,34 +14,34 @@
 	"example.org/micafront/balancer"
 )
 
-// Start is the start of an instance without any state.
+// Start starts an instance without any state.
 type Start struct {
 	Node     int
 	Seed     uint64
 	Settings balancer.Settings
 }
 
-// Input is one decoded event of an instance: at most one of Start, Kill and Event is set. None is set for an event that
-// is to be ignored.
+// Input is a decoded event for one instance. At most one of Start, Kill and Event is set. If none is set, the event must be
+// ignored.
 type Input struct {
 	Node  int
 	Start *Start
-	Kill  bool // the instance ends at once
+	Kill  bool // the instance must stop immediately
 	Event balancer.Event
 }
 
-// Batch is one line of input: the events of one moment.
+// Batch is a decoded line of input: the events of one point in time.
 type Batch struct {
 	Now    balancer.Instant
-	Frame  int64 // number of the line, repeated in the reply
+	Frame  int64 // number of the line, which the reply repeats
 	Inputs []Input
 }
 
-// maxMicroseconds is about the most that a time.Duration can hold.
+// maxMicroseconds is just below the maximum of time.Duration, in microseconds.
 const maxMicroseconds = 9e15
 
-// Seconds converts the wire's seconds to a duration, rounded to the microsecond. What a duration can't hold, or is no
-// number, becomes the greatest or the least one.
+// Seconds converts seconds on the wire to a duration, rounded to a microsecond. Values beyond ±maxMicroseconds are clamped to it,
+// and NaN becomes maxMicroseconds.
 func Seconds(seconds float64) time.Duration {
 	microseconds := math.Round(seconds * 1e6)
 	if !(math.Abs(microseconds) < maxMicroseconds) { // or NaN
@@ -53,7 +53,7 @@
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-// Decode reads one line of input. Its errors say which event and which member is at fault.
+// Decode decodes one line of input. Its errors name the invalid event and the invalid or missing member.
 func Decode(line []byte) (*Batch, error) {
 	var raw struct {
 		AtTime *float64          `json:"AtTime"` // in seconds
@@ -82,8 +82,8 @@
 
 var errNotSingleKey = errors.New("an event must be an object with a single key")
 
-// splitEvent separates an event's single key, which is its name, from its body. The common compact form is split without
-// decoding it.
+// splitEvent splits an event into its single key, which is its name, and its body. It splits the common compact form without
+// decoding the JSON object.
 func splitEvent(event []byte) (name string, body []byte, err error) {
 	event = bytes.TrimSpace(event)
 	if name, body, ok := splitCompactEvent(event); ok {
--- a/internal/simwire/decode_event.go
+++ b/internal/simwire/decode_event.go
@@ -9,7 +9,7 @@
 	"example.org/micafront/balancer"
 )
 
-// wireEvent is the body of any event.
+// wireEvent is the body of an event: the union of the members of all events.
 type wireEvent struct {
 	Node       *int
 	Seed       *json.Number       `json:"Entropy"`
@@ -23,7 +23,7 @@
 	Deadline   *float64           `json:"ValidUntil"` // in seconds
 	Group      string             `json:"Group"`
 	Flags      int                `json:"StateBits"`
-	Tenant     json.RawMessage    `json:"Realm"` // a string, or 0 at sites without tenants
+	Tenant     json.RawMessage    `json:"Realm"` // a string; 0 at sites without tenants
 	Key        *string            `json:"PartitionKey"`
 	Attempt    *int               `json:"SendNo"`
 	Endpoint   *string            `json:"Host"`
@@ -48,7 +48,7 @@
 	Cell      int
 }
 
-// The bits of a request's flags.
+// Bits of wireEvent.Flags.
 const (
 	flagLoadHint    = 1 << 0
 	flagClientRetry = 1 << 1
@@ -56,13 +56,13 @@
 	flagReturning   = 1 << 4
 )
 
-// The kinds of an UpdateOf event, and the units of its value. Other kinds are ignored.
+// Kinds of an UpdateOf event, and the units of its value. Other kinds are ignored.
 const (
 	updateLoad    = 1
 	updateLatency = 2
 
-	loadUnit              = 1e6 // millionths of work per second
-	latencyUnitsPerSecond = 1e3
+	millionthsPerUnit     = 1e6 // the value of a load update is in millionths of a unit of work per second
+	millisecondsPerSecond = 1e3
 )
 
 var statuses = map[string]balancer.Status{
@@ -89,13 +89,13 @@
 	"deregistered": balancer.Removed,
 }
 
-// eventDecoder decodes the events of one name.
+// eventDecoder decodes events with one name.
 type eventDecoder struct {
-	required []string // members, besides Node, without which the event means nothing
+	required []string // required members besides Node, which all events require
 	decode   func(event *wireEvent, input *Input) error
 }
 
-// eventDecoders are the decoders by the event's name on the wire.
+// eventDecoders holds the decoders by the name of the event on the wire.
 var eventDecoders = map[string]eventDecoder{
 	"Configure":      {[]string{"Entropy", "Env"}, decodeStart},
 	"CrashNow":       {nil, decodeKill},
@@ -111,8 +111,8 @@
 	"Result":         {[]string{"Rid", "Host", "SendNo", "StateCode"}, decodeAttemptEnded},
 }
 
-// has tells whether a member is there that may be required.
-func (e *wireEvent) has(member string) bool {
+// hasMember reports whether an event contains a member, which must be one that eventDecoders requires.
+func (e *wireEvent) hasMember(member string) bool {
 	switch member {
 	case "Rid":
 		return e.RequestID != nil
@@ -163,7 +163,7 @@
 		return input, fmt.Errorf("unknown event %q", name)
 	}
 	for _, member := range decoder.required {
-		if !event.has(member) {
+		if !event.hasMember(member) {
 			return input, missingMember(name, member)
 		}
 	}
@@ -186,14 +186,14 @@
 	return nil
 }
 
-// decodeSeed reads a 64-bit integer, signed or not.
+// decodeSeed decodes a signed or unsigned 64-bit integer.
 func decodeSeed(number json.Number) (uint64, error) {
 	if seed, err := strconv.ParseUint(number.String(), 10, 64); err == nil {
 		return seed, nil
 	}
 	seed, err := strconv.ParseInt(number.String(), 10, 64)
 	if err != nil {
-		return 0, errors.New("Entropy is not an integer") //nolint:staticcheck // it is the name of a member
+		return 0, errors.New("Entropy is not an integer") //nolint:staticcheck // Entropy is the name of a member
 	}
 	return uint64(seed), nil
 }
@@ -284,14 +284,14 @@
 			ID:       *event.RequestID,
 			Endpoint: *event.Endpoint,
 			Attempt:  *event.Attempt,
-			Load:     *event.Value / loadUnit,
+			Load:     *event.Value / millionthsPerUnit,
 		}
 	case updateLatency:
 		input.Event = balancer.LatencyChanged{
 			ID:       *event.RequestID,
 			Endpoint: *event.Endpoint,
 			Attempt:  *event.Attempt,
-			Latency:  Seconds(*event.Value / latencyUnitsPerSecond),
+			Latency:  Seconds(*event.Value / millisecondsPerSecond),
 		}
 	}
 	return nil
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,19 +7,19 @@
 	"example.org/micafront/balancer"
 )
 
-// wireSettings is the settings object. All times are in seconds.
+// wireSettings is the settings object. All durations are in seconds.
 type wireSettings struct {
-	Nodes           int            `json:"Balancers"`
-	Self            int            `json:"Me"`
-	Zone            string         `json:"Zone"`
-	Discovery       string         `json:"Discovery"`
-	Classes         []wireClass    `json:"Categories"`
-	Tenants         []wireTenant   `json:"Customers"`
-	Family          wireFamily     `json:"FamilyInfo"`
-	Limits          wireLimits     `json:"Limits"`
-	Rules           wireRules      `json:"Invariants"`
-	OverQuotaWeight float64        `json:"OverShareWorth"`
-	Reports         wireReportInfo `json:"Stats"`
+	Nodes              int                    `json:"Balancers"`
+	Self               int                    `json:"Me"`
+	Zone               string                 `json:"Zone"`
+	Discovery          string                 `json:"Discovery"`
+	Classes            []wireClass            `json:"Categories"`
+	Tenants            []wireTenant           `json:"Customers"`
+	ConnectionSettings wireConnectionSettings `json:"FamilyInfo"`
+	Limits             wireLimits             `json:"Limits"`
+	Rules              wireRules              `json:"Invariants"`
+	OverQuotaWeight    float64                `json:"OverShareWorth"`
+	Reports            wireReportSettings     `json:"Stats"`
 }
 
 type wireClass struct {
@@ -38,11 +38,11 @@
 	Share     float64
 }
 
-// wireFamily holds what depends on the kind of connections.
-type wireFamily struct {
+// wireConnectionSettings holds the settings that depend on the kind of connections.
+type wireConnectionSettings struct {
 	Mode              string
-	MessageObjectives []float64 `json:"MessageAim"`             // by class
-	TenantConnections []float64 `json:"TenantQuotaConnections"` // by tenant
+	MessageObjectives []float64 `json:"MessageAim"`             // by index of the class, in seconds
+	TenantConnections []float64 `json:"TenantQuotaConnections"` // by index of the tenant
 }
 
 type wireLimits struct {
@@ -51,7 +51,7 @@
 	MaxRetryAfter  float64
 	MaxOpen        int
 	RetryAfter     bool
-	Probes         bool
+	HealthChecks   bool `json:"Probes"`
 	Cancel         bool `json:"MayCancel"`
 	HedgedRequests bool `json:"SecondCopies"`
 }
@@ -66,13 +66,13 @@
 	OverloadFactor    float64
 }
 
-// wireReportInfo tells how load reports come, and which figures they have.
-type wireReportInfo struct {
+// wireReportSettings specifies the transport of load reports and the metrics that they contain.
+type wireReportSettings struct {
 	Transport string `json:"How"`
 	Fields    []string
 }
 
-// The values of the settings' strings that have a meaning here.
+// Values of string settings that this package interprets.
 const (
 	discoverySubscribe = "subscribe"
 	modePassThrough    = "pass"
@@ -91,8 +91,8 @@
 	"cell": balancer.ScopeCell,
 }
 
-// DecodeSettings reads the settings object, as an instance gets it in its first message. It does not check what the
-// settings mean.
+// DecodeSettings decodes the settings object, which an instance receives in its first message. It does not validate the
+// settings; balancer.Settings.Validate does. Its errors are those of encoding/json.
 func DecodeSettings(text []byte) (balancer.Settings, error) {
 	var settings wireSettings
 	if err := json.Unmarshal(text, &settings); err != nil {
@@ -111,22 +111,22 @@
 		Limits:          s.Limits.limits(),
 		Rules:           s.Rules.rules(),
 		Subscribe:       s.Discovery == discoverySubscribe,
-		PassThrough:     s.Family.Mode == modePassThrough,
+		PassThrough:     s.ConnectionSettings.Mode == modePassThrough,
 		LoadReports:     s.loadReports(),
 		OverQuotaWeight: s.OverQuotaWeight,
 	}
 }
 
 func (s *wireSettings) loadReports() bool {
-	return s.Limits.Probes && s.Reports.Transport != noReports && slices.Contains(s.Reports.Fields, balancer.UtilizationMetric)
+	return s.Limits.HealthChecks && s.Reports.Transport != noReports && slices.Contains(s.Reports.Fields, balancer.UtilizationMetric)
 }
 
 func (s *wireSettings) classes() []balancer.Class {
 	var classes []balancer.Class
 	for i := range s.Classes {
 		class := s.Classes[i].class()
-		if i < len(s.Family.MessageObjectives) {
-			class.MessageObjective = Seconds(s.Family.MessageObjectives[i])
+		if i < len(s.ConnectionSettings.MessageObjectives) {
+			class.MessageObjective = Seconds(s.ConnectionSettings.MessageObjectives[i])
 		}
 		classes = append(classes, class)
 	}
@@ -136,7 +136,7 @@
 func (c *wireClass) class() balancer.Class {
 	scope, scopeKnown := scopes[c.DedupScope]
 	effect, effectKnown := effects[c.Effect]
-	// An effect or a dedup scope that is not known here is treated as the strictest.
+	// An unknown effect, or an unknown dedup scope, is treated as not idempotent, the strictest value.
 	if !effectKnown || effect == balancer.IdempotentByKey && !scopeKnown {
 		effect = balancer.NotIdempotent
 	}
@@ -155,8 +155,8 @@
 	var tenants []balancer.Tenant
 	for i := range s.Tenants {
 		tenant := balancer.Tenant{Name: s.Tenants[i].Name, PerSecond: s.Tenants[i].PerSecond, Share: s.Tenants[i].Share}
-		if i < len(s.Family.TenantConnections) {
-			tenant.Connections = s.Family.TenantConnections[i]
+		if i < len(s.ConnectionSettings.TenantConnections) {
+			tenant.Connections = s.ConnectionSettings.TenantConnections[i]
 		}
 		tenants = append(tenants, tenant)
 	}
@@ -170,7 +170,7 @@
 		MaxRetryAfter:  Seconds(l.MaxRetryAfter),
 		MaxOpen:        l.MaxOpen,
 		RetryAfter:     l.RetryAfter,
-		HealthChecks:   l.Probes,
+		HealthChecks:   l.HealthChecks,
 		Cancel:         l.Cancel,
 		HedgedRequests: l.HedgedRequests,
 	}
