--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkEndpoints measures the cost of a decision and of an entry of a list as fleets grow.
+// BenchmarkEndpoints measures the cost of one placement decision and of one entry of an endpoint list, for fleets of several sizes.
 func BenchmarkEndpoints(b *testing.B) {
 	for _, count := range []int{15, 60, 90, 600} {
 		settings := testSettings()
@@ -22,7 +22,7 @@
 		})
 		b.Run(fmt.Sprintf("entry/%d", count), func(b *testing.B) {
 			node, now := startBalancer(b, settings, members, 1), 2*sec
-			for i := 0; i < b.N; i += count { // each list brings a change, in an epoch of its own
+			for i := 0; i < b.N; i += count { // each list contains one change, in a new epoch
 				now += 2 * sec
 				members[i/count%count].Phase ^= Draining
 				node.Handle(now, EndpointUpdate{Kind: FullList, Entries: members})
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/micafront/balancer"
 )
 
-// A node places connections; an endpoint joins, another drains.
+// A node places connections, then one endpoint joins and another drains.
 func Example() {
 	node, err := balancer.New(balancer.Settings{
 		Nodes:   1,
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -14,12 +14,14 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// The tests in this file pin the encoded form of State and Snapshot. The fixtures below testdata/golden were written by
-// the program before its Go names changed and are never rewritten: a process of an older version hands over such text
-// at an upgrade. The codec is the one that hands a State over.
+// The tests in this file pin the encoded form of State and Snapshot. The fixtures in testdata/golden were written before the
+// Go identifiers were renamed and must never be rewritten, because a process of an older version hands over text in this
+// form at an upgrade.
+
+// goldenCodec is the codec with which a process hands over a State.
 var goldenCodec = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// goldenState has every field set.
+// goldenState returns a State with every field set.
 func goldenState() State {
 	return State{
 		StartedAt: 1001, LastEpoch: 1002, LastChangeEpoch: 1003, ListDirty: true, HistoryReset: true, BaselineLocalShare: 0.1004,
@@ -43,7 +45,7 @@
 	}
 }
 
-// goldenTable has every field set; its numbers count up from base.
+// goldenTable returns a table with every field set. Its numbers count up from base.
 func goldenTable(base int) TableState {
 	return TableState{
 		Counts: []int{base + 1, base + 2}, Owners: []int{1, 0, 1}, SlotSize: float64(base) + 0.25,
@@ -51,7 +53,7 @@
 	}
 }
 
-// goldenCompactState is a State with tables that have members in place of owners.
+// goldenCompactState returns a State whose tables have members instead of owners.
 func goldenCompactState() State {
 	state := goldenState()
 	state.AdmissionRate, state.CompactAdmissionRate = 0, 0.3006
@@ -60,7 +62,7 @@
 	return state
 }
 
-// goldenCompactTable has members in place of owners; its numbers count up from base.
+// goldenCompactTable returns a table that has members instead of owners. Its numbers count up from base.
 func goldenCompactTable(base int) TableState {
 	return TableState{
 		Counts: []int{base + 1}, Owners: []int{}, SlotSize: float64(base) + 0.25, Members: []int{0, 1},
@@ -68,9 +70,9 @@
 	}
 }
 
-// goldenSnapshot has every field set.
+// goldenSnapshot returns a Snapshot with every field set.
 func goldenSnapshot() Snapshot {
-	home := goldenTable(2300)
+	localTable := goldenTable(2300)
 	return Snapshot{
 		Version:            2001,
 		Settings:           goldenSettings(),
@@ -88,7 +90,7 @@
 		Table:              goldenTable(2100),
 		ZoneTables:         map[string]TableState{"east": goldenTable(2200)},
 		PreviousTablesAt:   2012,
-		LocalTable:         &home,
+		LocalTable:         &localTable,
 		LocalZone:          "east",
 		ClientEndpoints:    [2]map[uint64]int{{2013: 2014}, {2015: 2016}},
 		ActiveCount:        2017,
@@ -151,8 +153,8 @@
 	}
 }
 
-// TestGoldenEncodings compares the encoded forms with the fixtures in both directions. The zero values pin which
-// members are written when they are empty.
+// TestGoldenEncodings compares encoding and decoding with the fixtures. The zero values pin which members are written when
+// they are empty.
 func TestGoldenEncodings(t *testing.T) {
 	t.Run("state", func(t *testing.T) { testGoldenEncoding(t, "state.json", goldenState()) })
 	t.Run("compact state", func(t *testing.T) { testGoldenEncoding(t, "state_compact.json", goldenCompactState()) })
@@ -161,8 +163,8 @@
 	t.Run("snapshot zero", func(t *testing.T) { testGoldenEncoding(t, "snapshot_zero.json", Snapshot{}) })
 }
 
-// TestGoldenValuesSetEveryField fails when a field is added to an encoded type and the fixtures do not cover it. What only
-// states of large tables have is covered by theirs.
+// TestGoldenValuesSetEveryField fails if a field is added to an encoded type and no fixture covers it. The compact state
+// covers the fields that only states with large tables set.
 func TestGoldenValuesSetEveryField(t *testing.T) {
 	unsetInCompact := testkit.UnsetPaths(goldenCompactState())
 	for _, value := range []any{goldenState(), goldenSnapshot()} {
@@ -176,8 +178,8 @@
 	}
 }
 
-// TestGoldenLiveState resumes from a state that a running Balancer of the older program handed over, and hands the same
-// bytes over again. It has one endpoint: the order of several is not defined.
+// TestGoldenLiveState resumes from a state that a running Balancer of an older version handed over, and checks that it hands
+// over the same bytes. The state has one endpoint, because the order of several is undefined.
 func TestGoldenLiveState(t *testing.T) {
 	text := testkit.GoldenFile(t, "state_live.json")
 	var state State
@@ -195,7 +197,8 @@
 	compareEncoding(t, text, goldenLiveBalancer(t, 1).State())
 }
 
-// TestGoldenLiveSnapshot restores a snapshot of a running Balancer of the older program, and takes the same one again.
+// TestGoldenLiveSnapshot restores a snapshot of a running Balancer of an older version, and checks that the restored Balancer
+// produces the same snapshot.
 func TestGoldenLiveSnapshot(t *testing.T) {
 	text := testkit.GoldenFile(t, "snapshot_live.json")
 	var snapshot Snapshot
@@ -218,8 +221,8 @@
 	return settings
 }
 
-// goldenLiveBalancer drives a Balancer with so many endpoints through a fixed sequence of events: established connections,
-// a report of their load and one of latency, a failure, and a pending request.
+// goldenLiveBalancer returns a Balancer with the given number of endpoints after a fixed sequence of events: established
+// connections, reports of their load, a report of latency, failures, and a pending request.
 func goldenLiveBalancer(t *testing.T, endpoints int) *Balancer {
 	t.Helper()
 	balancer := startBalancer(t, goldenLiveSettings(), testEndpoints(endpoints), 7)
@@ -230,7 +233,7 @@
 		request.Group = fmt.Sprintf("g%d", i%3)
 		for _, send := range actionsOf[Send](balancer.Handle(now, request)) {
 			switch {
-			case i == 39: // still waits for its endpoint
+			case i == 39: // this request stays pending
 			case i%13 == 12:
 				balancer.Handle(now+ms, AttemptEnded{ID: send.ID, Endpoint: send.Endpoint, Status: Timeout, Final: true})
 			default:
@@ -256,7 +259,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(value, decoded); diff != "" {
-		t.Errorf("%s decodes to another value (-want +got):\n%s", fixture, diff)
+		t.Errorf("%s decodes to a different value (-want +got):\n%s", fixture, diff)
 	}
 	compareEncoding(t, text, decoded)
 }
@@ -268,6 +271,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(want, got) {
-		t.Errorf("%T is encoded in another form:\nwant %s\n got %s", value, want, got)
+		t.Errorf("%T is encoded differently:\nwant %s\n got %s", value, want, got)
 	}
 }
--- a/balancer/handle_test.go
+++ b/balancer/handle_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The same seed and events give the same actions.
+// TestDeterministic checks that the same seed and events produce the same actions.
 func TestDeterministic(t *testing.T) {
 	run := func() string {
 		b := startBalancer(t, testSettings(), testEndpoints(9), 5)
@@ -25,6 +25,6 @@
 		return text
 	}
 	if first, second := run(), run(); first != second {
-		t.Error("two runs differ")
+		t.Error("two runs with the same seed and events returned different actions")
 	}
 }
--- a/balancer/restore_fuzz_test.go
+++ b/balancer/restore_fuzz_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// busyBalancer has served for a while, so that its state has something of everything.
-func busyBalancer(t testing.TB) *Balancer {
+// balancerInUse returns a Balancer that has handled requests, so that its state contains endpoints, requests and failures.
+func balancerInUse(t testing.TB) *Balancer {
 	t.Helper()
 	b := startBalancer(t, testSettings(), testEndpoints(5), 7)
 	now := 2 * sec
@@ -28,9 +28,9 @@
 	return b
 }
 
-// exerciseBalancer has a Balancer do ordinary work: no restored state may break that.
+// exerciseBalancer passes ordinary events to a restored Balancer, which must neither panic nor hang.
 func exerciseBalancer(b *Balancer, now Instant) {
-	watchdog := time.AfterFunc(20*time.Second, func() { panic("the balancer hangs") })
+	watchdog := time.AfterFunc(20*time.Second, func() { panic("the balancer did not handle the events within 20 s") })
 	defer watchdog.Stop()
 	b.Handle(now, EndpointUpdate{Kind: FullList, Entries: testEndpoints(4)})
 	for i := range 8 {
@@ -43,34 +43,34 @@
 	b.State()
 }
 
-// A handed over state, whatever its text, gives an error or a Balancer that works.
+// FuzzResume checks that Resume either rejects an arbitrary state or results in a Balancer that works.
 func FuzzResume(f *testing.F) {
-	text, err := json.Marshal(busyBalancer(f).State())
+	text, err := json.Marshal(balancerInUse(f).State())
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(text)
-	for _, s := range []string{`{}`, `{"Gate":1}`, `{"Gate":1,"Table":{"Owner":[0],"Counts":[1],"Unit":1}}`} {
-		f.Add([]byte(s))
+	for _, seed := range []string{`{}`, `{"Gate":1}`, `{"Gate":1,"Table":{"Owner":[0],"Counts":[1],"Unit":1}}`} {
+		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var s State
-		if json.Unmarshal(text, &s) != nil {
+		var state State
+		if json.Unmarshal(text, &state) != nil {
 			return
 		}
 		b, err := New(testSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := b.Resume(4*sec, s); err == nil {
+		if _, err := b.Resume(4*sec, state); err == nil {
 			exerciseBalancer(b, 4*sec)
 		}
 	})
 }
 
-// A snapshot, whatever its text, gives an error or a Balancer that works.
+// FuzzRestore checks that Restore either rejects an arbitrary snapshot or returns a Balancer that works.
 func FuzzRestore(f *testing.F) {
-	text, err := json.Marshal(busyBalancer(f).Snapshot())
+	text, err := json.Marshal(balancerInUse(f).Snapshot())
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The error names the setting as it is written in a settings file.
+// TestNewRejectsInvalidSettings checks that the error names a setting by its key in a settings file.
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, c := range map[string]struct {
 		invalidate func(*Settings)
@@ -28,7 +28,7 @@
 		settings := testSettings()
 		c.invalidate(&settings)
 		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: the error is %v, which does not say %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want one that contains %q", name, err, c.want)
 		}
 	}
 	if _, err := New(testSettings(), 1); err != nil {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -15,11 +15,12 @@
 	"pgregory.net/rapid"
 )
 
-// twinDriver passes random events to Balancers that must act alike: attempts end in some way, timers come due.
+// twinDriver passes the same random events to several Balancers and checks that they return the same actions. It ends attempts
+// with random statuses and fires timers.
 type twinDriver struct {
 	t           *rapid.T
 	now         Instant
-	twins       []*Balancer // get the same events; all must give the same actions
+	twins       []*Balancer // get the same events and must return the same actions
 	pending     map[string]AttemptEnded
 	attempts    map[string]int
 	established map[string]AttemptEnded
@@ -33,18 +34,18 @@
 	at    Instant
 }
 
-// handle passes an event to all twins and carries out their actions.
+// handle passes an event to all twins, compares their actions and performs them.
 func (d *twinDriver) handle(event Event) {
 	first := d.twins[0].Handle(d.now, event)
 	for _, twin := range d.twins[1:] {
 		if diff := cmp.Diff(first, twin.Handle(d.now, event)); diff != "" {
-			d.t.Fatalf("at %v %T%+v the twins differ:\n%s", d.now, event, event, diff)
+			d.t.Fatalf("at %v, the twins return different actions for %T%+v:\n%s", d.now, event, event, diff)
 		}
 	}
-	d.carryOut(first)
+	d.performActions(first)
 }
 
-func (d *twinDriver) carryOut(actions []Action) {
+func (d *twinDriver) performActions(actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Send:
@@ -56,15 +57,15 @@
 	}
 }
 
-// pick draws one of several attempts; false if there are none.
-func (d *twinDriver) pick(attempts map[string]AttemptEnded, label string) (attempt AttemptEnded, ok bool) {
+// drawAttempt draws one of several attempts. ok is false if there are none.
+func (d *twinDriver) drawAttempt(attempts map[string]AttemptEnded, label string) (attempt AttemptEnded, ok bool) {
 	if len(attempts) == 0 {
 		return attempt, false
 	}
 	return attempts[rapid.SampledFrom(slices.Sorted(maps.Keys(attempts))).Draw(d.t, label)], true
 }
 
-// step lets some time pass and passes a random event to the twins.
+// step advances the time by up to 300 ms and passes a random event to the twins.
 func (d *twinDriver) step() {
 	d.now += time.Duration(rapid.IntRange(0, 300).Draw(d.t, "ms")) * time.Millisecond
 	d.fireTimers()
@@ -74,14 +75,14 @@
 	case 3, 4:
 		d.establishOrEndAttempt()
 	case 5:
-		if ended, ok := d.pick(d.established, "connection"); ok {
+		if ended, ok := d.drawAttempt(d.established, "connection"); ok {
 			delete(d.established, ended.ID)
 			ended.Status = rapid.SampledFrom([]Status{OK, Reset, Reset, Canceled}).Draw(d.t, "end")
 			d.handle(ended)
 		}
 	case 6:
-		if connection, ok := d.pick(d.established, "connection"); ok {
-			d.report(connection)
+		if connection, ok := d.drawAttempt(d.established, "connection"); ok {
+			d.reportLoadOrLatency(connection)
 		}
 	case 7, 8:
 		d.updateEndpoints()
@@ -123,12 +124,12 @@
 }
 
 func (d *twinDriver) establishOrEndAttempt() {
-	ended, ok := d.pick(d.pending, "attempt")
+	ended, ok := d.drawAttempt(d.pending, "attempt")
 	if !ok {
 		return
 	}
 	delete(d.pending, ended.ID)
-	const established = NotSent + 1
+	const established = NotSent + 1 // not a Status: the attempt establishes its connection
 	ended.Status = rapid.SampledFrom([]Status{
 		OK, AppError, RejectedByEndpoint, Timeout, ConnectFailed, ConnectFailed, Reset, Reset, Canceled, NotSent, established, established, established,
 	}).Draw(d.t, "status")
@@ -140,8 +141,8 @@
 	d.handle(ended)
 }
 
-// report passes on a report of an established connection or of its endpoint.
-func (d *twinDriver) report(connection AttemptEnded) {
+// reportLoadOrLatency passes a report about an established connection, or about its endpoint, to the twins.
+func (d *twinDriver) reportLoadOrLatency(connection AttemptEnded) {
 	t := d.t
 	id, endpoint, attempt := connection.ID, connection.Endpoint, connection.Attempt
 	switch rapid.IntRange(0, 2).Draw(t, "report") {
@@ -191,10 +192,10 @@
 		if i == 0 {
 			first = actions
 		} else if diff := cmp.Diff(first, actions); diff != "" {
-			t.Fatalf("after new settings the twins differ:\n%s", diff)
+			t.Fatalf("the twins return different actions for new settings:\n%s", diff)
 		}
 	}
-	d.carryOut(first)
+	d.performActions(first)
 }
 
 func newTwinDriver(t *rapid.T) *twinDriver {
@@ -233,9 +234,9 @@
 	}
 }
 
-// Whatever has happened before: a Balancer restored from an encoded snapshot acts exactly as the one that it was taken of,
-// and in the end both have the same state.
-func TestRestoreContinuesAlike(t *testing.T) {
+// TestRestoredBalancerActsLikeOriginal checks, after random events, that a Balancer restored from an encoded snapshot returns
+// the same actions as the original for further events, and that both end in the same state.
+func TestRestoredBalancerActsLikeOriginal(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		d := newTwinDriver(rt)
 		for range rapid.IntRange(0, 150).Draw(rt, "before") {
@@ -263,7 +264,8 @@
 	})
 }
 
-// A snapshot with invalid references gives an error that says so, and never makes a Balancer that would crash.
+// TestRestoreRejectsInvalid checks that Restore returns a specific error for each kind of invalid content, and that a snapshot
+// with one changed digit never results in a Balancer that panics.
 func TestRestoreRejectsInvalid(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		d := newTwinDriver(rt)
@@ -274,7 +276,7 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		// One digit anywhere becomes another one.
+		// Replace one digit of the encoded snapshot.
 		digits := []int{}
 		for i, r := range string(text) {
 			if strings.ContainsRune("0123456789", r) {
@@ -291,13 +293,13 @@
 		if err != nil {
 			return
 		}
-		d.twins = []*Balancer{b} // it is valid in some way: it must go on without a crash
+		d.twins = []*Balancer{b} // the changed snapshot is valid, so the Balancer must not panic
 		d.now = max(d.now, snapshot.Now)
 		for range 30 {
 			d.step()
 		}
 	})
-	for name, invalidate := range map[string]func(*Snapshot){
+	for want, invalidate := range map[string]func(*Snapshot){
 		"version 9":                     func(snapshot *Snapshot) { snapshot.Version = 9 },
 		"random generator":              func(snapshot *Snapshot) { snapshot.RandomState = snapshot.RandomState[:3] },
 		"names a class":                 func(snapshot *Snapshot) { snapshot.ClassIndex["light"] = 7 },
@@ -313,28 +315,28 @@
 		}
 		snapshot := b.Snapshot()
 		invalidate(&snapshot)
-		if _, err := Restore(snapshot); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+		if _, err := Restore(snapshot); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
-// An endpoint that is being probed after a failure is not probed twice because of a restore meanwhile.
+// TestRestoreKeepsTrial checks that a restore during the half-open trial of an ejected endpoint does not allow a second trial.
 func TestRestoreKeepsTrial(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(1), 1)
-	sends := func(b *Balancer, id int, now Instant) int {
+	sentCount := func(b *Balancer, id int, now Instant) int {
 		return len(actionsOf[Send](b.Handle(now, testRequest(id, now))))
 	}
-	if sends(b, 1, 2*sec) != 1 {
-		t.Fatal("nothing was sent")
+	if sentCount(b, 1, 2*sec) != 1 {
+		t.Fatal("the first request was not sent")
 	}
 	b.Handle(2*sec, AttemptEnded{ID: "r1", Endpoint: endpointID(0), Status: ConnectFailed})
-	if sends(b, 2, 20*sec) != 1 {
-		t.Fatal("no trial")
+	if sentCount(b, 2, 20*sec) != 1 {
+		t.Fatal("no trial request was sent after the ejection")
 	}
 	twin, err := Restore(b.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.Equal(t, "sent beside the trial, by the original and the restored one", []int{0, 0}, []int{sends(b, 3, 20*sec), sends(twin, 3, 20*sec)})
+	testkit.Equal(t, "requests sent during the trial by the original and the restored Balancer", []int{0, 0}, []int{sentCount(b, 3, 20*sec), sentCount(twin, 3, 20*sec)})
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func configure(t *testing.T, node int) string {
+func configureEvent(t *testing.T, node int) string {
 	t.Helper()
 	text, err := os.ReadFile("../../internal/simwire/testdata/configure.json")
 	if err != nil {
@@ -19,10 +19,10 @@
 	return strings.Replace(line, `"Node":3`, fmt.Sprintf(`"Node":%d`, node), 1)
 }
 
-const cachedList = `{"Endpoints":{"Node":%d,"How":"SAVED","SeqNo":1,"Items":[{"StageState":"healthy","Host":"h:1","Size":1,"Campus":"z"},` +
+const cachedListEvent = `{"Endpoints":{"Node":%d,"How":"SAVED","SeqNo":1,"Items":[{"StageState":"healthy","Host":"h:1","Size":1,"Campus":"z"},` +
 	`{"StageState":"healthy","Host":"h:2","Size":1,"Campus":"z"}]}}`
 
-func call(node int, id string) string {
+func callEvent(node int, id string) string {
 	return fmt.Sprintf(`{"Call":{"Node":%d,"Rid":"%s","Grade":"quick","ValidUntil":12,"PartitionKey":"k%s"}}`, node, id, id)
 }
 
@@ -31,7 +31,7 @@
 }
 
 func TestRunAnswersEachBatch(t *testing.T) {
-	input := batch(1) + batch(2, configure(t, 3), fmt.Sprintf(cachedList, 3), call(3, "a"))
+	input := batch(1) + batch(2, configureEvent(t, 3), fmt.Sprintf(cachedListEvent, 3), callEvent(3, "a"))
 	var out bytes.Buffer
 	if err := run(strings.NewReader(input), &out); err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	}
 }
 
-// A reply must be written before the next batch is read.
+// TestRunFlushesEachReply checks that each reply is written before the next batch is read.
 func TestRunFlushesEachReply(t *testing.T) {
 	inR, inW := io.Pipe()
 	outR, outW := io.Pipe()
@@ -68,23 +68,23 @@
 
 func TestRunReportsMalformedInput(t *testing.T) {
 	for input, want := range map[string]string{
-		"nonsense\n":           "not valid JSON",
-		batch(4, call(9, "a")): "frame 4, event 0: unknown instance 9",
-		batch(4, `{"Odd":{}}`): "frame 4, event 0",
-		batch(4, strings.Replace(configure(t, 1), `"AttemptsCap":3`, `"AttemptsCap":0`, 1)): "Limits.Attempts",
+		"nonsense\n":                "not valid JSON",
+		batch(4, callEvent(9, "a")): "frame 4, event 0: unknown instance 9",
+		batch(4, `{"Odd":{}}`):      "frame 4, event 0",
+		batch(4, strings.Replace(configureEvent(t, 1), `"AttemptsCap":3`, `"AttemptsCap":0`, 1)): "Limits.Attempts",
 	} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(input), &out)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: error %v, want %q in one line", input, err, want)
+			t.Errorf("%q: got error %v, want a single line that contains %q", input, err, want)
 		}
 	}
 }
 
-// An instance that is killed and started again in one batch has no state of before.
+// TestKillAndRestartInOneBatch checks that an instance that is killed and restarted in one batch starts without its earlier state.
 func TestKillAndRestartInOneBatch(t *testing.T) {
-	input := batch(1, configure(t, 3), fmt.Sprintf(cachedList, 3), call(3, "a")) +
-		batch(2, `{"CrashNow":{"Node":3}}`, configure(t, 3), fmt.Sprintf(cachedList, 3), call(3, "a"))
+	input := batch(1, configureEvent(t, 3), fmt.Sprintf(cachedListEvent, 3), callEvent(3, "a")) +
+		batch(2, `{"CrashNow":{"Node":3}}`, configureEvent(t, 3), fmt.Sprintf(cachedListEvent, 3), callEvent(3, "a"))
 	var out bytes.Buffer
 	if err := run(strings.NewReader(input), &out); err != nil {
 		t.Fatal(err)
@@ -95,17 +95,17 @@
 	}
 }
 
-// The actions of an instance must not depend on which others run in the process.
-func TestInstancesShareNothing(t *testing.T) {
+// TestInstancesAreIndependent checks that the actions of an instance do not depend on the other instances in the process.
+func TestInstancesAreIndependent(t *testing.T) {
 	replies := func(nodes ...int) string {
 		var input strings.Builder
 		for frame := 1; frame < 40; frame++ {
 			var events []string
 			for _, node := range nodes {
 				if frame == 1 {
-					events = append(events, configure(t, node), fmt.Sprintf(cachedList, node))
+					events = append(events, configureEvent(t, node), fmt.Sprintf(cachedListEvent, node))
 				}
-				events = append(events, call(node, fmt.Sprintf("%d-%d", node, frame)))
+				events = append(events, callEvent(node, fmt.Sprintf("%d-%d", node, frame)))
 			}
 			input.WriteString(batch(frame, events...))
 		}
@@ -115,7 +115,7 @@
 		}
 		return out.String()
 	}
-	own := func(text string, node int) (found []string) {
+	actionsOfNode := func(text string, node int) (found []string) {
 		for _, part := range strings.Split(text, `{"`) {
 			if strings.HasPrefix(part, `Node":`+fmt.Sprint(node)+`,`) {
 				found = append(found, strings.TrimRight(part, ",]}\n"))
@@ -123,20 +123,21 @@
 		}
 		return found
 	}
-	together, alone := own(replies(1, 2, 3), 2), own(replies(2), 2)
+	together, alone := actionsOfNode(replies(1, 2, 3), 2), actionsOfNode(replies(2), 2)
 	if len(together) == 0 || fmt.Sprint(together) != fmt.Sprint(alone) {
-		t.Errorf("together %v\nalone %v", together, alone)
+		t.Errorf("actions beside other instances: %v\nactions alone: %v", together, alone)
 	}
 }
 
+// TestMegabyteBatch checks that a line that does not fit into the read buffer is handled completely.
 func TestMegabyteBatch(t *testing.T) {
-	events := []string{configure(t, 3), fmt.Sprintf(cachedList, 3)}
+	events := []string{configureEvent(t, 3), fmt.Sprintf(cachedListEvent, 3)}
 	for i := range 20000 {
-		events = append(events, call(3, fmt.Sprint("q", i)))
+		events = append(events, callEvent(3, fmt.Sprint("q", i)))
 	}
 	input := batch(1, events...)
 	if len(input) < 1<<20 {
-		t.Fatal("batch too small")
+		t.Fatal("the batch is smaller than 1 MiB")
 	}
 	var out bytes.Buffer
 	if err := run(strings.NewReader(input), &out); err != nil {
@@ -156,6 +157,6 @@
 		t.Errorf("got %s", reply)
 	}
 	if _, failure := handleSafely(nil, 0, nil); failure == "" { // a nil instance panics
-		t.Error("a panic of an instance is not reported as its failure")
+		t.Error("handleSafely did not return the panic of an instance as its failure")
 	}
 }
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestDecodeErrorsSayWhatAndWhere(t *testing.T) {
+func TestDecodeErrorsNameEventAndMember(t *testing.T) {
 	for text, want := range map[string]string{
 		`hello`:                  "not valid JSON",
 		`{"frame":1,"news":[]}`:  "AtTime is missing",
--- a/internal/simwire/encode_test.go
+++ b/internal/simwire/encode_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	if !json.Valid([]byte(got)) {
-		t.Error("not JSON")
+		t.Error("the reply is not valid JSON")
 	}
 	if empty := string(NewReply(1).Line()); empty != `{"frame":1,"output":[]}`+"\n" {
 		t.Errorf("empty reply %q", empty)
@@ -63,7 +63,7 @@
 			t.Fatal(err)
 		}
 		if got := Seconds(decoded.Output[0].Arm.Delay); got != want {
-			t.Errorf("%v came back as %v", want, got)
+			t.Errorf("%v was decoded as %v", want, got)
 		}
 	}
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -10,10 +10,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The tests in this file pin the names of the simulator's wire that the other tests of this package do not use: each
-// member of the settings, the names of states and kinds, and each member of each event. Fixtures are never rewritten.
+// The tests in this file pin the names of the simulator's wire format that the other tests of this package do not use: all
+// members of the settings, all members of each event, and all enumeration values. The fixtures must never be rewritten.
 
-// goldenSettings is what the fixture's settings mean; every field is set.
+// goldenSettings returns the decoded form of the settings fixture, in which every field is set.
 func goldenSettings() balancer.Settings {
 	const second = time.Second
 	return balancer.Settings{
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestGoldenSettings decodes settings with every member, and settings whose values differ from those.
+// TestGoldenSettings decodes settings with every member set, alone and in a Configure event.
 func TestGoldenSettings(t *testing.T) {
 	got, err := DecodeSettings(testkit.GoldenFile(t, "settings.json"))
 	if err != nil {
@@ -50,13 +50,13 @@
 	for _, path := range testkit.UnsetPaths(got) {
 		t.Errorf("settings: field %s is not set", path)
 	}
-	in := decodeOne(t, `{"Configure":{"Node":3,"Entropy":18446744073709551615,"Env":`+string(testkit.GoldenFile(t, "settings.json"))+`}}`)
-	if diff := cmp.Diff(&Start{Node: 3, Seed: 18446744073709551615, Settings: goldenSettings()}, in.Start); diff != "" {
+	input := decodeOne(t, `{"Configure":{"Node":3,"Entropy":18446744073709551615,"Env":`+string(testkit.GoldenFile(t, "settings.json"))+`}}`)
+	if diff := cmp.Diff(&Start{Node: 3, Seed: 18446744073709551615, Settings: goldenSettings()}, input.Start); diff != "" {
 		t.Errorf("start (-want +got):\n%s", diff)
 	}
 }
 
-// TestGoldenBatch decodes one line with each event, every member of each set.
+// TestGoldenBatch decodes a line that contains every event with every member set.
 func TestGoldenBatch(t *testing.T) {
 	batch, err := Decode(testkit.GoldenFile(t, "batch.json"))
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 	for _, event := range events {
 		for _, path := range testkit.UnsetPaths(event) {
-			if path == "MaxAttempts" || path == "Request.MaxAttempts" { // this wire has no member for it
+			if path == "MaxAttempts" || path == "Request.MaxAttempts" { // the wire format has no such member
 				continue
 			}
 			t.Errorf("%T: field %s is not set", event, path)
@@ -102,21 +102,21 @@
 	}
 }
 
-// TestGoldenEnumerations pins the names of each enumeration and the numbers behind them, which other encodings use.
+// TestGoldenEnumerations pins the names and numbers of all enumeration values. Other encodings use the numbers.
 func TestGoldenEnumerations(t *testing.T) {
-	numbers := func(t *testing.T, want map[string]int, got map[string]int) {
+	checkNumbers := func(t *testing.T, want map[string]int, got map[string]int) {
 		t.Helper()
 		if !maps.Equal(want, got) {
 			t.Errorf("want %v\n got %v", want, got)
 		}
 	}
-	numbers(t, map[string]int{
+	checkNumbers(t, map[string]int{
 		"delivered": 0, "app_error": 1, "shed": 2, "expired": 3, "dial_failed": 4, "dropped": 5, "revoked": 6, "unused": 7,
 	}, asNumbers(statuses))
-	numbers(t, map[string]int{"INCREMENTAL": 0, "FULL": 1, "SAVED": 2, "FAILED": 3}, asNumbers(listKinds))
-	numbers(t, map[string]int{"healthy": 0, "cordoned": 1, "deregistered": 2}, asNumbers(phases))
-	numbers(t, map[string]int{"safe": 0, "keyed": 1, "unsafe": 2}, asNumbers(effects))
-	numbers(t, map[string]int{"all": 0, "zone": 1, "cell": 2}, asNumbers(scopes))
+	checkNumbers(t, map[string]int{"INCREMENTAL": 0, "FULL": 1, "SAVED": 2, "FAILED": 3}, asNumbers(listKinds))
+	checkNumbers(t, map[string]int{"healthy": 0, "cordoned": 1, "deregistered": 2}, asNumbers(phases))
+	checkNumbers(t, map[string]int{"safe": 0, "keyed": 1, "unsafe": 2}, asNumbers(effects))
+	checkNumbers(t, map[string]int{"all": 0, "zone": 1, "cell": 2}, asNumbers(scopes))
 }
 
 func asNumbers[T ~int](values map[string]T) map[string]int {
