--- a/balancer/handover_state.go
+++ b/balancer/handover_state.go
@@ -109,7 +109,7 @@
 		state.ZoneTables[zone] = encodeMembers(table, endpointIndex)
 	}
 	for zone, outlier := range b.zoneOutliers {
-		state.ZoneOutliers[zone] = OutlierRecord{Failures: outlier.failures, RetryAt: outlier.retryAt}
+		state.ZoneOutliers[zone] = OutlierRecord{Failures: outlier.failures, RetryAt: outlier.ejectedUntil}
 	}
 	for _, generation := range []map[uint64]*endpointState{b.clientEndpoints[1], b.clientEndpoints[0]} {
 		for client, endpoint := range generation {
@@ -139,7 +139,7 @@
 		Cell:               e.cell,
 		Phase:              e.phase,
 		Size:               e.size,
-		Outlier:            OutlierRecord{Failures: e.failures, RetryAt: e.retryAt},
+		Outlier:            OutlierRecord{Failures: e.failures, RetryAt: e.ejectedUntil},
 		StartedAt:          e.startedAt,
 		LastResetAt:        e.lastResetAt,
 		CrashSuspected:     e.crashSuspected,
@@ -155,13 +155,13 @@
 // ComputeOwners replaces the members of each table with the owners of its slots, except in tables with more than
 // maxEncodedOwners slots. It accesses only the state, so it may run concurrently with the Balancer.
 func (s *State) ComputeOwners() {
-	claims := make([]claim, len(s.Endpoints))
+	weightedEndpoints := make([]weightedMember, len(s.Endpoints))
 	for i := range s.Endpoints {
-		claims[i] = claim{salt: hashing.NewSalt(hashing.String(s.Endpoints[i].ID)), size: s.Endpoints[i].Size}
+		weightedEndpoints[i] = weightedMember{salt: hashing.NewSalt(hashing.String(s.Endpoints[i].ID)), size: s.Endpoints[i].Size}
 	}
-	compact := s.Table.computeOwners(claims)
+	compact := s.Table.computeOwners(weightedEndpoints)
 	for zone, table := range s.ZoneTables {
-		compact = table.computeOwners(claims) || compact
+		compact = table.computeOwners(weightedEndpoints) || compact
 		s.ZoneTables[zone] = table
 	}
 	if compact {
@@ -170,10 +170,10 @@
 }
 
 // computeOwners replaces the members of a table and of its previous versions with owners. It reports whether any of them is
-// too large and keeps its members. claims holds the claims of the state's endpoints, by index.
-func (t *TableState) computeOwners(claims []claim) (compact bool) {
+// too large and keeps its members. weightedEndpoints holds the state's endpoints, by index.
+func (t *TableState) computeOwners(weightedEndpoints []weightedMember) (compact bool) {
 	if t.Previous != nil {
-		compact = t.Previous.computeOwners(claims)
+		compact = t.Previous.computeOwners(weightedEndpoints)
 	}
 	if len(t.Members) == 0 {
 		return compact
@@ -182,13 +182,13 @@
 	if slots > maxEncodedOwners {
 		return true
 	}
-	memberClaims := make([]claim, len(t.Members))
+	weightedMembers := make([]weightedMember, len(t.Members))
 	for i, member := range t.Members {
-		memberClaims[i] = claims[member]
+		weightedMembers[i] = weightedEndpoints[member]
 	}
 	t.Owners = make([]int, slots)
 	for slot := range t.Owners {
-		t.Owners[slot] = t.Members[strongestClaim(slot, memberClaims)]
+		t.Owners[slot] = t.Members[rendezvousOwner(slot, weightedMembers)]
 	}
 	t.Members = nil
 	return compact
