--- a/balancer/events.go
+++ b/balancer/events.go
@@ -86,7 +86,7 @@
 	Entries []Endpoint
 }
 
-// Request is a client's connection request. The Balancer answers it once before Deadline.
+// Request is a client's connection request. The Balancer answers it exactly once, before Deadline.
 type Request struct {
 	ID          string
 	Class       string
@@ -101,8 +101,7 @@
 	MaxAttempts int     `json:"Attempts"` // limit for this node; 0: only Limits.Attempts applies
 }
 
-// Adopted reports an established connection that another process handed over. Attempt 0 counts as the one that established
-// it.
+// Adopted reports an established connection that another process handed over. Its attempt number is 0.
 type Adopted struct {
 	Request
 	Endpoint string `json:"Server"`
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -271,6 +271,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(want, got) {
-		t.Errorf("%T is encoded differently:\nwant %s\n got %s", value, want, got)
+		t.Errorf("%T is encoded in another form:\nwant %s\n got %s", value, want, got)
 	}
 }
--- a/balancer/handover_state.go
+++ b/balancer/handover_state.go
@@ -46,8 +46,8 @@
 
 // OutlierRecord is the outlier state of an endpoint or a zone.
 type OutlierRecord struct {
-	Failures int `json:"Fails"` // number of failures since the last success
-	RetryAt  Instant
+	Failures int     `json:"Fails"` // number of failures since the last success
+	RetryAt  Instant // end of the ejection
 }
 
 // EndpointRecord is the part of an endpoint's state that a process hands over.
--- a/balancer/report.go
+++ b/balancer/report.go
@@ -14,7 +14,7 @@
 	return count
 }
 
-// Misplaced reports whether other nodes, which look up connections by key, would look for an established connection at another
+// Misplaced reports whether other nodes, which locate connections by key, would expect an established connection at a different
 // endpoint. An unknown connection counts as misplaced.
 func (b *Balancer) Misplaced(id string) bool {
 	table := b.localTable
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,7 +7,7 @@
 
 // TestNewRejectsInvalidSettings checks that the error names a setting by its key in a settings file.
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		invalidate func(*Settings)
 		want       string
 	}{
@@ -26,9 +26,9 @@
 			"Invariants.AskEvery must be above 0 where Discovery is subscribe"},
 	} {
 		settings := testSettings()
-		c.invalidate(&settings)
-		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got error %v, want one that contains %q", name, err, c.want)
+		test.invalidate(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: got error %v, want one that contains %q", name, err, test.want)
 		}
 	}
 	if _, err := New(testSettings(), 1); err != nil {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -69,9 +69,9 @@
 
 // OutlierSnapshot is the outlier state of an endpoint or a zone.
 type OutlierSnapshot struct {
-	Failures      int `json:"Fails"`
-	RetryAt       Instant
-	TrialInFlight bool `json:"Trial"`
+	Failures      int     `json:"Fails"`
+	RetryAt       Instant // end of the ejection
+	TrialInFlight bool    `json:"Trial"` // the request that probes for recovery is in flight
 }
 
 // EndpointSnapshot is the complete state of an endpoint.
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -316,7 +316,7 @@
 		snapshot := b.Snapshot()
 		invalidate(&snapshot)
 		if _, err := Restore(snapshot); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got error %v, want one that contains %q", err, want)
+			t.Errorf("want an error that contains %q, got %v", want, err)
 		}
 	}
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -115,8 +115,8 @@
 	}, asNumbers(statuses))
 	checkNumbers(t, map[string]int{"INCREMENTAL": 0, "FULL": 1, "SAVED": 2, "FAILED": 3}, asNumbers(listKinds))
 	checkNumbers(t, map[string]int{"healthy": 0, "cordoned": 1, "deregistered": 2}, asNumbers(phases))
-	checkNumbers(t, map[string]int{"safe": 0, "keyed": 1, "unsafe": 2}, asNumbers(effects))
-	checkNumbers(t, map[string]int{"all": 0, "zone": 1, "cell": 2}, asNumbers(scopes))
+	checkNumbers(t, map[string]int{"safe": 0, "keyed": 1, "unsafe": 2}, asNumbers(idempotencies))
+	checkNumbers(t, map[string]int{"all": 0, "zone": 1, "cell": 2}, asNumbers(dedupScopes))
 }
 
 func asNumbers[T ~int](values map[string]T) map[string]int {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -10,7 +10,7 @@
 // wireSettings is the settings object. All durations are in seconds.
 type wireSettings struct {
 	Nodes              int                    `json:"Balancers"`
-	Self               int                    `json:"Me"`
+	NodeIndex          int                    `json:"Me"`
 	Zone               string                 `json:"Zone"`
 	Discovery          string                 `json:"Discovery"`
 	Classes            []wireClass            `json:"Categories"`
@@ -24,7 +24,7 @@
 
 type wireClass struct {
 	Name             string
-	Effect           string
+	Idempotency      string `json:"Effect"`
 	DedupScope       string
 	LatencyObjective float64 `json:"Aim"`
 	Timeout          float64 `json:"GiveUp"`
@@ -79,13 +79,13 @@
 	noReports          = "none"
 )
 
-var effects = map[string]balancer.Idempotency{
+var idempotencies = map[string]balancer.Idempotency{
 	"safe":   balancer.Idempotent,
 	"keyed":  balancer.IdempotentByKey,
 	"unsafe": balancer.NotIdempotent,
 }
 
-var scopes = map[string]balancer.DedupScope{
+var dedupScopes = map[string]balancer.DedupScope{
 	"all":  balancer.ScopeAll,
 	"zone": balancer.ScopeZone,
 	"cell": balancer.ScopeCell,
@@ -104,7 +104,7 @@
 func (s *wireSettings) settings() balancer.Settings {
 	return balancer.Settings{
 		Nodes:           s.Nodes,
-		NodeIndex:       s.Self,
+		NodeIndex:       s.NodeIndex,
 		Zone:            s.Zone,
 		Classes:         s.classes(),
 		Tenants:         s.tenants(),
@@ -134,18 +134,18 @@
 }
 
 func (c *wireClass) class() balancer.Class {
-	scope, scopeKnown := scopes[c.DedupScope]
-	effect, effectKnown := effects[c.Effect]
-	// An unknown effect, or an unknown dedup scope, is treated as not idempotent, the strictest value.
-	if !effectKnown || effect == balancer.IdempotentByKey && !scopeKnown {
-		effect = balancer.NotIdempotent
+	scope, scopeKnown := dedupScopes[c.DedupScope]
+	idempotency, idempotencyKnown := idempotencies[c.Idempotency]
+	// An unknown Effect, or an unknown DedupScope of a keyed class, is treated as not idempotent, which is the strictest value.
+	if !idempotencyKnown || idempotency == balancer.IdempotentByKey && !scopeKnown {
+		idempotency = balancer.NotIdempotent
 	}
 	return balancer.Class{
 		Name:             c.Name,
 		LatencyObjective: Seconds(c.LatencyObjective),
 		Timeout:          Seconds(c.Timeout),
 		PriorityWeight:   c.PriorityWeight,
-		Idempotency:      effect,
+		Idempotency:      idempotency,
 		DedupScope:       scope,
 		DedupWindow:      Seconds(c.DedupWindow),
 	}
