--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The deadline of a request counts, not its class's timeout.
+// The deadline of a request applies, not the timeout of its class. At the deadline the client gets its only answer, and
+// the attempt in flight is canceled.
 func TestRequestDeadlineIsAnsweredOnce(t *testing.T) {
 	b := startBalancer(t, testSettings(), testEndpoints(4), 1)
 	req := testRequest(1, 2*sec)
@@ -16,7 +17,7 @@
 		t.Fatalf("timers %v", timers)
 	}
 	if send := actionsOf[Send](actions)[0]; send.Timeout <= 0 || send.Timeout > 300*ms {
-		t.Errorf("attempt may take %v of 300ms", send.Timeout)
+		t.Errorf("attempt timeout is %v, but the deadline is in 300ms", send.Timeout)
 	}
 	actions = b.Handle(2*sec+timers[0].Delay, Timer{Token: timers[0].Token})
 	if len(actionsOf[Reject](actions)) != 1 || len(actionsOf[Cancel](actions)) != 1 {
@@ -34,10 +35,10 @@
 	endpoint := sentTo(b.Handle(2*sec, req))
 	b.Handle(3*sec, AttemptEnded{ID: req.ID, Endpoint: endpoint, Status: OK, Final: true})
 	if actions := b.Handle(3*sec, ClientDisconnected{ID: req.ID}); len(actions) != 0 {
-		t.Errorf("got %v", actions)
+		t.Errorf("disconnect after the final attempt: actions %v", actions)
 	}
 	if actions := b.Handle(3*sec, ClientDisconnected{ID: "never seen"}); len(actions) != 0 {
-		t.Errorf("got %v", actions)
+		t.Errorf("disconnect of an unknown request: actions %v", actions)
 	}
 }
 
@@ -48,37 +49,37 @@
 		t.Fatalf("an adopted connection needs no action, got %v", actions)
 	}
 	if b.activeCount != 1 {
-		t.Error("not counted")
+		t.Errorf("%d active connections, want 1", b.activeCount)
 	}
 	actions = b.Handle(3*sec, AttemptEnded{ID: "o", Endpoint: endpointID(1), Status: Reset, Final: true})
 	if len(actions) != 0 || b.activeCount != 0 || len(b.requests) != 0 {
-		t.Errorf("got %v, active %d", actions, b.activeCount)
+		t.Errorf("after the reset: actions %v, %d active", actions, b.activeCount)
 	}
 }
 
-func TestEffectsDecideRetryAndRejection(t *testing.T) {
+func TestIdempotencyDecidesRetryAndRejection(t *testing.T) {
 	type answer struct{ resend, reject bool }
 	for _, c := range []struct {
-		name   string
-		effect Idempotency
-		dedup  DedupScope
-		status Status
-		after  time.Duration
-		want   answer
+		name        string
+		idempotency Idempotency
+		dedup       DedupScope
+		status      Status
+		after       time.Duration
+		want        answer
 	}{
-		{"safe after timeout", Idempotent, ScopeAll, Timeout, 100 * ms, answer{true, false}},
-		{"unsafe after full", NotIdempotent, ScopeAll, RejectedByEndpoint, 100 * ms, answer{true, false}},
-		{"unsafe after timeout", NotIdempotent, ScopeAll, Timeout, 100 * ms, answer{false, false}},
-		{"unsafe after error", NotIdempotent, ScopeAll, AppError, 100 * ms, answer{false, false}},
-		{"keyed, all, in window", IdempotentByKey, ScopeAll, Timeout, 100 * ms, answer{true, false}},
-		{"keyed, all, past window", IdempotentByKey, ScopeAll, Timeout, 700 * ms, answer{false, true}},
-		{"keyed, zone, past window", IdempotentByKey, ScopeZone, Timeout, 700 * ms, answer{false, false}},
-		{"keyed, zone, in window", IdempotentByKey, ScopeZone, Timeout, 100 * ms, answer{true, false}},
-		{"keyed, cell, in window", IdempotentByKey, ScopeCell, Reset, 100 * ms, answer{true, false}},
-		{"keyed, zone, never executed", IdempotentByKey, ScopeZone, ConnectFailed, 700 * ms, answer{true, false}},
+		{"idempotent, after timeout", Idempotent, ScopeAll, Timeout, 100 * ms, answer{true, false}},
+		{"not idempotent, after rejection", NotIdempotent, ScopeAll, RejectedByEndpoint, 100 * ms, answer{true, false}},
+		{"not idempotent, after timeout", NotIdempotent, ScopeAll, Timeout, 100 * ms, answer{false, false}},
+		{"not idempotent, after application error", NotIdempotent, ScopeAll, AppError, 100 * ms, answer{false, false}},
+		{"by key, all, in window", IdempotentByKey, ScopeAll, Timeout, 100 * ms, answer{true, false}},
+		{"by key, all, past window", IdempotentByKey, ScopeAll, Timeout, 700 * ms, answer{false, true}},
+		{"by key, zone, past window", IdempotentByKey, ScopeZone, Timeout, 700 * ms, answer{false, false}},
+		{"by key, zone, in window", IdempotentByKey, ScopeZone, Timeout, 100 * ms, answer{true, false}},
+		{"by key, cell, in window", IdempotentByKey, ScopeCell, Reset, 100 * ms, answer{true, false}},
+		{"by key, zone, never executed", IdempotentByKey, ScopeZone, ConnectFailed, 700 * ms, answer{true, false}},
 	} {
 		settings := testSettings()
-		settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = c.effect, c.dedup, 500*ms
+		settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = c.idempotency, c.dedup, 500*ms
 		b := startBalancer(t, settings, testEndpoints(12), 1)
 		req := testRequest(1, 2*sec)
 		first := b.endpoints[sentTo(b.Handle(2*sec, req))]
@@ -92,7 +93,7 @@
 		if n := len(actionsOf[Fail](actions)) + len(actionsOf[Reject](actions)) + len(actionsOf[Send](actions)); n != 1 {
 			t.Errorf("%s: %d answers or sends", c.name, n)
 		}
-		if next := sentTo(actions); next != "" && c.effect == IdempotentByKey && !c.status.NeverExecuted() {
+		if next := sentTo(actions); next != "" && c.idempotency == IdempotentByKey && !c.status.NeverExecuted() {
 			endpoint := b.endpoints[next]
 			if c.dedup != ScopeAll && endpoint.zone != first.zone || c.dedup == ScopeCell && endpoint.cell != first.cell {
 				t.Errorf("%s: resent outside the dedup scope", c.name)
@@ -101,14 +102,15 @@
 	}
 }
 
-// A keyed request can't be rejected while its only attempt may be executed.
-func TestKeyedZoneDeadlineFails(t *testing.T) {
+// A request that is idempotent by key within a zone must fail at its deadline, not be rejected, while its only attempt
+// may be executed: a retry in another zone could execute it twice.
+func TestIdempotentByKeyInZoneFailsAtDeadline(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = IdempotentByKey, ScopeZone, sec
 	b := startBalancer(t, settings, testEndpoints(4), 1)
 	actions := b.Handle(2*sec, testRequest(1, 2*sec))
-	tm := actionsOf[SetTimer](actions)[0]
-	if actions = b.Handle(2*sec+tm.Delay, Timer{Token: tm.Token}); len(actionsOf[Fail](actions)) != 1 || len(actionsOf[Reject](actions)) != 0 {
-		t.Errorf("got %v", actions)
+	timer := actionsOf[SetTimer](actions)[0]
+	if actions = b.Handle(2*sec+timer.Delay, Timer{Token: timer.Token}); len(actionsOf[Fail](actions)) != 1 || len(actionsOf[Reject](actions)) != 0 {
+		t.Errorf("at the deadline: actions %v", actions)
 	}
 }
--- a/internal/controlplane/catalog.go
+++ b/internal/controlplane/catalog.go
@@ -58,7 +58,7 @@
 	}
 	return r.commitFederationChange(w, req, body, submit, func(loop *eventLoop) any {
 		state := loop.state.Federation()
-		_, digest := state.Text()
+		_, digest := state.EncodedCatalog()
 		return PublishResponse{
 			Mesh:     publication.Mesh,
 			Epoch:    publication.Epoch,
@@ -207,7 +207,7 @@
 // catalog returns this replica's Catalog. It lists no names and no meshes before the first change of the federation.
 func (l *eventLoop) catalog() Catalog {
 	federated := l.state.Federation()
-	text, digest := federated.Text()
+	text, digest := federated.EncodedCatalog()
 	result := Catalog{
 		Names:         []CatalogName{},
 		Meshes:        []CatalogMesh{},
--- a/internal/controlplane/endpoint_list.go
+++ b/internal/controlplane/endpoint_list.go
@@ -35,7 +35,7 @@
 // step handles the outcome of the node's work: it starts or stops serving the list, and proposes and publishes changes.
 func (p *listPublisher) step(loop *eventLoop, outcome consensus.Outcome) {
 	addr := *loop.replica.discovery.addr.Load()
-	shouldServe := loop.node.Settled() && addr != "" && !p.closing
+	shouldServe := loop.node.LeaderReady() && addr != "" && !p.closing
 	if p.term != 0 && (!shouldServe || p.term != loop.node.Term()) {
 		p.stopServing(loop)
 	}
--- a/internal/proxy/version_prepare.go
+++ b/internal/proxy/version_prepare.go
@@ -52,7 +52,7 @@
 
 // preparation is the input of the goroutine. It shares no mutable data with the event loop.
 type preparation struct {
-	version        fleetconfig.Prepare
+	version        fleetconfig.PrepareVersion
 	text           []byte
 	table          *routing.Table       // the active routing table
 	activeEstimate memestimate.Estimate // of table; Live 0: not estimated yet
