--- a/internal/controlplane/discovery_state.go
+++ b/internal/controlplane/discovery_state.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// discoveryTimeout is how long the leader serves its endpoint list without contact with service discovery. After
-// that, proxies must query discovery themselves within 6 s, and they first search for another replica for up to 2 s.
+// discoveryTimeout is how long the leader serves its endpoint list without contact with service discovery. After that,
+// proxies must query discovery themselves within 6 s, and they first search for another replica for up to 2 s.
 const discoveryTimeout = 3500 * time.Millisecond
 
 // discoveryState is the state of service discovery and the endpoint list that the event loop shares with other goroutines.
@@ -79,11 +79,11 @@
 
 // States of the endpoint list, as sent in a Status.
 const (
-	listOff     = "off"     // no service discovery is configured
-	listWaiting = "waits"   // this replica does not serve the list: it is not the leader
-	listHealthy = "well"    // the latest request to discovery succeeded
-	listFailing = "failing" // the latest request to discovery failed
-	listStale   = "silent"  // contact with discovery is lost
+	listOff        = "off"     // no service discovery is configured
+	listNotServing = "waits"   // this replica does not serve the list, because it is not the leader
+	listHealthy    = "well"    // the latest request to discovery succeeded
+	listFailing    = "failing" // the latest request to discovery failed
+	listStale      = "silent"  // contact with discovery is lost
 )
 
 // EndpointListStatus is the state of the endpoint list on one replica.
@@ -110,7 +110,7 @@
 		return status
 	}
 	if l.endpoints.term == 0 {
-		status.State = listWaiting
+		status.State = listNotServing
 		return status
 	}
 	status.SinceContactMS = discovery.sinceContact().Milliseconds()
--- a/internal/controlplane/endpoint_list.go
+++ b/internal/controlplane/endpoint_list.go
@@ -96,7 +96,7 @@
 // completeProposal handles the result of the change in flight after it was applied.
 func (p *listPublisher) completeProposal(loop *eventLoop, applied consensus.Applied, addr string) {
 	p.inFlight = consensus.ProposalID{}
-	if applied.Answer.Err != nil { // a defect: the change was based on this list
+	if applied.Answer.Err != nil { // a defect: the change was based on the current list
 		loop.replica.log.Error("micafront-controlplane: endpoint list change rejected", zap.Error(applied.Answer.Err))
 		p.stopClient()
 		p.client = loop.replica.startDiscoveryClient(addr, p.previousDone)
--- a/internal/controlplane/endpoint_list_test.go
+++ b/internal/controlplane/endpoint_list_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func (p *discoveryProxy) count() (calls, maxConcurrent int) {
+func (p *discoveryProxy) count() (calls, peak int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls, p.maxConcurrent
@@ -301,7 +301,7 @@
 func (c *cluster) elect(i int) {
 	c.t.Helper()
 	tries := 0
-	c.until(fmt.Sprintf("the election of replica %d", i+1), func() bool {
+	c.until("the replica to win the election", func() bool {
 		leads, err := query(context.Background(), c.replicas[i], func(loop *eventLoop) bool {
 			if tries%200 == 0 && !loop.node.Leading() {
 				loop.recordFatal(loop.node.Campaign())
--- a/internal/controlplane/errors.go
+++ b/internal/controlplane/errors.go
@@ -19,7 +19,7 @@
 		"correct the member that is named and propose again; micafront config check says the same")
 	// Withdrawn means that a version was withdrawn while the caller waited for it to become active.
 	Withdrawn = apperror.NewKind("keeper/withdrawn", "do what the refusals' causes ask for, or propose again with force")
-	// DigestMismatch means that a version's digest is not the one asked for.
+	// DigestMismatch means that a version's digest is not the requested one.
 	DigestMismatch = apperror.NewKind("keeper/other-digest",
 		"renew the lease: the version's number belongs to other contents")
 	// LeaderUnreachable means that a request could not be forwarded to the leader.
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -155,7 +155,7 @@
 	currentIDs := slices.Sorted(maps.Keys(r.config.peers()))
 	newIDs := slices.Sorted(maps.Keys(config.peers()))
 	if !slices.Equal(newIDs, currentIDs) || config.ID != r.config.ID {
-		return BadConfig.New("peers", "replicas %d became %d: the set of replicas of a fleet is fixed", currentIDs, newIDs)
+		return BadConfig.New("peers", "replicas changed from %d to %d, but the set of replicas of a fleet is fixed", currentIDs, newIDs)
 	}
 	r.transport.updateAddresses(config.peers())
 	r.setDiscoveryAddress(config.Discovery)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -17,7 +17,7 @@
 
 // Status is the state of the control plane as one replica knows it.
 type Status struct {
-	Replica uint64 `json:"keeper"` // the replica that answers
+	Replica uint64 `json:"keeper"` // the replica that sends this Status
 	Leader  uint64 `json:"leader"` // 0: none is known
 	Term    uint64 `json:"term"`
 	Applied uint64 `json:"applied"` // index of the last applied command
