--- a/cmd/micafront/pool_reload_test.go
+++ b/cmd/micafront/pool_reload_test.go
@@ -143,7 +143,7 @@
 	next := strings.Replace(old, `"name":"toA","match":{"key":{"prefix":["a"]}},"to":[{"pool":"a","ppm":1000000}]`,
 		`"name":"toA","match":{"key":{"prefix":["a"]}},"to":[{"pool":"a","ppm":700000},{"pool":"b","ppm":300000}]`, 1)
 	next = strings.Replace(next, `"prefix":["b"]`, `"prefix":["b"],"exact":["a7"]`, 1)
-	changes, err := routing.Diff(compileRoutes(t, old), compileRoutes(t, next), routing.Space{})
+	changes, err := routing.Diff(compileRoutes(t, old), compileRoutes(t, next), routing.MatchSpace{})
 	if err != nil || len(changes) == 0 {
 		t.Fatal(err, changes)
 	}
@@ -175,12 +175,12 @@
 	after := land()
 	moved := 0
 	for key := range before {
-		place := routing.Place(&routing.Line{Key: key})
+		place := routing.SplitPosition(&routing.ConnectionAttributes{Key: key})
 		predicted := false
 		for _, c := range changes {
 			in := place >= c.From && place < c.From+c.PPM && c.ChangesPool()
 			for _, s := range c.Cell {
-				in = in && s.Holds(map[string]string{"key": key}[s.Dim])
+				in = in && s.Contains(map[string]string{"key": key}[s.Dimension])
 			}
 			predicted = predicted || in
 		}
--- a/cmd/micafrontctl/bench_routing.go
+++ b/cmd/micafrontctl/bench_routing.go
@@ -26,7 +26,7 @@
 type routingTable struct {
 	routes      int
 	table       *routing.Table
-	connections []routing.Line
+	connections []routing.ConnectionAttributes
 	nanoseconds []float64 // per decision, by round
 }
 
@@ -87,10 +87,10 @@
 	for i := range routes {
 		set.Routes = append(set.Routes, routing.Route{
 			Name: fmt.Sprint("r", i),
-			To:   []routing.SplitShare{{Pool: "a", PPM: routing.Whole / 4}, {Pool: "b", PPM: routing.Whole / 4 * 3}},
+			To:   []routing.SplitShare{{Pool: "a", PPM: routing.TotalPPM / 4}, {Pool: "b", PPM: routing.TotalPPM / 4 * 3}},
 			Match: routing.Match{
 				Class: []string{classes[i%len(classes)]},
-				Group: routing.Strings{Prefix: []string{fmt.Sprintf("%06x", i)}},
+				Group: routing.StringMatcher{Prefix: []string{fmt.Sprintf("%06x", i)}},
 			},
 		})
 	}
@@ -99,10 +99,10 @@
 		return nil, fmt.Errorf("compiling %d routes: %w", routes, err)
 	}
 	rng := rand.New(rand.NewPCG(seed, benchRoutingStream))
-	connections := make([]routing.Line, benchRoutingLines)
+	connections := make([]routing.ConnectionAttributes, benchRoutingLines)
 	for i := range connections {
 		route := rng.IntN(routes)
-		connections[i] = routing.Line{Class: classes[route%len(classes)], Group: fmt.Sprintf("%06x-%d", route, i), Key: fmt.Sprint("k", i)}
+		connections[i] = routing.ConnectionAttributes{Class: classes[route%len(classes)], Group: fmt.Sprintf("%06x-%d", route, i), Key: fmt.Sprint("k", i)}
 	}
 	return &routingTable{routes: routes, table: table, connections: connections}, nil
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -561,7 +561,7 @@
 	if sc.state.Sees("some", e, &e.Providers[0]) || !sc.state.Sees("some", e, &e.Providers[1]) {
 		t.Error("a provider is seen that is not imported, or an imported one is not")
 	}
-	set := routing.Set{Pools: []routing.Pool{{Name: "p"}}, Routes: []routing.Route{{Name: "r", To: []routing.SplitShare{share("service:feed", routing.Whole)}}}}
+	set := routing.Set{Pools: []routing.Pool{{Name: "p"}}, Routes: []routing.Route{{Name: "r", To: []routing.SplitShare{share("service:feed", routing.TotalPPM)}}}}
 	if got, err := sc.rules.BindFor(set, sc.state, "", "some"); err != nil || len(got.Pools) != 2 || got.Pools[1].Name != "feed.thies" {
 		t.Errorf("bound to %+v, %v", got.Pools, err)
 	}
@@ -586,7 +586,7 @@
 		return func(s *Service) {
 			s.Zones = []string{zone}
 			s.SpareCapacity = spare
-			s.Pool = routing.Pool{Name: "mine", MaxOpen: 9, Was: []string{"all"}}
+			s.Pool = routing.Pool{Name: "mine", MaxOpen: 9, FormerNames: []string{"all"}}
 		}
 	}
 	for i, m := range []string{"dakar", "thies", "caroni", "lost"} {
@@ -602,9 +602,9 @@
 		Policies: []routing.Policy{{Name: "q", Attempts: 3, Fallback: []string{"over"}}, {Name: "f", Fallback: []string{"over", "service:news", "all"}}},
 		Routes: []routing.Route{
 			{Name: "r1", Precedence: 1, To: []routing.SplitShare{share("service:feed", 400_000), share("all", 100_000), share("service:news", 500_000)}},
-			{Name: "r2", Precedence: 2, Policy: "q", To: []routing.SplitShare{share("service:news", routing.Whole)}},
-			{Name: "r3", Precedence: 3, Policy: "f", To: []routing.SplitShare{share("service:chat", routing.Whole)}},
-			{Name: "r4", Precedence: 4, Policy: "q", To: []routing.SplitShare{share("service:feed", routing.Whole)}}}}
+			{Name: "r2", Precedence: 2, Policy: "q", To: []routing.SplitShare{share("service:news", routing.TotalPPM)}},
+			{Name: "r3", Precedence: 3, Policy: "f", To: []routing.SplitShare{share("service:chat", routing.TotalPPM)}},
+			{Name: "r4", Precedence: 4, Policy: "q", To: []routing.SplitShare{share("service:feed", routing.TotalPPM)}}}}
 	text := asJSON(&set)
 	got, err := sc.rules.Bind(set, sc.state, "zthies")
 	if err != nil {
@@ -622,7 +622,7 @@
 		pools = append(pools, p.Name)
 	}
 	testkit.Equal(t, "pools", append(append([]string{"all", "over"}, providers...), "chat.dakar"), pools)
-	testkit.Equal(t, "a pool", routing.Pool{Name: "feed.thies", MaxOpen: 9, Select: routing.Select{Zones: []string{"zthies"}}}, got.Pools[2])
+	testkit.Equal(t, "a pool", routing.Pool{Name: "feed.thies", MaxOpen: 9, Select: routing.EndpointSelector{Zones: []string{"zthies"}}}, got.Pools[2])
 	testkit.Equal(t, "policies", []routing.Policy{set.Policies[0], {Name: "f", Fallback: append(append([]string{"over"}, providers...), "all")},
 		{Name: "service:feed", Fallback: providers[1:]}, {Name: "q+service:feed", Attempts: 3, Fallback: append(slices.Clone(providers[1:]), "over")}},
 		got.Policies)
@@ -633,7 +633,7 @@
 	testkit.Equal(t, "routes", []string{"r1[{feed.thies 900000} {all 100000}]service:feed", "r2[{feed.thies 1000000}]q+service:feed",
 		"r3[{chat.dakar 1000000}]f", "r4[{feed.thies 1000000}]q+service:feed"}, routes)
 
-	plain := routing.Single()
+	plain := routing.SinglePoolSet()
 	if same, err := sc.rules.Bind(plain, sc.state, ""); err != nil || asJSON(&same) != asJSON(&plain) {
 		t.Errorf("a set without services: %+v, %v", same, err)
 	}
--- a/internal/catalog/claimants.go
+++ b/internal/catalog/claimants.go
@@ -106,7 +106,7 @@
 		DrainBy:          s.DrainBy,
 	}
 	p.Pool.Name = qualify(c.name, p.Mesh)
-	p.Pool.Was = nil
+	p.Pool.FormerNames = nil
 	return p
 }
 
--- a/internal/catalog/digest.go
+++ b/internal/catalog/digest.go
@@ -58,7 +58,7 @@
 	pool := &s.Pool
 	selector := &s.Pool.Select
 	b = appendStrings(b, s.Name, s.Owner, s.Contract, s.Class, s.Origin, pool.Name)
-	for _, list := range [][]string{s.Zones, s.Via, pool.Was, selector.Zones, selector.MachineTypes, selector.IDPrefixes} {
+	for _, list := range [][]string{s.Zones, s.Via, pool.FormerNames, selector.Zones, selector.MachineTypes, selector.IDPrefixes} {
 		b = appendStrings(b, list...)
 	}
 	b = binary.AppendUvarint(b, uint64(len(selector.Cells)))
--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -12,8 +12,8 @@
 
 // goldenPool has every field set, as do the other values here.
 func goldenPool(name string) routing.Pool {
-	return routing.Pool{Name: name, Precedence: 3, Was: []string{"post", "letters"}, MaxOpen: 400, MaxWaiting: 50,
-		Select: routing.Select{Zones: []string{"thies", "dakar"}, MachineTypes: []string{"m2"}, Cells: []int{7, 9},
+	return routing.Pool{Name: name, Precedence: 3, FormerNames: []string{"post", "letters"}, MaxOpen: 400, MaxWaiting: 50,
+		Select: routing.EndpointSelector{Zones: []string{"thies", "dakar"}, MachineTypes: []string{"m2"}, Cells: []int{7, 9},
 			IDPrefixes: []string{"s-"}, SizeFrom: 0.5, SizeTo: 2}}
 }
 
--- a/internal/catalog/inputs.go
+++ b/internal/catalog/inputs.go
@@ -90,7 +90,7 @@
 // Nameable reports whether a service, an alias or a mesh may have a name: 1 to 128 bytes of UTF-8 without spaces, control
 // characters and dots.
 func Nameable(name string) bool {
-	return name != "" && len(name) <= maxNameBytes && !strings.Contains(name, ".") && routing.Nameable(name) && utf8.ValidString(name)
+	return name != "" && len(name) <= maxNameBytes && !strings.Contains(name, ".") && routing.IsValidName(name) && utf8.ValidString(name)
 }
 
 // splitName separates a name into its short name and, where it is qualified, its mesh.
--- a/internal/catalog/measure/main.go
+++ b/internal/catalog/measure/main.go
@@ -53,7 +53,7 @@
 			p.Services = append(p.Services, catalog.Service{Name: name, Owner: owner, Contract: "sha256:" + strings.Repeat("c", 64),
 				Zones: []string{"zone" + strconv.Itoa(random.IntN(zones)), "zone" + strconv.Itoa(random.IntN(zones))}, Class: "feed",
 				LatencyObjective: 50 * time.Millisecond, SpareCapacity: float64(random.IntN(100)) / 100,
-				Pool: routing.Pool{Name: "pool", MaxOpen: 1000, Select: routing.Select{Cells: []int{i % 9}, IDPrefixes: []string{mesh + "-"}}}})
+				Pool: routing.Pool{Name: "pool", MaxOpen: 1000, Select: routing.EndpointSelector{Cells: []int{i % 9}, IDPrefixes: []string{mesh + "-"}}}})
 			if i%10 == 3 {
 				p.Aliases = append(p.Aliases, catalog.Alias{Name: fmt.Sprintf("alias-%d-%d", m, i), To: name})
 			}
@@ -215,7 +215,7 @@
 	set := routing.Set{Pools: []routing.Pool{{Name: "all"}}}
 	for i := 0; len(set.Routes) < routes; i += 7 {
 		set.Routes = append(set.Routes, routing.Route{Name: "r" + strconv.Itoa(i), Precedence: i,
-			To: []routing.SplitShare{{Pool: catalog.Prefix + state.Entries[i].Name, PPM: routing.Whole}}})
+			To: []routing.SplitShare{{Pool: catalog.Prefix + state.Entries[i].Name, PPM: routing.TotalPPM}}})
 	}
 	t.measure("1,000 routes bound to services", func() string {
 		bound, err := catalog.Rules{}.Bind(set, state, "zone1")
--- a/internal/catalog/memory.go
+++ b/internal/catalog/memory.go
@@ -7,7 +7,7 @@
 	minAllocation   = 16
 	stringSliceSlot = 24  // of a []string with the slack that its growth leaves
 	indexEntryBytes = 100 // of State.index while the map grows
-	cellBytes       = 8   // an int of Select.Cells
+	cellBytes       = 8   // an int of EndpointSelector.Cells
 )
 
 // withSizeClass returns the memory that an allocation takes: its size class wastes an eighth at most.
@@ -76,7 +76,7 @@
 		p := &e.Providers[i]
 		selector := &p.Pool.Select
 		m.addStrings(p.Mesh, p.Class, p.Origin, p.Pool.Name)
-		m.addStringSlices(p.Zones, p.Via, p.Pool.Was, selector.Zones, selector.MachineTypes, selector.IDPrefixes)
+		m.addStringSlices(p.Zones, p.Via, p.Pool.FormerNames, selector.Zones, selector.MachineTypes, selector.IDPrefixes)
 		m.bytes += uint64(cap(selector.Cells)) * cellBytes
 	}
 }
--- a/internal/catalog/validate_services.go
+++ b/internal/catalog/validate_services.go
@@ -70,7 +70,7 @@
 	pool := &s.Pool
 	selector := &s.Pool.Select
 	texts := []string{s.Name, s.Owner, s.Contract, s.Class, s.Origin, pool.Name}
-	for _, list := range [][]string{texts, s.Zones, s.Via, pool.Was, selector.Zones, selector.MachineTypes, selector.IDPrefixes} {
+	for _, list := range [][]string{texts, s.Zones, s.Via, pool.FormerNames, selector.Zones, selector.MachineTypes, selector.IDPrefixes} {
 		if len(list) > maxListEntries || slices.ContainsFunc(list, func(text string) bool {
 			return len(text) > maxTextBytes || !utf8.ValidString(text)
 		}) {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -88,7 +88,7 @@
 	if record.Node != nil {
 		f.Node = *record.Node
 	}
-	if f.Node == "" || len(f.Node) > fleetconfig.MaxNodeNameBytes || !routing.Nameable(f.Node) {
+	if f.Node == "" || len(f.Node) > fleetconfig.MaxNodeNameBytes || !routing.IsValidName(f.Node) {
 		faults.add("node", "%q is empty, over %d bytes, or has a blank or a control character", f.Node, fleetconfig.MaxNodeNameBytes)
 	}
 	if record.Mesh == nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -65,27 +65,27 @@
 func goldenRoutes() routing.Set {
 	return routing.Set{
 		Pools: []routing.Pool{{
-			Name: "blue", Precedence: 61, Was: []string{"azure"}, MaxOpen: 62, MaxWaiting: 63,
-			Select: routing.Select{
+			Name: "blue", Precedence: 61, FormerNames: []string{"azure"}, MaxOpen: 62, MaxWaiting: 63,
+			Select: routing.EndpointSelector{
 				Zones: []string{"east"}, MachineTypes: []string{"large"}, Cells: []int{64}, IDPrefixes: []string{"s"},
 				SizeFrom: 0.65, SizeTo: 6.5,
 			},
 		}},
 		Policies: []routing.Policy{{
-			Name: "policy", Attempts: 66, Deadline: 67, ComeBackFrom: 68, ComeBackTo: 69, Fallback: []string{"blue"},
+			Name: "policy", Attempts: 66, Deadline: 67, RetryAfterMin: 68, RetryAfterMax: 69, Fallback: []string{"blue"},
 		}},
 		Routes: []routing.Route{{
-			Name: "route", Precedence: 70, To: []routing.SplitShare{{Pool: "blue", PPM: routing.Whole}}, Policy: "policy", MaxOpen: 71,
+			Name: "route", Precedence: 70, To: []routing.SplitShare{{Pool: "blue", PPM: routing.TotalPPM}}, Policy: "policy", MaxOpen: 71,
 			MaxWaiting: 72,
 			Match: routing.Match{
 				Class: []string{"light"}, Listener: []string{"partner"}, Zone: []string{"east"},
-				Key:    routing.Strings{Exact: []string{"key"}, Prefix: []string{"k-"}},
-				Group:  routing.Strings{Exact: []string{"group"}, Prefix: []string{"g-"}},
-				Fields: map[string]routing.Strings{"field": {Exact: []string{"value"}, Prefix: []string{"v-"}}},
+				Key:    routing.StringMatcher{Exact: []string{"key"}, Prefix: []string{"k-"}},
+				Group:  routing.StringMatcher{Exact: []string{"group"}, Prefix: []string{"g-"}},
+				Fields: map[string]routing.StringMatcher{"field": {Exact: []string{"value"}, Prefix: []string{"v-"}}},
 			},
 		}},
 		Default: "route", Zones: []routing.Zone{{Name: "east", Title: "East"}},
-		Listeners: map[string]string{"partner": "127.0.0.1:73"}, DrainOver: 74,
+		Listeners: map[string]string{"partner": "127.0.0.1:73"}, DrainTimeout: 74,
 	}
 }
 
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -18,7 +18,7 @@
 			return set, malformedMember.Wrap("", err)
 		}
 	}
-	return set.Completed(), nil
+	return set.WithDefaults(), nil
 }
 
 func compileRoutes(text jsoniter.RawMessage) (*routing.Table, error) {
--- a/internal/configbundle/golden_test.go
+++ b/internal/configbundle/golden_test.go
@@ -27,25 +27,25 @@
 }
 
 func goldenPool(name string) routing.Pool {
-	return routing.Pool{Name: name, Precedence: 3, Was: []string{"post"}, MaxOpen: 400, MaxWaiting: 50,
-		Select: routing.Select{Zones: []string{"thies"}, MachineTypes: []string{"m2"}, Cells: []int{7},
+	return routing.Pool{Name: name, Precedence: 3, FormerNames: []string{"post"}, MaxOpen: 400, MaxWaiting: 50,
+		Select: routing.EndpointSelector{Zones: []string{"thies"}, MachineTypes: []string{"m2"}, Cells: []int{7},
 			IDPrefixes: []string{"s-"}, SizeFrom: 0.5, SizeTo: 2}}
 }
 
 // goldenSet is what the routes of the fixture mean before services are bound. Every field is set.
 func goldenSet() routing.Set {
-	condition := func(letter string) routing.Strings {
-		return routing.Strings{Exact: []string{letter + "1"}, Prefix: []string{letter + "-"}}
+	condition := func(letter string) routing.StringMatcher {
+		return routing.StringMatcher{Exact: []string{letter + "1"}, Prefix: []string{letter + "-"}}
 	}
 	return routing.Set{Pools: []routing.Pool{goldenPool("thies")},
-		Policies: []routing.Policy{{Name: "patient", Attempts: 5, Deadline: 800_000, ComeBackFrom: 200_000, ComeBackTo: 900_000,
+		Policies: []routing.Policy{{Name: "patient", Attempts: 5, Deadline: 800_000, RetryAfterMin: 200_000, RetryAfterMax: 900_000,
 			Fallback: []string{"thies"}}},
 		Routes: []routing.Route{{Name: "feeds", Precedence: 4, To: []routing.SplitShare{{Pool: "service:mail", PPM: 1_000_000}},
 			Policy: "patient", MaxOpen: 300, MaxWaiting: 40, Match: routing.Match{Class: []string{"album-feed"},
 				Listener: []string{"inner"}, Zone: []string{"thies"}, Key: condition("k"), Group: condition("g"),
-				Fields: map[string]routing.Strings{"app": condition("a")}}}},
+				Fields: map[string]routing.StringMatcher{"app": condition("a")}}}},
 		Default: "feeds", Zones: []routing.Zone{{Name: "thies", Title: "Thiès"}},
-		Listeners: map[string]string{"inner": "127.0.0.1:8082"}, DrainOver: 30_000_000}
+		Listeners: map[string]string{"inner": "127.0.0.1:8082"}, DrainTimeout: 30_000_000}
 }
 
 // goldenCatalog is what the catalog of the fixture means: a service with every field set, and an alias of it.
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -51,8 +51,8 @@
 
 	goldenConflict = catalog.Conflict{Mesh: "dakar", Owner: "courier", QualifiedName: "mail.dakar"}
 
-	goldenPool = routing.Pool{Name: "mail", Select: routing.Select{Zones: []string{"a"}, MachineTypes: []string{"large"},
-		Cells: []int{1}, IDPrefixes: []string{"i"}, SizeFrom: 0.5, SizeTo: 2}, Precedence: 1, Was: []string{"post"}, MaxOpen: 9,
+	goldenPool = routing.Pool{Name: "mail", Select: routing.EndpointSelector{Zones: []string{"a"}, MachineTypes: []string{"large"},
+		Cells: []int{1}, IDPrefixes: []string{"i"}, SizeFrom: 0.5, SizeTo: 2}, Precedence: 1, FormerNames: []string{"post"}, MaxOpen: 9,
 		MaxWaiting: 3}
 )
 
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -52,7 +52,7 @@
 		Zone: "thies", Cell: 3}
 	second := balancer.Endpoint{ID: "s-7", Phase: balancer.Draining, StartedAt: 1798761600999 * time.Millisecond, Size: 0.35,
 		Zone: "dakar", Cell: 4}
-	testkit.Equal(t, "entries", []routing.Entry{{MachineType: "m2", Endpoint: first}, {MachineType: "m3", Endpoint: second}}, list.Entries())
+	testkit.Equal(t, "entries", []routing.EndpointEntry{{MachineType: "m2", Endpoint: first}, {MachineType: "m3", Endpoint: second}}, list.Entries())
 	testkit.Equal(t, "members", balancer.EndpointUpdate{Kind: balancer.FullList, Version: 41, Entries: []balancer.Endpoint{first, second}},
 		list.EndpointUpdate(balancer.FullList))
 	testkit.Equal(t, "lifecycles", map[string]balancer.Phase{"in_service": balancer.Ready, "terminating": balancer.Draining,
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -94,8 +94,8 @@
 }
 
 // Entries converts the list's entries for routing. Their times are since the Unix epoch, as the loop's are.
-func (l *List) Entries() (entries []routing.Entry) {
-	entries = make([]routing.Entry, 0, len(l.Instances))
+func (l *List) Entries() (entries []routing.EndpointEntry) {
+	entries = make([]routing.EndpointEntry, 0, len(l.Instances))
 	for i := range l.Instances {
 		e := &l.Instances[i]
 		endpoint := balancer.Endpoint{
@@ -106,7 +106,7 @@
 			Zone:      e.Zone,
 			Cell:      e.Cell,
 		}
-		entries = append(entries, routing.Entry{MachineType: e.MachineType, Endpoint: endpoint})
+		entries = append(entries, routing.EndpointEntry{MachineType: e.MachineType, Endpoint: endpoint})
 	}
 	return entries
 }
--- a/internal/federation/golden_test.go
+++ b/internal/federation/golden_test.go
@@ -14,8 +14,8 @@
 
 // goldenPool has every field set, as do the other values here.
 func goldenPool(name string) routing.Pool {
-	return routing.Pool{Name: name, Precedence: 3, Was: []string{"post"}, MaxOpen: 400, MaxWaiting: 50,
-		Select: routing.Select{Zones: []string{"thies"}, MachineTypes: []string{"m2"}, Cells: []int{7},
+	return routing.Pool{Name: name, Precedence: 3, FormerNames: []string{"post"}, MaxOpen: 400, MaxWaiting: 50,
+		Select: routing.EndpointSelector{Zones: []string{"thies"}, MachineTypes: []string{"m2"}, Cells: []int{7},
 			IDPrefixes: []string{"s-"}, SizeFrom: 0.5, SizeTo: 2}}
 }
 
--- a/internal/fleetsim/proxy.go
+++ b/internal/fleetsim/proxy.go
@@ -68,7 +68,7 @@
 func (p *Proxy) reportHeadroom(limit uint64) {
 	headroom := fleetconfig.MemoryHeadroom{Limit: limit}
 	if p.active != nil {
-		headroom.InUse = p.active.estimate.Live
+		headroom.InUse = p.active.estimate.LiveBytes
 	}
 	p.handle(fleetconfig.HeadroomChanged{Headroom: headroom})
 }
--- a/internal/fleetsim/versions.go
+++ b/internal/fleetsim/versions.go
@@ -30,7 +30,7 @@
 // routingSet is the draft's route table.
 func (d *Draft) routingSet() routing.Set {
 	to := func(pool string) []routing.SplitShare { // all of a route's connections
-		return []routing.SplitShare{{Pool: pool, PPM: routing.Whole}}
+		return []routing.SplitShare{{Pool: pool, PPM: routing.TotalPPM}}
 	}
 	set := routing.Set{
 		Default: defaultPool,
@@ -44,7 +44,7 @@
 			pools[pool] = true
 			set.Pools = append(set.Pools, routing.Pool{Name: pool})
 		}
-		match := routing.Match{Key: routing.Strings{Exact: []string{key}}}
+		match := routing.Match{Key: routing.StringMatcher{Exact: []string{key}}}
 		set.Routes = append(set.Routes, routing.Route{Name: "to-" + key, To: to(pool), Match: match})
 	}
 	for _, name := range sortedKeys(d.LargeRoutes) {
@@ -196,7 +196,7 @@
 	if current != nil {
 		estimate = current.estimate
 	}
-	return memestimate.RequiredBytes(0, f.Estimator.Switch(estimate, next.estimate, next.bodyBytes))
+	return memestimate.RequiredBytes(0, f.Estimator.SwitchPeak(estimate, next.estimate, next.bodyBytes))
 }
 
 // conflicting reports whether two versions decide differently on a key. A missing version conflicts with none.
@@ -206,7 +206,7 @@
 
 // pool is the pool that the version selects for a key; empty: none.
 func (l *loadedVersion) pool(key string) string {
-	decision, ok := l.table.Decide(&routing.Line{
+	decision, ok := l.table.Decide(&routing.ConnectionAttributes{
 		Key:      key,
 		Listener: routing.MainListener,
 		Fields:   make([]string, len(l.table.FieldNames)),
@@ -237,6 +237,6 @@
 		Owner:    owner,
 		Contract: contract,
 		Zones:    []string{mesh},
-		Pool:     routing.Pool{Name: name, Select: routing.Select{Zones: []string{mesh}}},
+		Pool:     routing.Pool{Name: name, Select: routing.EndpointSelector{Zones: []string{mesh}}},
 	}
 }
--- a/internal/memestimate/counter.go
+++ b/internal/memestimate/counter.go
@@ -57,14 +57,14 @@
 	return t.estimate(set, fixed)
 }
 
-// Switch implements Estimator. The text is held until the new table is compiled.
-func (*Counter) Switch(current, next Estimate, textBytes int) uint64 {
-	return sumSaturating(current.Live, next.Live, next.Compile, uint64(max(textBytes, 0)))
+// SwitchPeak implements Estimator. The text is held until the new table is compiled.
+func (*Counter) SwitchPeak(current, next Estimate, textBytes int) uint64 {
+	return sumSaturating(current.LiveBytes, next.LiveBytes, next.CompileBytes, uint64(max(textBytes, 0)))
 }
 
-// Upgrade implements Estimator. The text counts twice: the old process sends it and the new one reads it.
-func (c *Counter) Upgrade(e Estimate, textBytes int) uint64 {
-	return addSaturating(c.Switch(e, e, textBytes), uint64(max(textBytes, 0)))
+// HotRestartPeak implements Estimator. The text counts twice: the old process sends it and the new one reads it.
+func (c *Counter) HotRestartPeak(e Estimate, textBytes int) uint64 {
+	return addSaturating(c.SwitchPeak(e, e, textBytes), uint64(max(textBytes, 0)))
 }
 
 // tally is the sums of a set while it is counted. Sums that a set can make too large for 64 bits saturate.
@@ -144,7 +144,7 @@
 	}
 	for i := range set.Pools {
 		p := &set.Pools[i]
-		bytes = sumSaturating(bytes, t.stringBytes(len(p.Name)), t.stringListBytes(p.Was), t.stringListBytes(p.Select.Zones),
+		bytes = sumSaturating(bytes, t.stringBytes(len(p.Name)), t.stringListBytes(p.FormerNames), t.stringListBytes(p.Select.Zones),
 			t.stringListBytes(p.Select.MachineTypes), t.stringListBytes(p.Select.IDPrefixes),
 			t.arrayBytes(intSlice, uint64(cap(p.Select.Cells))))
 	}
--- a/internal/memestimate/estimate.go
+++ b/internal/memestimate/estimate.go
@@ -20,17 +20,17 @@
 type Estimator interface {
 	// Table estimates the compiled table of a set, the Set included. It takes at most a twentieth of the time of compiling.
 	Table(set *routing.Set) Estimate
-	// Switch is the peak while a node that uses a table changes to another: both tables, the body's text, and what decoding
+	// SwitchPeak is the peak while a node that uses a table changes to another: both tables, the body's text, and what decoding
 	// and compiling use for a while. textBytes is the length of the body as it was received.
-	Switch(current, next Estimate, textBytes int) uint64
-	// Upgrade is the peak of two processes of one node together while the old one hands over to the new one.
-	Upgrade(e Estimate, textBytes int) uint64
+	SwitchPeak(current, next Estimate, textBytes int) uint64
+	// HotRestartPeak is the peak of two processes of one node together while the old one hands over to the new one.
+	HotRestartPeak(e Estimate, textBytes int) uint64
 }
 
 // Estimate is how much memory a table uses.
 type Estimate struct {
-	Live          uint64      // bytes of the compiled table
-	Compile       uint64      // bytes that compiling uses in addition, for a while
+	LiveBytes     uint64      // bytes of the compiled table
+	CompileBytes  uint64      // bytes that compiling uses in addition, for a while
 	Rules         uint64      // number of rules that the routes expand to
 	LargestRoutes []RouteSize // at most ten, the largest first
 }
@@ -55,5 +55,5 @@
 // DecodePeak is the peak while a body is decoded and its services are bound, in bytes: the current table, the text as it was
 // received and split into its parts, the new set, and the catalog with its strings (catalog.State.MemoryBytes).
 func DecodePeak(current, next Estimate, textBytes int, catalogBytes uint64) uint64 {
-	return sumSaturating(current.Live, next.Live, 2*uint64(max(textBytes, 0)), catalogBytes)
+	return sumSaturating(current.LiveBytes, next.LiveBytes, 2*uint64(max(textBytes, 0)), catalogBytes)
 }
--- a/internal/memestimate/estimate_test.go
+++ b/internal/memestimate/estimate_test.go
@@ -63,10 +63,10 @@
 		}
 		if e := c.Table(set); live >= mib {
 			large++
-			checkRatio(t, p.String(), e.Live, live, least, 1.15)
+			checkRatio(t, p.String(), e.LiveBytes, live, least, 1.15)
 		} else {
 			// The runtime's own allocations vary by some KiB, which is much of a small table.
-			checkRatio(t, p.String(), e.Live+heapNoise, live+heapNoise, least-0.05, 1.2)
+			checkRatio(t, p.String(), e.LiveBytes+heapNoise, live+heapNoise, least-0.05, 1.2)
 		}
 	}
 	if large < 20 {
@@ -76,9 +76,9 @@
 
 // TestPeak runs itself in a second process, in which the peak can be measured exactly.
 func TestPeak(t *testing.T) {
-	if !sets.HasStoppedCollections() {
+	if !sets.HasStopTheWorldGC() {
 		cmd := exec.Command(os.Args[0], "-test.run=^TestPeak$")
-		cmd.Env = append(os.Environ(), "GODEBUG="+sets.StoppedCollections)
+		cmd.Env = append(os.Environ(), "GODEBUG="+sets.StopTheWorldGC)
 		if out, err := cmd.CombinedOutput(); err != nil {
 			t.Errorf("%v:\n%s", err, out)
 		}
@@ -89,13 +89,13 @@
 		"combinations": 8, "many pools": 800, "mixed": 150} {
 		text, set := newSet(t, sets.Plan{Kind: kind, Routes: routes, Seed: 5})
 		old, current := newSet(t, sets.Plan{Kind: kind, Routes: routes / 2, Seed: 6})
-		peak, err := sets.PeakOfSwitch(old, text, 4)
+		peak, err := sets.SwitchPeak(old, text, 4)
 		if err != nil {
 			t.Fatal(kind, err)
 		}
-		checkRatio(t, kind, c.Switch(c.Table(current), c.Table(set), len(text)), peak, 0.95, 1.15)
+		checkRatio(t, kind, c.SwitchPeak(c.Table(current), c.Table(set), len(text)), peak, 0.95, 1.15)
 	}
-	var short routing.Strings
+	var short routing.StringMatcher
 	for i := range 64 {
 		short.Exact = append(short.Exact, strconv.Itoa(i))
 	}
@@ -103,14 +103,14 @@
 	old, current := encodeAndDecode(t, routing.Set{Pools: []routing.Pool{{Name: "p"}}})
 	text, set := encodeAndDecode(t, routing.Set{Pools: []routing.Pool{{Name: "p"}}, Routes: []routing.Route{{Name: "r", To: wholeToPool,
 		Match: routing.Match{Key: short, Group: short}}}})
-	peak, err := sets.PeakOfSwitch(old, text, 2)
+	peak, err := sets.SwitchPeak(old, text, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkRatio(t, "one route", c.Switch(c.Table(current), c.Table(set), len(text)), peak, 0.95, 1.15)
+	checkRatio(t, "one route", c.SwitchPeak(c.Table(current), c.Table(set), len(text)), peak, 0.95, 1.15)
 }
 
-var wholeToPool = []routing.SplitShare{{Pool: "p", PPM: routing.Whole}}
+var wholeToPool = []routing.SplitShare{{Pool: "p", PPM: routing.TotalPPM}}
 
 // encodeAndDecode is a set's text, and the set as a decoder makes it.
 func encodeAndDecode(t interface{ Fatal(...any) }, set routing.Set) ([]byte, *routing.Set) {
@@ -158,7 +158,7 @@
 				less = e
 				continue
 			}
-			if e.Live > less.Live || e.Live+e.Compile > less.Live+less.Compile || e.Rules > less.Rules {
+			if e.LiveBytes > less.LiveBytes || e.LiveBytes+e.CompileBytes > less.LiveBytes+less.CompileBytes || e.Rules > less.Rules {
 				rt.Fatalf("%d routes: %+v, %d: %+v", n, less, n-1, e)
 			}
 			less = e
@@ -177,7 +177,7 @@
 		}
 		testkit.Equal(t, "as many as there are", 10, len(all.LargestRoutes))
 		set.Routes = nil
-		checkRatio(t, kind+": all routes' weights", sum, all.Live-c.Table(set).Live, 0.97, 1.03)
+		checkRatio(t, kind+": all routes' weights", sum, all.LiveBytes-c.Table(set).LiveBytes, 0.97, 1.03)
 	}
 
 	_, set := newSet(t, sets.Plan{Kind: "one text", Routes: 5000, Seed: 9})
@@ -200,7 +200,7 @@
 }
 
 // prefixesOfLengths is a condition of n prefixes of different lengths.
-func prefixesOfLengths(n int) (s routing.Strings) {
+func prefixesOfLengths(n int) (s routing.StringMatcher) {
 	for i := range n {
 		s.Prefix = append(s.Prefix, strings.Repeat("x", i+1))
 	}
@@ -209,7 +209,7 @@
 
 func TestBadSets(t *testing.T) {
 	c := memestimate.New()
-	huge := routing.Match{Fields: map[string]routing.Strings{}}
+	huge := routing.Match{Fields: map[string]routing.StringMatcher{}}
 	for i := range 20 {
 		huge.Fields[fmt.Sprint("f", i)] = prefixesOfLengths(500)
 	}
@@ -219,15 +219,15 @@
 	set := route(huge)
 	e := c.Table(&set)
 	testkit.Equal(t, "saturated", []uint64{math.MaxUint64, math.MaxUint64, math.MaxUint64, math.MaxUint64},
-		[]uint64{e.Live, e.Rules, c.Switch(e, e, 1), c.Upgrade(e, 1)})
+		[]uint64{e.LiveBytes, e.Rules, c.SwitchPeak(e, e, 1), c.HotRestartPeak(e, 1)})
 	set = routing.Set{Policies: []routing.Policy{{}, {Fallback: []string{"", "?"}}}, Default: "none",
 		Routes: []routing.Route{{}, {Policy: "?", To: []routing.SplitShare{{PPM: math.MinInt}}},
 			{Match: routing.Match{Key: prefixesOfLengths(3000)}}}}
-	if e = c.Table(&set); e.Rules != 3002 || e.Live > 16*mib {
+	if e = c.Table(&set); e.Rules != 3002 || e.LiveBytes > 16*mib {
 		t.Errorf("an invalid set: %+v", e)
 	}
 	testkit.Equal(t, "an empty set", uint64(0), c.Table(&routing.Set{}).Rules)
-	testkit.Equal(t, "a negative length of the text", c.Switch(e, e, 0), c.Switch(e, e, -1))
+	testkit.Equal(t, "a negative length of the text", c.SwitchPeak(e, e, 0), c.SwitchPeak(e, e, -1))
 }
 
 func TestDuplicateTextsCountOnce(t *testing.T) {
@@ -237,11 +237,11 @@
 		match routing.Match
 	}{
 		{1, routing.Match{}},
-		{1, routing.Match{Key: routing.Strings{Exact: long, Prefix: []string{"x", ""}}}}, // always holds
+		{1, routing.Match{Key: routing.StringMatcher{Exact: long, Prefix: []string{"x", ""}}}}, // always holds
 		{2, routing.Match{Class: []string{"a", "b", "a"}}},
 		{6, routing.Match{Zone: append(long, long...)}},
-		{8, routing.Match{Key: routing.Strings{Exact: append(long, "a"), Prefix: []string{"a", "b", "a"}}}},
-		{4, routing.Match{Group: routing.Strings{Exact: []string{"a", "a"}, Prefix: []string{"a"}}, Listener: []string{"a", "b"}}},
+		{8, routing.Match{Key: routing.StringMatcher{Exact: append(long, "a"), Prefix: []string{"a", "b", "a"}}}},
+		{4, routing.Match{Group: routing.StringMatcher{Exact: []string{"a", "a"}, Prefix: []string{"a"}}, Listener: []string{"a", "b"}}},
 	} {
 		set := routing.Set{Routes: []routing.Route{{Match: c.match}}}
 		testkit.Equal(t, fmt.Sprintf("rules of %+v", c.match), c.rules, memestimate.New().Table(&set).Rules)
@@ -254,15 +254,15 @@
 	for i := range 2000 {
 		set.Routes = append(set.Routes, routing.Route{Name: fmt.Sprint("r", i), Precedence: i,
 			To: wholeToPool,
-			Match: routing.Match{Group: prefixesOfLengths(1 + i%7), Key: routing.Strings{Prefix: []string{strings.Repeat("k", 1+i%11)}},
-				Fields: map[string]routing.Strings{fmt.Sprint("f", i%13): prefixesOfLengths(1 + i%3), fmt.Sprint("g", i%17): prefixesOfLengths(1)}}})
+			Match: routing.Match{Group: prefixesOfLengths(1 + i%7), Key: routing.StringMatcher{Prefix: []string{strings.Repeat("k", 1+i%11)}},
+				Fields: map[string]routing.StringMatcher{fmt.Sprint("f", i%13): prefixesOfLengths(1 + i%3), fmt.Sprint("g", i%17): prefixesOfLengths(1)}}})
 	}
 	text, read := encodeAndDecode(t, set)
 	live, err := sets.TableBytes(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkRatio(t, "many shapes", memestimate.New().Table(read).Live, live, 0.97, 1.05)
+	checkRatio(t, "many shapes", memestimate.New().Table(read).LiveBytes, live, 0.97, 1.05)
 }
 
 // allocatedBytes is what a call allocates.
@@ -283,8 +283,8 @@
 		}
 		_, set := newSet(t, sets.Plan{Kind: kind, Routes: routes, Seed: 11})
 		e := c.Table(set)
-		if bytes := allocatedBytes(func() { c.Table(set) }); bytes > e.Live/10 {
-			t.Errorf("%s: estimating a table of %d bytes allocates %d", kind, e.Live, bytes)
+		if bytes := allocatedBytes(func() { c.Table(set) }); bytes > e.LiveBytes/10 {
+			t.Errorf("%s: estimating a table of %d bytes allocates %d", kind, e.LiveBytes, bytes)
 		}
 		if n := testing.AllocsPerRun(3, func() { c.Table(set) }); n > 100 {
 			t.Errorf("%s: %v allocations for %d routes", kind, n, routes)
@@ -295,13 +295,13 @@
 	set := routing.Set{Pools: []routing.Pool{{Name: "p"}}}
 	for i := range 2000 {
 		set.Routes = append(set.Routes, routing.Route{Name: fmt.Sprint("r", i), Match: routing.Match{Key: prefixesOfLengths(16),
-			Group: prefixesOfLengths(16), Fields: map[string]routing.Strings{fmt.Sprint("f", i): prefixesOfLengths(16)}}})
+			Group: prefixesOfLengths(16), Fields: map[string]routing.StringMatcher{fmt.Sprint("f", i): prefixesOfLengths(16)}}})
 	}
 	var e memestimate.Estimate
 	bytes := allocatedBytes(func() { e = c.Table(&set) })
 	testkit.Equal(t, "rules", uint64(2000*4096), e.Rules)
-	if bytes > 64*mib || e.Live < 8<<30 {
-		t.Errorf("an adversarial set: %d bytes allocated, %d estimated", bytes, e.Live)
+	if bytes > 64*mib || e.LiveBytes < 8<<30 {
+		t.Errorf("an adversarial set: %d bytes allocated, %d estimated", bytes, e.LiveBytes)
 	}
 }
 
--- a/internal/memestimate/measure/limits.go
+++ b/internal/memestimate/measure/limits.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	estimatedPeak := counter.Switch(e, e, len(text))
+	estimatedPeak := counter.SwitchPeak(e, e, len(text))
 	var b strings.Builder
 	fmt.Fprintf(&b, "# A switch of route tables under a memory limit\n\ncommit %s\n\n"+
 		"command: go run ./internal/memestimate/measure -limits -seed %d -routes %d\nseed: %d, processors: %d, %s\n\n",
@@ -48,7 +48,7 @@
 	fmt.Fprintf(&b, "A table of %d routes is reloaded while the same one is in use; the estimate's peak is %.1f MiB. Beside it the\n"+
 		"process holds %.1f MiB (the program that measures, and the runtime). The limit is that and so many times the peak.\n\n"+
 		"| limit, of the peak | ms, median of %d | of those without a limit | most held, MiB | over the limit, MiB |\n"+
-		"| --- | --- | --- | --- | --- |\n", o.maxRoutes, float64(estimatedPeak)/mib, float64(memoryBeside(e.Live))/mib, rounds)
+		"| --- | --- | --- | --- | --- |\n", o.maxRoutes, float64(estimatedPeak)/mib, float64(memoryBeside(e.LiveBytes))/mib, rounds)
 	unlimited := time.Duration(0)
 	for _, factor := range limitFactors {
 		durations, peak, limit, err := timeSwitches(text, e, factor, estimatedPeak)
@@ -77,7 +77,7 @@
 func timeSwitches(text []byte, e memestimate.Estimate, factor float64, estimatedPeak uint64) (durations []time.Duration, peak uint64, limit int64, err error) {
 	limit = noLimit
 	for range rounds {
-		beside := memoryBeside(e.Live)
+		beside := memoryBeside(e.LiveBytes)
 		if factor > 0 {
 			limit = int64(beside) + int64(factor*float64(estimatedPeak))
 		}
--- a/internal/memestimate/measure/main.go
+++ b/internal/memestimate/measure/main.go
@@ -102,7 +102,7 @@
 
 // measureTables measures all tables and writes the page and the chart.
 func measureTables(o options) error {
-	if !sets.HasStoppedCollections() {
+	if !sets.HasStopTheWorldGC() {
 		return runWithStoppedCollections()
 	}
 	counter := memestimate.New()
@@ -128,10 +128,10 @@
 	return errors.Join(newChart(measurements).Render(file), file.Close())
 }
 
-// runWithStoppedCollections runs the command again in a process of its own with sets.StoppedCollections: GODEBUG is read at a
+// runWithStoppedCollections runs the command again in a process of its own with sets.StopTheWorldGC: GODEBUG is read at a
 // process's start only.
 func runWithStoppedCollections() error {
-	debug := sets.StoppedCollections
+	debug := sets.StopTheWorldGC
 	if other := os.Getenv("GODEBUG"); other != "" {
 		debug = other + "," + debug
 	}
@@ -165,18 +165,18 @@
 		return m, err
 	}
 	gcPercent := smallTableGCPercent
-	if next.Live > minLargeTable {
+	if next.LiveBytes > minLargeTable {
 		gcPercent = largeTableGCPercent
 	}
 	if m.live, err = sets.TableBytes(text); err != nil {
 		return m, err
 	}
-	if m.peak, err = sets.PeakOfSwitch(halfText, text, gcPercent); err != nil {
+	if m.peak, err = sets.SwitchPeak(halfText, text, gcPercent); err != nil {
 		return m, err
 	}
 	m.rules = next.Rules
-	m.liveRatio = float64(next.Live) / float64(m.live)
-	m.switchRatio = float64(c.Switch(current, next, len(text))) / float64(m.peak)
+	m.liveRatio = float64(next.LiveBytes) / float64(m.live)
+	m.switchRatio = float64(c.SwitchPeak(current, next, len(text))) / float64(m.peak)
 	return m, m.measureTime(c, text)
 }
 
--- a/internal/memestimate/measure/page.go
+++ b/internal/memestimate/measure/page.go
@@ -23,7 +23,7 @@
 		"grown by %d %% (%d %% from 32 MiB up)\nwhile the text is decoded and compiled, with the program stopped (GODEBUG=%s), and "+
 		"the largest live heap\nthat these collections find counts: at most that much too little. See [the design](../design/memory.md) "+
 		"and [the chart](memory.html).\n\n", len(all), len(sets.Kinds()), len(large), smallTableGCPercent, largeTableGCPercent,
-		sets.StoppedCollections)
+		sets.StopTheWorldGC)
 	writeSummary(&b, large, small)
 	writeKinds(&b, large)
 	writeTables(&b, all)
--- a/internal/memestimate/sets/measure.go
+++ b/internal/memestimate/sets/measure.go
@@ -53,21 +53,21 @@
 	return after - min(before, after), nil
 }
 
-// StoppedCollections is the setting of GODEBUG under which PeakOfSwitch is exact to some bytes, and reproducible: a
+// StopTheWorldGC is the setting of GODEBUG under which SwitchPeak is exact to some bytes, and reproducible: a
 // collection then stops the program from its beginning to its end, at the allocation that triggers it, and what would be
 // allocated meanwhile does not count as live.
-const StoppedCollections = "gcstoptheworld=2"
+const StopTheWorldGC = "gcstoptheworld=2"
 
-// HasStoppedCollections reports whether this process runs with StoppedCollections.
-func HasStoppedCollections() bool {
-	return slices.Contains(strings.Split(os.Getenv("GODEBUG"), ","), StoppedCollections)
+// HasStopTheWorldGC reports whether this process runs with StopTheWorldGC.
+func HasStopTheWorldGC() bool {
+	return slices.Contains(strings.Split(os.Getenv("GODEBUG"), ","), StopTheWorldGC)
 }
 
-// PeakOfSwitch is the peak of the live heap, in bytes, while a process that uses the table of one encoded set decodes and
+// SwitchPeak is the peak of the live heap, in bytes, while a process that uses the table of one encoded set decodes and
 // compiles another one: both tables, the text, and what decoding and compiling use for a while. The heap is collected each
 // time that it has grown by gcPercent, and the live bytes of each collection are read, so the result is too low by at most
 // that.
-func PeakOfSwitch(current, next []byte, gcPercent int) (uint64, error) {
+func SwitchPeak(current, next []byte, gcPercent int) (uint64, error) {
 	before := LiveHeap()
 	currentTable, err := Compile(current)
 	if err != nil {
--- a/internal/memestimate/sets/sets.go
+++ b/internal/memestimate/sets/sets.go
@@ -62,21 +62,21 @@
 	}},
 	{"few splits", 1, func(b *builder, r *routing.Route, unique string) {
 		r.Match.Key.Exact = []string{unique}
-		r.To = []routing.SplitShare{{Pool: b.set.Pools[0].Name, PPM: routing.Whole - 1000*b.IntN(8)}}
-		if rest := routing.Whole - r.To[0].PPM; rest > 0 {
+		r.To = []routing.SplitShare{{Pool: b.set.Pools[0].Name, PPM: routing.TotalPPM - 1000*b.IntN(8)}}
+		if rest := routing.TotalPPM - r.To[0].PPM; rest > 0 {
 			r.To = append(r.To, routing.SplitShare{Pool: b.set.Pools[1].Name, PPM: rest})
 		}
 	}},
 	{"fields", 3, func(b *builder, r *routing.Route, unique string) {
-		r.Match.Fields = map[string]routing.Strings{b.fields[0]: {Exact: []string{unique}}}
+		r.Match.Fields = map[string]routing.StringMatcher{b.fields[0]: {Exact: []string{unique}}}
 		for range 1 + b.IntN(3) {
-			r.Match.Fields[b.fields[1+b.IntN(len(b.fields)-1)]] = routing.Strings{Exact: b.randomTexts(1+b.IntN(3), 3, 12)}
+			r.Match.Fields[b.fields[1+b.IntN(len(b.fields)-1)]] = routing.StringMatcher{Exact: b.randomTexts(1+b.IntN(3), 3, 12)}
 		}
 	}},
 	{"many fields", 6, func(b *builder, r *routing.Route, unique string) {
-		r.Match.Fields = map[string]routing.Strings{b.fields[0]: {Exact: []string{unique}}}
+		r.Match.Fields = map[string]routing.StringMatcher{b.fields[0]: {Exact: []string{unique}}}
 		for range 4 + b.IntN(14) {
-			r.Match.Fields[b.fields[1+b.IntN(len(b.fields)-1)]] = routing.Strings{Exact: b.randomTexts(1, 3, 12)}
+			r.Match.Fields[b.fields[1+b.IntN(len(b.fields)-1)]] = routing.StringMatcher{Exact: b.randomTexts(1, 3, 12)}
 		}
 	}},
 	{"long texts", 30, func(b *builder, r *routing.Route, unique string) {
@@ -89,7 +89,7 @@
 	}},
 	{"prefixes", 4, func(b *builder, r *routing.Route, unique string) {
 		r.Match.Key.Prefix = []string{unique, unique + b.randomText(1, 9)}
-		r.Match.Group = routing.Strings{Exact: b.randomTexts(b.IntN(2), 2, 9), Prefix: b.randomTexts(1+b.IntN(2), 1, 30)}
+		r.Match.Group = routing.StringMatcher{Exact: b.randomTexts(b.IntN(2), 2, 9), Prefix: b.randomTexts(1+b.IntN(2), 1, 30)}
 	}},
 	{"closed", 6, func(b *builder, r *routing.Route, unique string) {
 		r.Match.Key.Exact = []string{unique}
@@ -115,9 +115,9 @@
 		r.Match.Key.Exact = []string{unique}
 		r.Match.Group.Exact = b.randomTexts(1+b.IntN(10), 3, 20)
 		for range 1 + b.IntN(2) {
-			r.Match.Fields = map[string]routing.Strings{}
+			r.Match.Fields = map[string]routing.StringMatcher{}
 			for _, name := range b.fields[:2] {
-				r.Match.Fields[name] = routing.Strings{Exact: b.randomTexts(1+b.IntN(12), 3, 20), Prefix: b.randomTexts(b.IntN(5), 2, 6)}
+				r.Match.Fields[name] = routing.StringMatcher{Exact: b.randomTexts(1+b.IntN(12), 3, 20), Prefix: b.randomTexts(b.IntN(5), 2, 6)}
 			}
 		}
 	}},
@@ -206,7 +206,7 @@
 	zones := []string{"thies", "dakar", "saint-louis"}
 	for i := range pools {
 		pool := routing.Pool{Name: fmt.Sprint("pool-", i, b.randomText(0, 8)), Precedence: i}
-		pool.Select = routing.Select{Zones: b.nonEmptySubset(zones), MachineTypes: b.randomTexts(b.IntN(3), 3, 9),
+		pool.Select = routing.EndpointSelector{Zones: b.nonEmptySubset(zones), MachineTypes: b.randomTexts(b.IntN(3), 3, 9),
 			IDPrefixes: b.randomTexts(b.IntN(2), 2, 6)}
 		for c := range b.IntN(5) {
 			pool.Select.Cells = append(pool.Select.Cells, c)
@@ -259,7 +259,7 @@
 
 // randomSplit is a split among n pools, or all where there are less.
 func (b *builder) randomSplit(n int) (shares []routing.SplitShare) {
-	left := routing.Whole
+	left := routing.TotalPPM
 	first := b.IntN(len(b.set.Pools))
 	n = min(n, len(b.set.Pools))
 	for i := range n {
--- a/internal/memestimate/slices.go
+++ b/internal/memestimate/slices.go
@@ -38,6 +38,6 @@
 // Bytes of a map's key and value, on machines of 64 bits.
 const (
 	listenerSlotBytes  = 32 // two strings
-	conditionSlotBytes = 64 // a string and a routing.Strings
+	conditionSlotBytes = 64 // a string and a routing.StringMatcher
 	numberSlotBytes    = 24 // a string and an int
 )
--- a/internal/memestimate/total.go
+++ b/internal/memestimate/total.go
@@ -61,11 +61,11 @@
 	fixedBytes = addSaturating(fixedBytes, t.appendedBytes(stringSlice, uint64(t.fieldNames.count)))
 
 	e := Estimate{Rules: t.rules}
-	e.Live = sumSaturating(fixedBytes, routes, t.setBytes, t.targetTotal, rules, rulePatterns, records)
+	e.LiveBytes = sumSaturating(fixedBytes, routes, t.setBytes, t.targetTotal, rules, rulePatterns, records)
 	expanding := sumSaturating(fixedBytes, routes, t.setBytes, t.targetTotal, rulePatterns, t.expansionBytes())
-	indexing := sumSaturating(e.Live, index.members, t.mapBytes(numberSlotBytes, uint64(t.splitNumbers.count)),
+	indexing := sumSaturating(e.LiveBytes, index.members, t.mapBytes(numberSlotBytes, uint64(t.splitNumbers.count)),
 		t.splitTextTotal, previousRecords)
-	e.Compile = max(expanding, indexing) - e.Live
+	e.CompileBytes = max(expanding, indexing) - e.LiveBytes
 
 	e.LargestRoutes = t.largestRoutes(set, sharedBytes{routes: routes, rules: rules, records: records, perRule: perRule})
 	return e
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -81,7 +81,7 @@
 		Resumed:     request.Resumed,
 		ClientRetry: request.ClientRetry,
 		Returning:   request.Returning,
-		MaxAttempts: s.policyState.Attempts(s.proxy.settings.Limits.Attempts),
+		MaxAttempts: s.policyState.AttemptsLeft(s.proxy.settings.Limits.Attempts),
 	}
 }
 
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -44,7 +44,7 @@
 	now := p.loop.Now()
 	a := &attempt{
 		session:   s,
-		number:    s.policyState.Number(s.attemptCount),
+		number:    s.policyState.AttemptInPool(s.attemptCount),
 		endpoint:  p.endpoints[action.Endpoint],
 		startedAt: now,
 		deadline:  s.deadline,
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -171,12 +171,12 @@
 	}
 	routes, err := routing.New(routing.Set{
 		Pools: []routing.Pool{
-			{Name: "blue", Select: routing.Select{Zones: []string{"east"}}},
-			{Name: "green", Select: routing.Select{Zones: []string{"west"}}},
+			{Name: "blue", Select: routing.EndpointSelector{Zones: []string{"east"}}},
+			{Name: "green", Select: routing.EndpointSelector{Zones: []string{"west"}}},
 		},
 		Routes: []routing.Route{
-			{Name: "first", Match: routing.Match{Class: []string{"feed"}}, To: []routing.SplitShare{{Pool: "blue", PPM: routing.Whole}}},
-			{Name: "second", To: []routing.SplitShare{{Pool: "green", PPM: routing.Whole}}, Precedence: -1},
+			{Name: "first", Match: routing.Match{Class: []string{"feed"}}, To: []routing.SplitShare{{Pool: "blue", PPM: routing.TotalPPM}}},
+			{Name: "second", To: []routing.SplitShare{{Pool: "green", PPM: routing.TotalPPM}}, Precedence: -1},
 		},
 	})
 	if err != nil {
@@ -203,7 +203,7 @@
 	whole := goldenConfig(t)
 	plain := *whole
 	plain.Fleet = nil
-	single, err := routing.New(routing.Single())
+	single, err := routing.New(routing.SinglePoolSet())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/hotrestart_state.go
+++ b/internal/proxy/hotrestart_state.go
@@ -41,7 +41,7 @@
 	if len(h.Pools) == 0 {
 		return h.Balancer, single
 	}
-	for _, name := range append([]string{pool.Name}, pool.Was...) {
+	for _, name := range append([]string{pool.Name}, pool.FormerNames...) {
 		if state, ok := h.Pools[name]; ok {
 			return state, true
 		}
@@ -90,7 +90,7 @@
 		Reserved:       p.pools.owners.Reservations(),
 		Listeners:      p.listeners.extraNames(),
 	}
-	if p.pools.isSingle() && p.pools.active[0].name == routing.Single().Pools[0].Name {
+	if p.pools.isSingle() && p.pools.active[0].name == routing.SinglePoolSet().Pools[0].Name {
 		state.Balancer = p.pools.active[0].balancer.CaptureState()
 	} else {
 		state.Pools = map[string]balancer.State{}
--- a/internal/proxy/pool_list.go
+++ b/internal/proxy/pool_list.go
@@ -20,7 +20,7 @@
 	for _, update := range updates {
 		ps.events.handle(ps.active[update.Pool], update.Members)
 	}
-	ps.logNotes(ps.owners.DrainNotes())
+	ps.logNotes(ps.owners.TakeEvents())
 	if ps.isSingle() && !ps.owners.AnyReserved() {
 		return
 	}
@@ -33,17 +33,17 @@
 const maxLoggedNotes = 32
 
 // logNotes logs ownership changes of endpoints.
-func (ps *poolSet) logNotes(notes []routing.Note) {
+func (ps *poolSet) logNotes(notes []routing.MembershipEvent) {
 	for _, note := range notes[:min(len(notes), maxLoggedNotes)] {
-		ps.log.Info(string(note.Event), zap.String("endpoint", note.Endpoint), zap.String("from", note.From),
+		ps.log.Info(string(note.Type), zap.String("endpoint", note.Endpoint), zap.String("from", note.From),
 			zap.String("to", note.To))
 	}
 	if len(notes) <= maxLoggedNotes {
 		return
 	}
-	counts := map[routing.NoteEvent]int{}
+	counts := map[routing.MembershipEventType]int{}
 	for _, note := range notes[maxLoggedNotes:] {
-		counts[note.Event]++
+		counts[note.Type]++
 	}
 	for _, event := range slices.Sorted(maps.Keys(counts)) {
 		ps.log.Info(string(event), zap.Int("more_endpoints", counts[event]))
@@ -77,7 +77,7 @@
 		if s.downstreamState() != stateRelaying || s.pool.retireBy != 0 {
 			continue
 		}
-		i := ps.owners.Pool(s.attempt.endpoint.id)
+		i := ps.owners.PoolOf(s.attempt.endpoint.id)
 		if i < 0 || ps.active[i] == s.pool {
 			continue
 		}
--- a/internal/proxy/pool_reload.go
+++ b/internal/proxy/pool_reload.go
@@ -44,7 +44,7 @@
 	ps.distribute(updates)
 	for i, pool := range former {
 		if successors[i] < 0 {
-			ps.retire(pool, now+table.Set.Drain())
+			ps.retire(pool, now+table.Set.EffectiveDrainTimeout())
 		}
 	}
 	return nil
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -12,15 +12,15 @@
 // Requests are first routed to a pool. If the pool rejects them, they continue with the next pool of their policy.
 
 // routingLine returns the values of a session on which the active table's decision depends.
-func (s *session) routingLine() routing.Line {
+func (s *session) routingLine() routing.ConnectionAttributes {
 	return s.routingLineFor(s.proxy.pools.table, nil)
 }
 
 // routingLineFor returns the values of a session on which a table's decision depends. It overwrites buffer with the
 // line's fields.
-func (s *session) routingLineFor(table *routing.Table, buffer []string) routing.Line {
+func (s *session) routingLineFor(table *routing.Table, buffer []string) routing.ConnectionAttributes {
 	request := s.request
-	line := routing.Line{
+	line := routing.ConnectionAttributes{
 		Class:    request.Class,
 		Key:      request.Key,
 		Group:    request.Group,
@@ -109,9 +109,9 @@
 	}
 	rejection := routing.Rejection{
 		Remaining:    s.deadline - p.loop.Now(),
-		Slack:        p.settings.Rules.AnswerSlack,
+		MinRemaining: p.settings.Rules.AnswerSlack,
 		AttemptLimit: p.settings.Limits.Attempts,
-		RepeatIsSafe: s.retries.isSafe(),
+		RetryIsSafe:  s.retries.isSafe(),
 		InFlight:     s.attempt != nil,
 	}
 	return s.policyState.NextPool(s.table, rejection, p.pools.usageIn(s.table)) == routing.Proceed
--- a/internal/proxy/turn_cost_test.go
+++ b/internal/proxy/turn_cost_test.go
@@ -73,7 +73,7 @@
 // newScaledProxy creates a proxy that knows no endpoints yet.
 func newScaledProxy(t *testing.T, loadReports bool) *scaledProxy {
 	t.Helper()
-	single, err := routing.New(routing.Single())
+	single, err := routing.New(routing.SinglePoolSet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,10 +157,10 @@
 	t.Helper()
 	table, err := routing.New(routing.Set{
 		Pools: []routing.Pool{
-			{Name: "first", Select: routing.Select{Zones: []string{"a"}}},
-			{Name: "second", Select: routing.Select{Zones: []string{"b"}}}, // no pool contains the endpoints of the third zone
+			{Name: "first", Select: routing.EndpointSelector{Zones: []string{"a"}}},
+			{Name: "second", Select: routing.EndpointSelector{Zones: []string{"b"}}}, // no pool contains the endpoints of the third zone
 		},
-		Routes: []routing.Route{{Name: "all", To: []routing.SplitShare{{Pool: "first", PPM: routing.Whole}}}},
+		Routes: []routing.Route{{Name: "all", To: []routing.SplitShare{{Pool: "first", PPM: routing.TotalPPM}}}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -196,7 +196,7 @@
 		l.wanted = fleetconfig.Prepare{}
 		l.prepared = prepared
 		l.log.Info("fleet: version prepared", zap.Uint64("version", prepared.number),
-			zap.Uint64("estimated_bytes", prepared.estimate.Live))
+			zap.Uint64("estimated_bytes", prepared.estimate.LiveBytes))
 		l.host.handle(fleetconfig.PrepareDone{Number: version.Number})
 	}
 }
--- a/internal/proxy/version_measure.go
+++ b/internal/proxy/version_measure.go
@@ -70,7 +70,7 @@
 	if version == nil {
 		return
 	}
-	estimated := version.estimate.Live
+	estimated := version.estimate.LiveBytes
 	measured := live - min(live, version.baselineBytes)
 	c.counters.EstimatedBytes = estimated
 	c.counters.MeasuredBytes = measured
--- a/internal/proxy/version_prepare.go
+++ b/internal/proxy/version_prepare.go
@@ -120,12 +120,12 @@
 func (j *preparation) checkMemory(prepared *preparedVersion, bundle *configbundle.Bundle, live uint64) error {
 	var estimator memestimate.Estimator = memestimate.New()
 	textBytes := len(j.text)
-	if j.activeEstimate.Live == 0 {
+	if j.activeEstimate.LiveBytes == 0 {
 		j.activeEstimate = estimator.Table(&j.table.Set)
 	}
 	prepared.estimate = estimator.Table(&bundle.Routing)
-	prepared.baselineBytes = live - min(live, j.activeEstimate.Live+uint64(textBytes))
-	peak := estimator.Switch(j.activeEstimate, prepared.estimate, textBytes)
+	prepared.baselineBytes = live - min(live, j.activeEstimate.LiveBytes+uint64(textBytes))
+	peak := estimator.SwitchPeak(j.activeEstimate, prepared.estimate, textBytes)
 	if bundle.Catalog != nil {
 		peak = max(peak, memestimate.DecodePeak(j.activeEstimate, prepared.estimate, textBytes, bundle.Catalog.MemoryBytes()))
 	}
--- a/internal/proxy/version_prepare_test.go
+++ b/internal/proxy/version_prepare_test.go
@@ -53,7 +53,7 @@
 		t.Fatal("version rejected without a limit")
 	}
 	estimator := memestimate.New()
-	peak := estimator.Switch(estimator.Table(&table.Set), prepared.estimate, len(text))
+	peak := estimator.SwitchPeak(estimator.Table(&table.Set), prepared.estimate, len(text))
 	prepared = nil // so that it is not in memory together with the next one
 	_, rejection := prepare(1)
 	want := memestimate.RequiredBytes(rejection.EstimatedBytes-peak-peak/4, peak)
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -10,7 +10,7 @@
 }
 
 // Candidates returns all routes that match a line, the one that applies first.
-func (t *Table) Candidates(l *Line) []Candidate {
+func (t *Table) Candidates(l *ConnectionAttributes) []Candidate {
 	var candidates []Candidate
 	var first *rule
 	seen := map[int32]bool{}
--- a/internal/routing/cells.go
+++ b/internal/routing/cells.go
@@ -21,7 +21,7 @@
 type differ struct {
 	tables       [sideCount]*Table
 	fields       []string               // of both tables, sorted
-	closedValues [][]string             // by dimension, from Space; none: any text
+	closedValues [][]string             // by dimension, from MatchSpace; none: any text
 	rules        [sideCount][]*diffRule // of the tables, by precedence
 	ruleIDs      map[string]int32       // by the contents of a rule
 	changes      []Change               // found so far
@@ -39,7 +39,7 @@
 }
 
 // newDiffer makes a differ. fields are the sorted field names of both tables, each once.
-func newDiffer(oldTable, newTable *Table, fields []string, space Space) *differ {
+func newDiffer(oldTable, newTable *Table, fields []string, space MatchSpace) *differ {
 	d := &differ{tables: [sideCount]*Table{oldSide: oldTable, newSide: newTable}, ruleIDs: map[string]int32{}, fields: fields}
 	d.closedValues = make([][]string, firstFieldDimension+len(fields)+trailingDimensions)
 	trailing := d.closedValues[firstFieldDimension+len(fields):]
@@ -253,13 +253,13 @@
 	var rest []string
 	for _, text := range values {
 		if exact[text] {
-			spans = append(spans, Span{Dim: name, Texts: []string{text}})
+			spans = append(spans, Span{Dimension: name, Texts: []string{text}})
 		} else {
 			rest = append(rest, text)
 		}
 	}
 	if len(rest) > 0 {
-		spans = append(spans, Span{Dim: name, Texts: rest})
+		spans = append(spans, Span{Dimension: name, Texts: rest})
 	}
 	return spans
 }
@@ -268,22 +268,22 @@
 // in no other span. Both lists are sorted.
 func openSpans(name string, exact, prefixes []string) (spans []Span) {
 	for _, text := range exact {
-		spans = append(spans, Span{Dim: name, Texts: []string{text}})
+		spans = append(spans, Span{Dimension: name, Texts: []string{text}})
 	}
 	for i, prefix := range prefixes {
-		span := Span{Dim: name, Prefix: prefix}
+		span := Span{Dimension: name, Prefix: prefix}
 		first, _ := slices.BinarySearch(exact, prefix)
 		for _, text := range exact[first:] {
 			if !strings.HasPrefix(text, prefix) {
 				break
 			}
-			span.Except = append(span.Except, text)
+			span.ExceptTexts = append(span.ExceptTexts, text)
 		}
 		for _, longer := range prefixes[i+1:] {
 			if !strings.HasPrefix(longer, prefix) {
 				break
 			}
-			span.Beside = append(span.Beside, longer)
+			span.ExceptPrefixes = append(span.ExceptPrefixes, longer)
 		}
 		spans = append(spans, span)
 	}
@@ -312,19 +312,19 @@
 	key, hasKey := singleText(cell[keyDimension])
 	switch {
 	case hasGroup && group != "":
-		d.compareSplits(routes, cell, Place(&Line{Group: group}), singlePlace)
+		d.compareSplits(routes, cell, SplitPosition(&ConnectionAttributes{Group: group}), singlePlace)
 	case hasGroup && hasKey:
-		d.compareSplits(routes, cell, Place(&Line{Key: key}), singlePlace)
+		d.compareSplits(routes, cell, SplitPosition(&ConnectionAttributes{Key: key}), singlePlace)
 	case cell[groupDimension] == nil && hasKey && d.hasSplit(routes):
 		// Not divided by group: connections without a group have the key's place, others that of their group.
 		name := d.dimensionName(groupDimension)
-		cell[groupDimension] = &Span{Dim: name, Texts: []string{""}}
-		d.compareSplits(routes, cell, Place(&Line{Key: key}), singlePlace)
-		cell[groupDimension] = &Span{Dim: name, Except: []string{""}}
-		d.compareSplits(routes, cell, 0, Whole)
+		cell[groupDimension] = &Span{Dimension: name, Texts: []string{""}}
+		d.compareSplits(routes, cell, SplitPosition(&ConnectionAttributes{Key: key}), singlePlace)
+		cell[groupDimension] = &Span{Dimension: name, ExceptTexts: []string{""}}
+		d.compareSplits(routes, cell, 0, TotalPPM)
 		cell[groupDimension] = nil
 	default:
-		d.compareSplits(routes, cell, 0, Whole)
+		d.compareSplits(routes, cell, 0, TotalPPM)
 	}
 }
 
@@ -362,10 +362,10 @@
 			end = min(end, max(int(to.ends[share]), place+1))
 		}
 		if aspects := differences(outcomes[oldSide], outcomes[newSide]); len(aspects) > 0 {
-			c := Change{PPM: end - place, From: place, Old: outcomes[oldSide], New: outcomes[newSide], What: aspects}
+			c := Change{PPM: end - place, From: place, Old: outcomes[oldSide], New: outcomes[newSide], Aspects: aspects}
 			if count == singlePlace {
 				c.From = 0
-				c.PPM = Whole
+				c.PPM = TotalPPM
 			}
 			for _, s := range cell {
 				if s != nil && !s.isUnbounded() {
--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -39,8 +39,8 @@
 	if s.Default != "" && !c.routes[s.Default] {
 		c.add(unknownName, "the default route %q does not exist", s.Default)
 	}
-	if s.DrainOver < 0 {
-		c.add(invalidFigure, "drain_over, the time to drain a removed pool, is %d us, which is below 0", s.DrainOver)
+	if s.DrainTimeout < 0 {
+		c.add(invalidFigure, "drain_over, the time to drain a removed pool, is %d us, which is below 0", s.DrainTimeout)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Listeners)) {
 		if name == "" || name == MainListener {
@@ -61,7 +61,7 @@
 	} else if defined[name] {
 		c.add(invalidName, "%s %q is named twice", what, name)
 	}
-	if !Nameable(name) {
+	if !IsValidName(name) {
 		c.add(invalidName, "%s %q has a blank or a control character in its name", what, name)
 	}
 	defined[name] = true
@@ -86,12 +86,12 @@
 func (c *setChecker) checkPolicies() {
 	for _, p := range c.set.Policies {
 		c.checkName("policy", p.Name, c.policies)
-		if p.Attempts < 0 || p.Deadline < 0 || p.ComeBackFrom < 0 || p.ComeBackTo < 0 {
+		if p.Attempts < 0 || p.Deadline < 0 || p.RetryAfterMin < 0 || p.RetryAfterMax < 0 {
 			c.add(invalidFigure, "policy %q has a figure below 0: attempts %d, deadline %d us, come_back from %d to %d us", p.Name,
-				p.Attempts, p.Deadline, p.ComeBackFrom, p.ComeBackTo)
-		} else if p.ComeBackTo > 0 && p.ComeBackTo < p.ComeBackFrom {
+				p.Attempts, p.Deadline, p.RetryAfterMin, p.RetryAfterMax)
+		} else if p.RetryAfterMax > 0 && p.RetryAfterMax < p.RetryAfterMin {
 			c.add(invalidFigure, "policy %q has a come_back range that ends before it begins: from %d to %d us", p.Name,
-				p.ComeBackFrom, p.ComeBackTo)
+				p.RetryAfterMin, p.RetryAfterMax)
 		}
 		seen := map[string]bool{}
 		for _, pool := range p.Fallback {
@@ -133,20 +133,20 @@
 		if seen[share.Pool] {
 			c.add(invalidSplit, "route %q goes to pool %q twice", r.Name, share.Pool)
 		}
-		if share.PPM < 0 || share.PPM > Whole {
-			c.add(invalidSplit, "route %q gives pool %q a part of %d ppm, which is not from 0 to %d", r.Name, share.Pool, share.PPM, Whole)
+		if share.PPM < 0 || share.PPM > TotalPPM {
+			c.add(invalidSplit, "route %q gives pool %q a part of %d ppm, which is not from 0 to %d", r.Name, share.Pool, share.PPM, TotalPPM)
 			continue
 		}
 		seen[share.Pool] = true
 		sum += share.PPM
 	}
-	if sum != Whole {
-		c.add(invalidSplit, "the parts of route %q come to %g %%, not to 100 %%", r.Name, float64(sum)/Whole*100)
+	if sum != TotalPPM {
+		c.add(invalidSplit, "the parts of route %q come to %g %%, not to 100 %%", r.Name, float64(sum)/TotalPPM*100)
 	}
 }
 
-// Nameable reports whether a name fits into a line of statistics: it has no spaces and no control characters.
-func Nameable(name string) bool {
+// IsValidName reports whether a name fits into a line of statistics: it has no spaces and no control characters.
+func IsValidName(name string) bool {
 	const deleteCharacter = 0x7f
 	return !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == deleteCharacter })
 }
@@ -154,8 +154,8 @@
 // ruleCount returns how many rules a match expands to, at most maxRuleCount.
 func (m *Match) ruleCount() int {
 	count := 1
-	multiply := func(s Strings) {
-		if !s.Any() {
+	multiply := func(s StringMatcher) {
+		if !s.MatchesAll() {
 			count = min(count*len(patterns(s)), maxRuleCount)
 		}
 	}
@@ -164,9 +164,9 @@
 	for _, s := range m.Fields {
 		multiply(s)
 	}
-	multiply(Strings{Exact: m.Class})
-	multiply(Strings{Exact: m.Listener})
-	multiply(Strings{Exact: m.Zone})
+	multiply(StringMatcher{Exact: m.Class})
+	multiply(StringMatcher{Exact: m.Listener})
+	multiply(StringMatcher{Exact: m.Zone})
 	return count
 }
 
--- a/internal/routing/conflict.go
+++ b/internal/routing/conflict.go
@@ -6,7 +6,7 @@
 // the pool selects, the limits of pool and route, or the contents of the policy. Names of routes and policies alone are no
 // difference. oldLine and newLine are the same connection with Fields in the order of each table. For a single connection it
 // agrees with Diff, whose aspects route and policy are those names. It does not allocate.
-func Conflicting(oldTable, newTable *Table, oldLine, newLine *Line) bool {
+func Conflicting(oldTable, newTable *Table, oldLine, newLine *ConnectionAttributes) bool {
 	if oldTable == newTable {
 		return false
 	}
@@ -36,6 +36,6 @@
 	if a == nil || b == nil {
 		return a == b
 	}
-	return a.Attempts == b.Attempts && a.Deadline == b.Deadline && a.ComeBackFrom == b.ComeBackFrom &&
-		a.ComeBackTo == b.ComeBackTo && slices.Equal(a.Fallback, b.Fallback)
+	return a.Attempts == b.Attempts && a.Deadline == b.Deadline && a.RetryAfterMin == b.RetryAfterMin &&
+		a.RetryAfterMax == b.RetryAfterMax && slices.Equal(a.Fallback, b.Fallback)
 }
--- a/internal/routing/conflict_test.go
+++ b/internal/routing/conflict_test.go
@@ -26,7 +26,7 @@
 	case 1:
 		next.Pools[0].Select.Zones = []string{"thies"}
 	case 2:
-		next.Policies[0].ComeBackTo++
+		next.Policies[0].RetryAfterMax++
 	case 3:
 		next.Policies[0].Name = "renamed"
 		for i := range next.Routes {
@@ -69,14 +69,14 @@
 		for range 40 {
 			l := drawLine(rt)
 			was, is := lineFor(old, l), lineFor(next, l)
-			place := Place(was)
+			place := SplitPosition(was)
 			want := false
 			for _, c := range changes {
 				in := place >= c.From && place < c.From+c.PPM
 				for _, s := range c.Cell {
-					in = in && s.Holds(l[strings.TrimPrefix(s.Dim, "field ")])
+					in = in && s.Contains(l[strings.TrimPrefix(s.Dimension, "field ")])
 				}
-				for _, aspect := range c.What {
+				for _, aspect := range c.Aspects {
 					if in && aspect != "route" && aspect != "policy" {
 						want = true
 						seen[aspect]++
@@ -101,10 +101,10 @@
 }
 
 func TestConflictingDoesNotAllocate(t *testing.T) {
-	to := []SplitShare{{Pool: "a", PPM: Whole / 2}, {Pool: "b", PPM: Whole / 2}}
-	set := Set{Pools: []Pool{{Name: "a", Select: Select{Zones: []string{"thies"}}}, {Name: "b"}}, Default: "r",
+	to := []SplitShare{{Pool: "a", PPM: TotalPPM / 2}, {Pool: "b", PPM: TotalPPM / 2}}
+	set := Set{Pools: []Pool{{Name: "a", Select: EndpointSelector{Zones: []string{"thies"}}}, {Name: "b"}}, Default: "r",
 		Policies: []Policy{{Name: "q", Fallback: []string{"b"}}}, Routes: []Route{{Name: "r", To: to, Policy: "q"},
-			{Name: "s", To: to, Match: Match{Key: Strings{Prefix: []string{"k"}}, Fields: map[string]Strings{"x": {Exact: []string{"1"}}}}}}}
+			{Name: "s", To: to, Match: Match{Key: StringMatcher{Prefix: []string{"k"}}, Fields: map[string]StringMatcher{"x": {Exact: []string{"1"}}}}}}}
 	old, err := New(set)
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Line{Class: "feed", Key: "key", Fields: []string{"1"}}
+	l := &ConnectionAttributes{Class: "feed", Key: "key", Fields: []string{"1"}}
 	if n := testing.AllocsPerRun(100, func() {
 		if Conflicting(old, next, l, l) {
 			t.Error("equal tables conflict")
--- a/internal/routing/describe.go
+++ b/internal/routing/describe.go
@@ -20,18 +20,18 @@
 func (s *Span) Describe() string {
 	switch {
 	case len(s.Texts) == 1 && s.Texts[0] == "":
-		return "no " + s.Dim
+		return "no " + s.Dimension
 	case len(s.Texts) > 0:
-		return s.Dim + " " + strings.Join(quoteTexts(s.Texts), " or ")
+		return s.Dimension + " " + strings.Join(quoteTexts(s.Texts), " or ")
 	}
 	if s.Prefix == "" {
-		if len(s.Except) == 1 && s.Except[0] == "" && len(s.Beside) == 0 {
-			return "any " + s.Dim
+		if len(s.ExceptTexts) == 1 && s.ExceptTexts[0] == "" && len(s.ExceptPrefixes) == 0 {
+			return "any " + s.Dimension
 		}
-		return "any other " + s.Dim
+		return "any other " + s.Dimension
 	}
-	description := fmt.Sprintf("%s %q…", s.Dim, s.Prefix)
-	if exceptions := len(s.Except) + len(s.Beside); exceptions > 0 {
+	description := fmt.Sprintf("%s %q…", s.Dimension, s.Prefix)
+	if exceptions := len(s.ExceptTexts) + len(s.ExceptPrefixes); exceptions > 0 {
 		description += fmt.Sprintf(" but for %d", exceptions)
 	}
 	return description
@@ -63,7 +63,7 @@
 	if len(spans) > 0 {
 		subject = strings.Join(spans, ", ")
 	}
-	if c.PPM < Whole {
+	if c.PPM < TotalPPM {
 		subject += ": " + Percent(c.PPM) + " of the keys"
 	}
 	return subject + ": " + c.DescribeDifference()
@@ -81,7 +81,7 @@
 	if c.ChangesPool() {
 		clauses = append(clauses, fmt.Sprintf("from pool %q to pool %q", c.Old.Pool, c.New.Pool))
 	}
-	for _, aspect := range c.What {
+	for _, aspect := range c.Aspects {
 		if clause := c.describeAspect(aspect); clause != "" {
 			clauses = append(clauses, clause)
 		}
@@ -96,7 +96,7 @@
 		return fmt.Sprintf("by route %q in place of %q", c.New.Route, c.Old.Route)
 	case aspect == aspectPolicy:
 		return fmt.Sprintf("under %s in place of %s", c.New.policyName(), c.Old.policyName())
-	case aspect == aspectTerms && !slices.Contains(c.What, aspectPolicy):
+	case aspect == aspectTerms && !slices.Contains(c.Aspects, aspectPolicy):
 		return fmt.Sprintf("policy %q says something else", c.New.Policy)
 	case aspect == aspectLimits:
 		return "other limits hold"
--- a/internal/routing/diff.go
+++ b/internal/routing/diff.go
@@ -6,33 +6,33 @@
 	"strings"
 )
 
-// Space is the values that the enumerable fields of a site's lines can have. A field without values can have any text.
-type Space struct {
+// MatchSpace is the values that the enumerable fields of a site's lines can have. A field without values can have any text.
+type MatchSpace struct {
 	Classes   []string
 	Listeners []string
 	Zones     []string
 }
 
-// Span is a set of texts in one dimension: Texts, or else all that begin with Prefix except for those of Except and Beside.
+// Span is a set of texts in one dimension: Texts, or else all that begin with Prefix except for those of ExceptTexts and ExceptPrefixes.
 type Span struct {
-	Dim    string   `json:"dimension"`
-	Texts  []string `json:"texts,omitempty"`
-	Prefix string   `json:"prefix,omitempty"`
-	Except []string `json:"except,omitempty"` // texts that are spans of their own
-	Beside []string `json:"beside,omitempty"` // longer prefixes that are spans of their own
+	Dimension      string   `json:"dimension"`
+	Texts          []string `json:"texts,omitempty"`
+	Prefix         string   `json:"prefix,omitempty"`
+	ExceptTexts    []string `json:"except,omitempty"` // texts that are spans of their own
+	ExceptPrefixes []string `json:"beside,omitempty"` // longer prefixes that are spans of their own
 }
 
-// Holds reports whether a text is in the span.
-func (s *Span) Holds(text string) bool {
+// Contains reports whether a text is in the span.
+func (s *Span) Contains(text string) bool {
 	if len(s.Texts) > 0 {
 		return slices.Contains(s.Texts, text)
 	}
-	return strings.HasPrefix(text, s.Prefix) && !slices.Contains(s.Except, text) && !hasAnyPrefix(text, s.Beside)
+	return strings.HasPrefix(text, s.Prefix) && !slices.Contains(s.ExceptTexts, text) && !hasAnyPrefix(text, s.ExceptPrefixes)
 }
 
 // isUnbounded reports whether the span holds all texts.
 func (s *Span) isUnbounded() bool {
-	return len(s.Texts) == 0 && s.Prefix == "" && len(s.Except) == 0 && len(s.Beside) == 0
+	return len(s.Texts) == 0 && s.Prefix == "" && len(s.ExceptTexts) == 0 && len(s.ExceptPrefixes) == 0
 }
 
 // Outcome is what routing decides on a connection, by name and by content.
@@ -49,12 +49,12 @@
 
 // Change is a set of connections on which two tables decide differently.
 type Change struct {
-	Cell []Span   `json:"connections"` // at most one span for each dimension; empty: all connections
-	PPM  int      `json:"share_ppm"`   // share of the keys in the cell, in parts per million
-	From int      `json:"-"`           // the Place at which the share begins
-	Old  Outcome  `json:"old"`
-	New  Outcome  `json:"new"`
-	What []string `json:"what"` // the aspects that differ: route, pool, policy, terms, limits, selection
+	Cell    []Span   `json:"connections"` // at most one span for each dimension; empty: all connections
+	PPM     int      `json:"share_ppm"`   // share of the keys in the cell, in parts per million
+	From    int      `json:"-"`           // the SplitPosition at which the share begins
+	Old     Outcome  `json:"old"`
+	New     Outcome  `json:"new"`
+	Aspects []string `json:"what"` // the aspects that differ: route, pool, policy, terms, limits, selection
 }
 
 // Aspects of an Outcome, as Change.What names them.
@@ -73,7 +73,7 @@
 // Diff returns all sets of connections on which two tables decide differently. It divides the match space into cells. Within a
 // cell each table decides alike on all connections, but for their places in a split; cells on which both tables decide alike
 // are skipped. The result is exact. Diff fails with ErrTooManyCells where there are over 4 million cells.
-func Diff(oldTable, newTable *Table, space Space) ([]Change, error) {
+func Diff(oldTable, newTable *Table, space MatchSpace) ([]Change, error) {
 	fields := append(slices.Clone(oldTable.FieldNames), newTable.FieldNames...)
 	slices.Sort(fields)
 	d := newDiffer(oldTable, newTable, slices.Compact(fields), space)
--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -14,7 +14,7 @@
 	// invalidFigure: a figure is out of range.
 	invalidFigure = apperror.NewKind("routing/figure",
 		"correct the figure: limits and times are 0 or more, and a range ends no lower than it begins")
-	// invalidSplit: the shares of a route do not add up to Whole, or one is out of range or given twice.
+	// invalidSplit: the shares of a route do not add up to TotalPPM, or one is out of range or given twice.
 	invalidSplit = apperror.NewKind("routing/split",
 		"make the route's parts come to 100 %, each pool once and from 0 to 100 %")
 	// ambiguousRoutes: two routes claim the same connections at the same precedence.
--- a/internal/routing/golden_test.go
+++ b/internal/routing/golden_test.go
@@ -11,28 +11,28 @@
 // goldenSet has every field set, as do the other values here.
 func goldenSet() Set {
 	return Set{
-		Pools: []Pool{{Name: "thies", Precedence: 3, Was: []string{"senegal"}, MaxOpen: 400, MaxWaiting: 50,
-			Select: Select{Zones: []string{"thies"}, MachineTypes: []string{"m2"}, Cells: []int{7, 9}, IDPrefixes: []string{"s-"},
+		Pools: []Pool{{Name: "thies", Precedence: 3, FormerNames: []string{"senegal"}, MaxOpen: 400, MaxWaiting: 50,
+			Select: EndpointSelector{Zones: []string{"thies"}, MachineTypes: []string{"m2"}, Cells: []int{7, 9}, IDPrefixes: []string{"s-"},
 				SizeFrom: 0.5, SizeTo: 2}}},
-		Policies: []Policy{{Name: "patient", Attempts: 5, Deadline: 800_000, ComeBackFrom: 200_000, ComeBackTo: 900_000,
+		Policies: []Policy{{Name: "patient", Attempts: 5, Deadline: 800_000, RetryAfterMin: 200_000, RetryAfterMax: 900_000,
 			Fallback: []string{"thies"}}},
-		Routes: []Route{{Name: "feeds", Precedence: 4, To: []SplitShare{{Pool: "thies", PPM: Whole}}, Policy: "patient", MaxOpen: 300,
+		Routes: []Route{{Name: "feeds", Precedence: 4, To: []SplitShare{{Pool: "thies", PPM: TotalPPM}}, Policy: "patient", MaxOpen: 300,
 			MaxWaiting: 40, Match: Match{Class: []string{"album-feed"}, Listener: []string{"inner"}, Zone: []string{"thies"},
-				Key: goldenStrings("k"), Group: goldenStrings("g"), Fields: map[string]Strings{"app": goldenStrings("a"), "tenant": goldenStrings("t")}}}},
-		Default:   "feeds",
-		Zones:     []Zone{{Name: "thies", Title: "Thiès"}},
-		Listeners: map[string]string{"inner": "127.0.0.1:8082", "outer": "127.0.0.1:8083"},
-		DrainOver: 30_000_000,
+				Key: goldenStrings("k"), Group: goldenStrings("g"), Fields: map[string]StringMatcher{"app": goldenStrings("a"), "tenant": goldenStrings("t")}}}},
+		Default:      "feeds",
+		Zones:        []Zone{{Name: "thies", Title: "Thiès"}},
+		Listeners:    map[string]string{"inner": "127.0.0.1:8082", "outer": "127.0.0.1:8083"},
+		DrainTimeout: 30_000_000,
 	}
 }
 
-func goldenStrings(letter string) Strings {
-	return Strings{Exact: []string{letter + "1", letter + "2"}, Prefix: []string{letter + "-"}}
+func goldenStrings(letter string) StringMatcher {
+	return StringMatcher{Exact: []string{letter + "1", letter + "2"}, Prefix: []string{letter + "-"}}
 }
 
 func goldenChange() Change {
-	return Change{PPM: 250_000, What: []string{"route", "pool", "policy"},
-		Cell: []Span{{Dim: "class", Texts: []string{"album-feed"}, Prefix: "album-", Except: []string{"album-notes"}, Beside: []string{"album-x"}}},
+	return Change{PPM: 250_000, Aspects: []string{"route", "pool", "policy"},
+		Cell: []Span{{Dimension: "class", Texts: []string{"album-feed"}, Prefix: "album-", ExceptTexts: []string{"album-notes"}, ExceptPrefixes: []string{"album-x"}}},
 		Old:  Outcome{Route: "feeds", Pool: "thies", Policy: "patient"},
 		New:  Outcome{Route: "rest", Pool: "dakar", Policy: "brief"}}
 }
@@ -50,7 +50,7 @@
 
 // A set whose optional members are absent is encoded without them.
 func TestGoldenSparseSet(t *testing.T) {
-	testkit.CheckEncoding(t, "single.json", Single())
+	testkit.CheckEncoding(t, "single.json", SinglePoolSet())
 }
 
 // The decoded set has each member where it belongs, and compiles.
@@ -80,11 +80,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	changes, err := Diff(was, is, Space{Classes: []string{"album-feed", "album-notes"}, Listeners: []string{"inner"}, Zones: []string{"thies"}})
+	changes, err := Diff(was, is, MatchSpace{Classes: []string{"album-feed", "album-notes"}, Listeners: []string{"inner"}, Zones: []string{"thies"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	line := Line{Class: "album-feed", Key: "k1"}
+	line := ConnectionAttributes{Class: "album-feed", Key: "k1"}
 	for file, value := range map[string]any{"diff.json": changes, "candidates.json": was.Candidates(&line)} {
 		text, err := json.Marshal(value)
 		if err != nil {
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -112,7 +112,7 @@
 func slotHash(hash uint64) uint32 { return uint32(hash >> 32) }
 
 // Decide routes a connection; ok is false where no route matches and there is no default. It does not allocate.
-func (t *Table) Decide(l *Line) (d Decision, ok bool) {
+func (t *Table) Decide(l *ConnectionAttributes) (d Decision, ok bool) {
 	best := int32(len(t.rules))
 	var found []byte
 	for i := range t.shapes {
@@ -140,14 +140,14 @@
 	default:
 		return Decision{Route: -1, Pool: -1, Policy: -1, Rule: -1}, false
 	}
-	d.Place = Place(l)
+	d.SplitPosition = SplitPosition(l)
 	d.Policy = to.policy
-	d.Pool = to.pools[to.shareAt(d.Place)]
+	d.Pool = to.pools[to.shareAt(d.SplitPosition)]
 	return d, true
 }
 
 // find returns the record of a shape's rule that matches a line, and all that follows it in t.records; nil where there is none.
-func (t *Table) find(s *shape, l *Line) (record []byte) {
+func (t *Table) find(s *shape, l *ConnectionAttributes) (record []byte) {
 	hash := uint64(0)
 	for _, dimension := range s.dimensions {
 		text := t.lineText(l, int(dimension))
@@ -176,7 +176,7 @@
 
 // recordMatches reports whether a line has the texts of a record, whose header is left out. The line's texts are no shorter
 // than the shape's prefixes.
-func (t *Table) recordMatches(s *shape, texts []byte, l *Line) bool {
+func (t *Table) recordMatches(s *shape, texts []byte, l *ConnectionAttributes) bool {
 	for _, dimension := range s.dimensions {
 		text := t.lineText(l, int(dimension))
 		length := int(s.lengths[dimension])
--- a/internal/routing/merge_changes.go
+++ b/internal/routing/merge_changes.go
@@ -23,7 +23,7 @@
 
 // spanIndex returns the position of a dimension's span in a change's cell; -1: there is none.
 func (c *Change) spanIndex(dimension string) int {
-	return slices.IndexFunc(c.Cell, func(s Span) bool { return s.Dim == dimension })
+	return slices.IndexFunc(c.Cell, func(s Span) bool { return s.Dimension == dimension })
 }
 
 // mergeDimension merges the changes that differ in the texts of this dimension only.
@@ -76,7 +76,7 @@
 	coversAll := len(others) == 0 && len(closedValues) > 0 && len(texts) == len(closedValues)
 	if len(others) == 1 {
 		rest := others[0].Cell[others[0].spanIndex(dimension)]
-		coversAll = rest.Prefix == "" && len(rest.Beside) == 0 && slices.Equal(rest.Except, texts)
+		coversAll = rest.Prefix == "" && len(rest.ExceptPrefixes) == 0 && slices.Equal(rest.ExceptTexts, texts)
 	}
 	merged := *first
 	merged.Cell = slices.Clone(first.Cell)
@@ -93,8 +93,8 @@
 func signature(c *Change, without string) string {
 	var b strings.Builder
 	for _, s := range c.Cell {
-		if s.Dim == without {
-			s = Span{Dim: without}
+		if s.Dimension == without {
+			s = Span{Dimension: without}
 		}
 		fmt.Fprintf(&b, "%q", s)
 	}
--- a/internal/routing/owners.go
+++ b/internal/routing/owners.go
@@ -12,14 +12,14 @@
 // noPool is the position of a pool that there is not.
 const noPool = -1
 
-// Entry is an endpoint of a list, with the attributes that only pools look at.
-type Entry struct {
+// EndpointEntry is an endpoint of a list, with the attributes that only pools look at.
+type EndpointEntry struct {
 	balancer.Endpoint
 	MachineType string
 }
 
 // Attributes returns what pools look at. A size that is not given is 1.
-func (e *Entry) Attributes() EndpointAttributes {
+func (e *EndpointEntry) Attributes() EndpointAttributes {
 	size := e.Size
 	if size == 0 {
 		size = 1
@@ -33,44 +33,44 @@
 	Members balancer.EndpointUpdate
 }
 
-// Owners assigns each endpoint to one pool at most at any time. A pool is given as its position in the Set's list, -1 for none.
+// PoolMembership assigns each endpoint to one pool at most at any time. A pool is given as its position in the Set's list, -1 for none.
 //
 // An endpoint that changes pools during its slow start belongs to neither pool until it has warmed up or restarted: what the
 // former pool has sent it still counts in its slow-start budget, and the new pool would begin another budget. That time is
 // its reservation.
-type Owners struct {
+type PoolMembership struct {
 	set       *Set
 	poolOrder []int                       // positions in set.Pools by precedence
 	warmUp    time.Duration               // of an endpoint after its start
 	endpoints map[string]*ownership       // by id
 	restored  map[string]balancer.Instant // reservations of an earlier process, by id, for endpoints that are not listed yet
 	lists     int                         // that were applied
-	notes     []Note                      // since DrainNotes was last called
+	notes     []MembershipEvent           // since TakeEvents was last called
 }
 
-// Note is something that Owners did with an endpoint and that operators should know of.
-type Note struct {
-	Event    NoteEvent
+// MembershipEvent is something that PoolMembership did with an endpoint and that operators should know of.
+type MembershipEvent struct {
+	Type     MembershipEventType
 	Endpoint string // id
 	From     string // name of the pool that had the endpoint; "": none, or one that was removed
 	To       string // name of the pool that has the endpoint, or will have it; "": none
 }
 
-// NoteEvent is what a Note is about: the message of a log line.
-type NoteEvent string
+// MembershipEventType is what a MembershipEvent is about: the message of a log line.
+type MembershipEventType string
 
-// Events of Notes.
+// Types of membership events.
 const (
-	NotSelected       NoteEvent = "endpoint belongs to no pool"
-	SelectedBySeveral NoteEvent = "endpoint fits several pools"
-	Moved             NoteEvent = "endpoint moved to another pool"
-	Reserved          NoteEvent = "endpoint moves to another pool once it is warm"
-	Released          NoteEvent = "endpoint is warm and moved to its pool"
+	NotSelected       MembershipEventType = "endpoint belongs to no pool"
+	SelectedBySeveral MembershipEventType = "endpoint fits several pools"
+	Moved             MembershipEventType = "endpoint moved to another pool"
+	Reserved          MembershipEventType = "endpoint moves to another pool once it is warm"
+	Released          MembershipEventType = "endpoint is warm and moved to its pool"
 )
 
-// ownership is what Owners knows of an endpoint.
+// ownership is what PoolMembership knows of an endpoint.
 type ownership struct {
-	entry            Entry
+	entry            EndpointEntry
 	pool             int              // or noPool
 	servedSinceStart bool             // a pool has had it since its latest start
 	reservedUntil    balancer.Instant // 0: it is not reserved
@@ -93,15 +93,15 @@
 	u[pool].Members.Entries = append(u[pool].Members.Entries, e)
 }
 
-// NewOwners makes an Owners without endpoints. warmUp is how long an endpoint's slow start takes. The set must not be changed.
-func NewOwners(set *Set, warmUp time.Duration) *Owners {
-	o := &Owners{endpoints: map[string]*ownership{}}
+// NewPoolMembership makes a PoolMembership without endpoints. warmUp is how long an endpoint's slow start takes. The set must not be changed.
+func NewPoolMembership(set *Set, warmUp time.Duration) *PoolMembership {
+	o := &PoolMembership{endpoints: map[string]*ownership{}}
 	o.usePools(set, warmUp)
 	return o
 }
 
 // usePools sets the pools among which endpoints are divided from now on.
-func (o *Owners) usePools(set *Set, warmUp time.Duration) {
+func (o *PoolMembership) usePools(set *Set, warmUp time.Duration) {
 	o.set = set
 	o.warmUp = warmUp
 	o.poolOrder = nil
@@ -112,15 +112,15 @@
 }
 
 // SetWarmUp changes how long an endpoint's slow start takes.
-func (o *Owners) SetWarmUp(warmUp time.Duration) { o.warmUp = warmUp }
+func (o *PoolMembership) SetWarmUp(warmUp time.Duration) { o.warmUp = warmUp }
 
 // sorted returns all endpoints by id.
-func (o *Owners) sorted() []*ownership {
+func (o *PoolMembership) sorted() []*ownership {
 	return slices.SortedFunc(maps.Values(o.endpoints), compareOwnerships)
 }
 
 // reserved returns the endpoints that are reserved, by id.
-func (o *Owners) reserved() []*ownership {
+func (o *PoolMembership) reserved() []*ownership {
 	var reserved []*ownership
 	for _, e := range o.endpoints {
 		if e.reservedUntil > 0 {
@@ -134,7 +134,7 @@
 func compareOwnerships(a, b *ownership) int { return cmp.Compare(a.entry.ID, b.entry.ID) }
 
 // AnyReserved reports whether any endpoint is reserved.
-func (o *Owners) AnyReserved() bool {
+func (o *PoolMembership) AnyReserved() bool {
 	for _, e := range o.endpoints {
 		if e.reservedUntil > 0 {
 			return true
@@ -144,7 +144,7 @@
 }
 
 // choosePool returns the first pool by precedence that selects an endpoint, or noPool, and whether others select it too.
-func (o *Owners) choosePool(attributes EndpointAttributes) (pool int, several bool) {
+func (o *PoolMembership) choosePool(attributes EndpointAttributes) (pool int, several bool) {
 	pool = noPool
 	for _, i := range o.poolOrder {
 		if !o.set.Pools[i].Select.Matches(attributes) {
@@ -158,8 +158,8 @@
 	return pool, false
 }
 
-// Pool returns the pool that has an endpoint now; -1: none, since no pool selects it, it is reserved, or it is not listed.
-func (o *Owners) Pool(id string) int {
+// PoolOf returns the pool that has an endpoint now; -1: none, since no pool selects it, it is reserved, or it is not listed.
+func (o *PoolMembership) PoolOf(id string) int {
 	if e := o.endpoints[id]; e != nil && e.reservedUntil == 0 {
 		return e.pool
 	}
@@ -167,19 +167,19 @@
 }
 
 // poolName returns a pool's name; "" for noPool.
-func (o *Owners) poolName(pool int) string {
+func (o *PoolMembership) poolName(pool int) string {
 	if pool == noPool {
 		return ""
 	}
 	return o.set.Pools[pool].Name
 }
 
-func (o *Owners) note(event NoteEvent, endpoint string, from, to int) {
-	o.notes = append(o.notes, Note{Event: event, Endpoint: endpoint, From: o.poolName(from), To: o.poolName(to)})
+func (o *PoolMembership) note(event MembershipEventType, endpoint string, from, to int) {
+	o.notes = append(o.notes, MembershipEvent{Type: event, Endpoint: endpoint, From: o.poolName(from), To: o.poolName(to)})
 }
 
 // noteMove notes that an endpoint is another pool's, now or once its reservation has ended.
-func (o *Owners) noteMove(e *ownership, from, to int) {
+func (o *PoolMembership) noteMove(e *ownership, from, to int) {
 	event := Moved
 	if e.reservedUntil > 0 && to != noPool {
 		event = Reserved
@@ -187,16 +187,16 @@
 	o.note(event, e.entry.ID, from, to)
 }
 
-// DrainNotes returns what has happened since the last call, and forgets it: changes of owners, and endpoints that no pool or
+// TakeEvents returns what has happened since the last call, and forgets it: changes of owners, and endpoints that no pool or
 // several pools select.
-func (o *Owners) DrainNotes() []Note {
+func (o *PoolMembership) TakeEvents() []MembershipEvent {
 	notes := o.notes
 	o.notes = nil
 	return notes
 }
 
 // ApplyList divides a list, or changes of it (DeltaList), among the pools. Every pool gets an update, even an empty one.
-func (o *Owners) ApplyList(now balancer.Instant, kind balancer.ListKind, version int64, entries []Entry) []PoolUpdate {
+func (o *PoolMembership) ApplyList(now balancer.Instant, kind balancer.ListKind, version int64, entries []EndpointEntry) []PoolUpdate {
 	updates := newUpdateBuilder(len(o.set.Pools), balancer.EndpointUpdate{Kind: kind, Version: version})
 	isDelta := kind == balancer.DeltaList
 	o.lists++
@@ -217,7 +217,7 @@
 
 // placeEndpoint adds an entry to the update of its pool. addRemoval says that a former pool's update names it as removed; in
 // updates that are whole lists it is enough that it is missing.
-func (o *Owners) placeEndpoint(now balancer.Instant, e Entry, updates updateBuilder, addRemoval bool) {
+func (o *PoolMembership) placeEndpoint(now balancer.Instant, e EndpointEntry, updates updateBuilder, addRemoval bool) {
 	pool, several := o.choosePool(e.Attributes())
 	if e.Phase == balancer.Removed {
 		o.removeEndpoint(e, pool, updates)
@@ -246,7 +246,7 @@
 
 // removeEndpoint forgets an endpoint, and adds its removal to the update of the pool that has it, or else of the one that
 // selects it.
-func (o *Owners) removeEndpoint(e Entry, selecting int, updates updateBuilder) {
+func (o *PoolMembership) removeEndpoint(e EndpointEntry, selecting int, updates updateBuilder) {
 	pool := selecting
 	if known := o.endpoints[e.ID]; known != nil && known.pool != noPool {
 		pool = known.pool
@@ -259,7 +259,7 @@
 
 // addEndpoint adds an endpoint that was not listed before. It is reserved where it was in an earlier process. several says
 // that other pools select it too.
-func (o *Owners) addEndpoint(now balancer.Instant, e Entry, pool int, several bool) *ownership {
+func (o *PoolMembership) addEndpoint(now balancer.Instant, e EndpointEntry, pool int, several bool) *ownership {
 	added := &ownership{pool: pool}
 	if o.restored[e.ID] > now {
 		added.servedSinceStart = true
@@ -276,7 +276,7 @@
 
 // changePool moves an endpoint to another pool, or to none, and reserves it where it is in its slow start. addRemoval is that of
 // placeEndpoint.
-func (o *Owners) changePool(now balancer.Instant, e *ownership, pool int, updates updateBuilder, addRemoval bool) {
+func (o *PoolMembership) changePool(now balancer.Instant, e *ownership, pool int, updates updateBuilder, addRemoval bool) {
 	former := e.pool
 	e.pool = pool
 	if former != noPool && e.reservedUntil == 0 && addRemoval {
@@ -291,7 +291,7 @@
 }
 
 // warmUpEnd returns when an endpoint's slow start ends; 0: it has ended, or the start is unknown.
-func (o *Owners) warmUpEnd(now balancer.Instant, e Entry) balancer.Instant {
+func (o *PoolMembership) warmUpEnd(now balancer.Instant, e EndpointEntry) balancer.Instant {
 	if end := e.StartedAt + o.warmUp; e.StartedAt > 0 && end > now {
 		return end
 	}
@@ -299,7 +299,7 @@
 }
 
 // ReleaseDue gives pools the endpoints whose reservations have ended, and returns when the next one ends; 0: there is none.
-func (o *Owners) ReleaseDue(now balancer.Instant) (updates []PoolUpdate, next balancer.Instant) {
+func (o *PoolMembership) ReleaseDue(now balancer.Instant) (updates []PoolUpdate, next balancer.Instant) {
 	for _, e := range o.reserved() {
 		switch {
 		case e.reservedUntil <= now:
@@ -321,7 +321,7 @@
 }
 
 // Entries returns the endpoints that a pool has, by id.
-func (o *Owners) Entries(pool int) []balancer.Endpoint {
+func (o *PoolMembership) Entries(pool int) []balancer.Endpoint {
 	var endpoints []balancer.Endpoint
 	for _, e := range o.sorted() {
 		if e.pool == pool && e.reservedUntil == 0 {
@@ -333,7 +333,7 @@
 
 // Reconfigure changes to another set. successors is the pool of the new set that continues each pool of the old one, -1 where
 // none does (SuccessorPools). Every pool of the new set gets a whole list.
-func (o *Owners) Reconfigure(now balancer.Instant, set *Set, warmUp time.Duration, successors []int) []PoolUpdate {
+func (o *PoolMembership) Reconfigure(now balancer.Instant, set *Set, warmUp time.Duration, successors []int) []PoolUpdate {
 	o.usePools(set, warmUp)
 	updates := newUpdateBuilder(len(set.Pools), balancer.EndpointUpdate{Kind: balancer.FullList})
 	for _, e := range o.sorted() {
@@ -349,7 +349,7 @@
 }
 
 // reassign gives an endpoint whose pool was removed to another pool. What the removed pool has sent it still counts.
-func (o *Owners) reassign(now balancer.Instant, e *ownership) {
+func (o *PoolMembership) reassign(now balancer.Instant, e *ownership) {
 	pool, _ := o.choosePool(e.entry.Attributes())
 	if pool == noPool {
 		return
@@ -362,7 +362,7 @@
 }
 
 // Reservations returns until when endpoints are reserved, by id, for a successor process.
-func (o *Owners) Reservations() map[string]balancer.Instant {
+func (o *PoolMembership) Reservations() map[string]balancer.Instant {
 	reservations := map[string]balancer.Instant{}
 	for id, e := range o.endpoints {
 		if e.reservedUntil > 0 {
@@ -373,4 +373,4 @@
 }
 
 // RestoreReservations takes over the Reservations of a predecessor process. It is called before the first list is applied.
-func (o *Owners) RestoreReservations(until map[string]balancer.Instant) { o.restored = until }
+func (o *PoolMembership) RestoreReservations(until map[string]balancer.Instant) { o.restored = until }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -9,17 +9,17 @@
 
 // Pool is a set of endpoints among which one decision module balances.
 type Pool struct {
-	Name       string   `json:"name"`
-	Select     Select   `json:"select"`
-	Precedence int      `json:"precedence,omitempty"`  // of the pools that select an endpoint, the highest gets it
-	Was        []string `json:"was,omitempty"`         // former names of the pool
-	MaxOpen    int      `json:"max_open,omitempty"`    // established and waiting connections; 0: no limit
-	MaxWaiting int      `json:"max_waiting,omitempty"` // waiting connections; 0: no limit
+	Name        string           `json:"name"`
+	Select      EndpointSelector `json:"select"`
+	Precedence  int              `json:"precedence,omitempty"`  // of the pools that select an endpoint, the highest gets it
+	FormerNames []string         `json:"was,omitempty"`         // former names of the pool
+	MaxOpen     int              `json:"max_open,omitempty"`    // established and waiting connections; 0: no limit
+	MaxWaiting  int              `json:"max_waiting,omitempty"` // waiting connections; 0: no limit
 }
 
-// Select says which endpoints a pool selects: those that satisfy all conditions, each by one of its values. A condition
+// EndpointSelector says which endpoints a pool selects: those that satisfy all conditions, each by one of its values. A condition
 // without values holds for every endpoint.
-type Select struct {
+type EndpointSelector struct {
 	Zones        []string `json:"zones,omitempty"`
 	MachineTypes []string `json:"machine_types,omitempty"`
 	Cells        []int    `json:"cells,omitempty"`
@@ -28,7 +28,7 @@
 	SizeTo       float64  `json:"size_to,omitempty"`   // inclusive; 0: no upper bound
 }
 
-// EndpointAttributes are the attributes of an endpoint that Select looks at.
+// EndpointAttributes are the attributes of an endpoint that EndpointSelector looks at.
 type EndpointAttributes struct {
 	ID          string
 	Zone        string
@@ -38,7 +38,7 @@
 }
 
 // Matches reports whether an endpoint satisfies all conditions.
-func (s *Select) Matches(e EndpointAttributes) bool {
+func (s *EndpointSelector) Matches(e EndpointAttributes) bool {
 	return (len(s.Zones) == 0 || slices.Contains(s.Zones, e.Zone)) &&
 		(len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, e.MachineType)) &&
 		(len(s.Cells) == 0 || slices.Contains(s.Cells, e.Cell)) &&
@@ -48,13 +48,13 @@
 }
 
 // HasValidSizes reports whether SizeFrom and SizeTo are a range: finite, 0 or more, and in order.
-func (s *Select) HasValidSizes() bool {
+func (s *EndpointSelector) HasValidSizes() bool {
 	return s.SizeFrom >= 0 && s.SizeTo >= 0 && !math.IsInf(s.SizeFrom, 0) && !math.IsInf(s.SizeTo, 0) &&
 		(s.SizeTo == 0 || s.SizeTo >= s.SizeFrom)
 }
 
 // Equal reports whether both select the same, written in the same order.
-func (s *Select) Equal(other *Select) bool {
+func (s *EndpointSelector) Equal(other *EndpointSelector) bool {
 	return s.SizeFrom == other.SizeFrom && s.SizeTo == other.SizeTo && slices.Equal(s.Zones, other.Zones) &&
 		slices.Equal(s.MachineTypes, other.MachineTypes) && slices.Equal(s.Cells, other.Cells) &&
 		slices.Equal(s.IDPrefixes, other.IDPrefixes)
@@ -63,7 +63,7 @@
 // Equal reports whether two pools are equal in every field.
 func (p *Pool) Equal(other *Pool) bool {
 	return p.Name == other.Name && p.Precedence == other.Precedence && p.MaxOpen == other.MaxOpen &&
-		p.MaxWaiting == other.MaxWaiting && slices.Equal(p.Was, other.Was) && p.Select.Equal(&other.Select)
+		p.MaxWaiting == other.MaxWaiting && slices.Equal(p.FormerNames, other.FormerNames) && p.Select.Equal(&other.Select)
 }
 
 func hasAnyPrefix(text string, prefixes []string) bool {
@@ -71,7 +71,7 @@
 }
 
 // Overlap returns the attributes of an endpoint that both would select; ok is false where there can be none.
-func (s *Select) Overlap(other *Select) (e EndpointAttributes, ok bool) {
+func (s *EndpointSelector) Overlap(other *EndpointSelector) (e EndpointAttributes, ok bool) {
 	if e.Zone, ok = commonValue(s.Zones, other.Zones); !ok {
 		return e, false
 	}
--- a/internal/routing/request_progress.go
+++ b/internal/routing/request_progress.go
@@ -78,32 +78,32 @@
 // MayHaveRun reports whether an attempt may have been executed.
 func (p *RequestProgress) MayHaveRun() bool { return p.mayHaveRun }
 
-// Attempts returns how many further attempts the request may make, where limit is that of the settings for all of them.
-func (p *RequestProgress) Attempts(limit int) int {
+// AttemptsLeft returns how many further attempts the request may make, where limit is that of the settings for all of them.
+func (p *RequestProgress) AttemptsLeft(limit int) int {
 	if p.Policy.Attempts > 0 {
 		limit = min(limit, p.Policy.Attempts)
 	}
 	return max(limit-p.earlierAttempts-p.poolAttempts, 0)
 }
 
-// Number returns the number within the current pool of an attempt, given its number within the request.
-func (p *RequestProgress) Number(attempt int) int { return attempt - p.earlierAttempts }
+// AttemptInPool returns the number within the current pool of an attempt, given its number within the request.
+func (p *RequestProgress) AttemptInPool(attempt int) int { return attempt - p.earlierAttempts }
 
 // Rejection is what NextPool needs to know of a request that its pool has rejected.
 type Rejection struct {
 	Remaining    time.Duration // until the request's deadline
-	Slack        time.Duration // with no more than this remaining, no further pool is tried
+	MinRemaining time.Duration // with no more than this remaining, no further pool is tried
 	AttemptLimit int           // the settings' limit, as for Attempts
-	RepeatIsSafe bool          // a further attempt is harmless although an earlier one may have been executed
+	RetryIsSafe  bool          // a further attempt is harmless although an earlier one may have been executed
 	InFlight     bool          // an attempt is in flight
 }
 
 // NextPool decides whether a request that its pool has rejected goes on to another one. Where a repeat is not safe it does
 // only if no attempt may have been executed, since another pool does not recognize a retry.
 func (p *RequestProgress) NextPool(t *Table, r Rejection, poolUsage func(pool int) Usage) Verdict {
-	mayRepeat := r.RepeatIsSafe || !p.mayHaveRun
-	noAttemptLeft := p.Attempts(r.AttemptLimit) == 0
-	if r.InFlight || r.Remaining <= r.Slack || noAttemptLeft || !mayRepeat || !p.advance(t, poolUsage) {
+	mayRepeat := r.RetryIsSafe || !p.mayHaveRun
+	noAttemptLeft := p.AttemptsLeft(r.AttemptLimit) == 0
+	if r.InFlight || r.Remaining <= r.MinRemaining || noAttemptLeft || !mayRepeat || !p.advance(t, poolUsage) {
 		return Exhausted
 	}
 	p.earlierAttempts += p.poolAttempts
@@ -122,8 +122,8 @@
 
 // BoundRetryAfter returns a rejection's Retry-After within the bounds of the policy.
 func (p *RequestProgress) BoundRetryAfter(retryAfter time.Duration) time.Duration {
-	retryAfter = max(retryAfter, p.Policy.ComeBackFrom.Duration())
-	if limit := p.Policy.ComeBackTo.Duration(); limit > 0 {
+	retryAfter = max(retryAfter, p.Policy.RetryAfterMin.Duration())
+	if limit := p.Policy.RetryAfterMax.Duration(); limit > 0 {
 		retryAfter = min(retryAfter, limit)
 	}
 	return retryAfter
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -17,18 +17,18 @@
 var (
 	classes     = []string{"feed", "notes", "chat"}
 	sampleTexts = []string{"a", "ab", "abc", "b", "ba", "c"}
-	space       = Space{Classes: classes, Listeners: []string{"main", "lan"}, Zones: []string{"thies", "dakar"}}
+	space       = MatchSpace{Classes: classes, Listeners: []string{"main", "lan"}, Zones: []string{"thies", "dakar"}}
 )
 
 func drawSubset(t *rapid.T, from []string, most int, label string) []string {
 	return rapid.SliceOfNDistinct(rapid.SampledFrom(from), 0, most, rapid.ID[string]).Draw(t, label)
 }
 
-func drawCondition(t *rapid.T, label string) Strings {
+func drawCondition(t *rapid.T, label string) StringMatcher {
 	if rapid.IntRange(0, 2).Draw(t, label) > 0 {
-		return Strings{}
+		return StringMatcher{}
 	}
-	return Strings{Exact: drawSubset(t, append([]string{""}, sampleTexts...), 2, label+" exact"), Prefix: drawSubset(t, sampleTexts, 2, label+" prefix")}
+	return StringMatcher{Exact: drawSubset(t, append([]string{""}, sampleTexts...), 2, label+" exact"), Prefix: drawSubset(t, sampleTexts, 2, label+" prefix")}
 }
 
 // drawSet draws a set with few texts, so that rules often overlap.
@@ -40,12 +40,12 @@
 			Policy: rapid.SampledFrom([]string{"", "q"}).Draw(t, "policy"),
 			Match: Match{Class: drawSubset(t, classes, 2, "class"), Zone: drawSubset(t, space.Zones, 1, "zone"),
 				Listener: drawSubset(t, space.Listeners, 1, "listener"), Key: drawCondition(t, "key"), Group: drawCondition(t, "group")}}
-		if f := drawCondition(t, "field"); !f.Any() {
-			r.Match.Fields = map[string]Strings{rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"): f}
+		if f := drawCondition(t, "field"); !f.MatchesAll() {
+			r.Match.Fields = map[string]StringMatcher{rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"): f}
 		}
-		a := rapid.IntRange(0, Whole).Draw(t, "part")
-		b := rapid.IntRange(0, Whole-a).Draw(t, "part")
-		r.To = []SplitShare{{Pool: "p1", PPM: a}, {Pool: "p0", PPM: b}, {Pool: "p2", PPM: Whole - a - b}}
+		a := rapid.IntRange(0, TotalPPM).Draw(t, "part")
+		b := rapid.IntRange(0, TotalPPM-a).Draw(t, "part")
+		r.To = []SplitShare{{Pool: "p1", PPM: a}, {Pool: "p0", PPM: b}, {Pool: "p2", PPM: TotalPPM - a - b}}
 		set.Routes = append(set.Routes, r)
 	}
 	if len(set.Routes) > 0 && rapid.Bool().Draw(t, "default") {
@@ -66,8 +66,8 @@
 	return l
 }
 
-func lineFor(t *Table, l map[string]string) *Line {
-	out := &Line{Class: l["class"], Key: l["key"], Group: l["group"], Zone: l["zone"], Listener: l["listener"]}
+func lineFor(t *Table, l map[string]string) *ConnectionAttributes {
+	out := &ConnectionAttributes{Class: l["class"], Key: l["key"], Group: l["group"], Zone: l["zone"], Listener: l["listener"]}
 	for _, name := range t.FieldNames {
 		out.Fields = append(out.Fields, l[name])
 	}
@@ -82,10 +82,10 @@
 		m := &r.Match
 		isIn := func(list []string, text string) bool { return len(list) == 0 || slices.Contains(list, text) }
 		ok := isIn(m.Class, l["class"]) && isIn(m.Zone, l["zone"]) && isIn(m.Listener, l["listener"]) &&
-			m.Key.Holds(l["key"]) && m.Group.Holds(l["group"])
+			m.Key.Matches(l["key"]) && m.Group.Matches(l["group"])
 		rank := []int{r.Precedence, specificity(m.Key, l["key"]), specificity(m.Group, l["group"])}
 		for _, name := range []string{"x", "y"} {
-			ok = ok && m.Fields[name].Holds(l[name])
+			ok = ok && m.Fields[name].Matches(l[name])
 			rank = append(rank, specificity(m.Fields[name], l[name]))
 		}
 		for _, list := range [][]string{m.Class, m.Listener, m.Zone} {
@@ -103,8 +103,8 @@
 }
 
 // specificity ranks a condition that is satisfied by a text.
-func specificity(s Strings, text string) int {
-	if s.Any() {
+func specificity(s StringMatcher, text string) int {
+	if s.MatchesAll() {
 		return -1
 	}
 	if slices.Contains(s.Exact, text) {
@@ -162,15 +162,15 @@
 			for side, table := range []*Table{old, next} {
 				line := lineFor(table, l)
 				if d, ok := table.Decide(line); ok {
-					o[side] = table.outcome(d.Route, table.targets[d.Route].shareAt(d.Place))
+					o[side] = table.outcome(d.Route, table.targets[d.Route].shareAt(d.SplitPosition))
 				}
 			}
-			place := Place(&Line{Key: l["key"], Group: l["group"]})
+			place := SplitPosition(&ConnectionAttributes{Key: l["key"], Group: l["group"]})
 			var hits []Change
 			for _, c := range changes {
 				in := place >= c.From && place < c.From+c.PPM
 				for _, s := range c.Cell {
-					in = in && s.Holds(l[strings.TrimPrefix(s.Dim, "field ")])
+					in = in && s.Contains(l[strings.TrimPrefix(s.Dimension, "field ")])
 				}
 				if in {
 					hits = append(hits, c)
@@ -214,7 +214,7 @@
 	testkit.Property(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(rt, "parts")
 		before := make([]SplitShare, n)
-		left := Whole
+		left := TotalPPM
 		for i := range before {
 			before[i] = SplitShare{Pool: fmt.Sprint("p", i), PPM: left}
 			if i < n-1 {
@@ -244,7 +244,7 @@
 		}
 		moved := 0
 		for k := range 500 {
-			l := &Line{Key: strconv.Itoa(k)}
+			l := &ConnectionAttributes{Key: strconv.Itoa(k)}
 			a, _ := tables[0].Decide(l)
 			b, _ := tables[1].Decide(l)
 			if a.Pool == grown && b.Pool != grown {
@@ -254,7 +254,7 @@
 				moved++
 			}
 		}
-		changes, err := Diff(tables[0], tables[1], Space{})
+		changes, err := Diff(tables[0], tables[1], MatchSpace{})
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -262,30 +262,30 @@
 		for _, c := range changes {
 			share += c.PPM
 		}
-		if got := float64(moved) / 500; got > float64(share)/Whole+0.12 || got < float64(share)/Whole-0.12 {
-			rt.Fatalf("%v of the keys moved, predicted were %v", got, float64(share)/Whole)
+		if got := float64(moved) / 500; got > float64(share)/TotalPPM+0.12 || got < float64(share)/TotalPPM-0.12 {
+			rt.Fatalf("%v of the keys moved, predicted were %v", got, float64(share)/TotalPPM)
 		}
 	})
 }
 
 func TestNewRejectsInvalidSets(t *testing.T) {
 	pool := []Pool{{Name: "a"}, {Name: "b"}}
-	whole := []SplitShare{{Pool: "a", PPM: Whole}}
+	whole := []SplitShare{{Pool: "a", PPM: TotalPPM}}
 	for want, set := range map[string]Set{
 		"there is no pool":                           {},
 		`pool "a" is named twice`:                    {Pools: []Pool{{Name: "a"}, {Name: "a"}}},
 		`pool "a b" has a blank or a control`:        {Pools: []Pool{{Name: "a b"}}},
 		`a pool has no name`:                         {Pools: []Pool{{}}},
 		`pool "a" has a limit below 0`:               {Pools: []Pool{{Name: "a", MaxOpen: -1}}},
-		`pool "a" selects sizes from 2 to 1`:         {Pools: []Pool{{Name: "a", Select: Select{SizeFrom: 2, SizeTo: 1}}}},
+		`pool "a" selects sizes from 2 to 1`:         {Pools: []Pool{{Name: "a", Select: EndpointSelector{SizeFrom: 2, SizeTo: 1}}}},
 		`falls back to pool "c", which does not`:     {Pools: pool, Policies: []Policy{{Name: "q", Fallback: []string{"c"}}}},
 		`policy "q" has a figure`:                    {Pools: pool, Policies: []Policy{{Name: "q", Deadline: -1}}},
-		`goes to pool "c", which does not exist`:     {Pools: pool, Routes: []Route{{Name: "r", To: []SplitShare{{Pool: "c", PPM: Whole}}}}},
-		`come to 50 %, not to 100 %`:                 {Pools: pool, Routes: []Route{{Name: "r", To: []SplitShare{{Pool: "a", PPM: Whole / 2}}}}},
+		`goes to pool "c", which does not exist`:     {Pools: pool, Routes: []Route{{Name: "r", To: []SplitShare{{Pool: "c", PPM: TotalPPM}}}}},
+		`come to 50 %, not to 100 %`:                 {Pools: pool, Routes: []Route{{Name: "r", To: []SplitShare{{Pool: "a", PPM: TotalPPM / 2}}}}},
 		`is under policy "x", which does not exist`:  {Pools: pool, Routes: []Route{{Name: "r", To: whole, Policy: "x"}}},
 		`the default route "r" does not exist`:       {Pools: pool, Default: "r"},
 		`a further listener cannot be named "main"`:  {Pools: pool, Listeners: map[string]string{"main": ""}},
-		`both claim class "feed", no group`:          {Pools: pool, Routes: []Route{{Name: "r", To: whole, Match: Match{Class: []string{"feed"}, Group: Strings{Exact: []string{""}}}}, {Name: "s", To: whole, Match: Match{Class: []string{"feed", "x"}, Group: Strings{Exact: []string{"g", ""}}}}}},
+		`both claim class "feed", no group`:          {Pools: pool, Routes: []Route{{Name: "r", To: whole, Match: Match{Class: []string{"feed"}, Group: StringMatcher{Exact: []string{""}}}}, {Name: "s", To: whole, Match: Match{Class: []string{"feed", "x"}, Group: StringMatcher{Exact: []string{"g", ""}}}}}},
 		`both claim every connection`:                {Pools: pool, Routes: []Route{{Name: "r", To: whole}, {Name: "s", To: whole}}},
 		`has 1048576 combinations of conditions, ov`: {Pools: pool, Routes: []Route{{Name: "r", To: whole, Match: Match{Key: manyTexts(2000), Group: manyTexts(2000)}}}},
 	} {
@@ -308,8 +308,8 @@
 	return true
 }
 
-func manyTexts(n int) Strings {
-	var s Strings
+func manyTexts(n int) StringMatcher {
+	var s StringMatcher
 	for i := range n {
 		s.Exact = append(s.Exact, strconv.Itoa(i))
 	}
@@ -317,25 +317,25 @@
 }
 
 func TestUnreached(t *testing.T) {
-	to := []SplitShare{{Pool: "a", PPM: Whole}}
+	to := []SplitShare{{Pool: "a", PPM: TotalPPM}}
 	table, err := New(Set{Pools: []Pool{{Name: "a"}}, Routes: []Route{
 		{Name: "feeds", Precedence: 5, To: to, Match: Match{Class: []string{"feed"}}},
 		{Name: "rest", Precedence: 5, To: to, Match: Match{Class: []string{"notes", "chat"}}},
-		{Name: "never", To: to, Match: Match{Group: Strings{Prefix: []string{"g"}}}},
-		{Name: "late", Precedence: 9, To: to, Match: Match{Class: []string{"chat"}, Key: Strings{Prefix: []string{"k"}}}},
+		{Name: "never", To: to, Match: Match{Group: StringMatcher{Prefix: []string{"g"}}}},
+		{Name: "late", Precedence: 9, To: to, Match: Match{Class: []string{"chat"}, Key: StringMatcher{Prefix: []string{"k"}}}},
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := table.Unreached(space)
+	got, err := table.UnreachedRoutes(space)
 	if err != nil {
 		t.Fatal(err)
 	}
 	testkit.Equal(t, "unreached", map[string][]string{"never": {"feeds", "late", "rest"}}, got)
 }
 
-func newEntry(id, zone string, started time.Duration) Entry {
-	return Entry{Endpoint: balancer.Endpoint{ID: id, Zone: zone, StartedAt: started}}
+func newEntry(id, zone string, started time.Duration) EndpointEntry {
+	return EndpointEntry{Endpoint: balancer.Endpoint{ID: id, Zone: zone, StartedAt: started}}
 }
 
 // endpointsByPool is the ids in each pool's update; removals are marked by "-".
@@ -355,14 +355,14 @@
 // An endpoint that changes pools during its slow start belongs to neither until it has warmed up, so that one slow-start
 // budget applies.
 func TestOwnersReserveEndpointsInSlowStart(t *testing.T) {
-	set := Set{Pools: []Pool{{Name: "t", Select: Select{Zones: []string{"thies"}}}, {Name: "d", Select: Select{Zones: []string{"dakar"}}}}}
-	o := NewOwners(&set, 10*time.Second)
+	set := Set{Pools: []Pool{{Name: "t", Select: EndpointSelector{Zones: []string{"thies"}}}, {Name: "d", Select: EndpointSelector{Zones: []string{"dakar"}}}}}
+	o := NewPoolMembership(&set, 10*time.Second)
 	now := 100 * time.Second
-	first := o.ApplyList(now, balancer.CachedList, 1, []Entry{newEntry("warm", "thies", 0), newEntry("cold", "thies", 95*time.Second), newEntry("x", "mars", 0)})
+	first := o.ApplyList(now, balancer.CachedList, 1, []EndpointEntry{newEntry("warm", "thies", 0), newEntry("cold", "thies", 95*time.Second), newEntry("x", "mars", 0)})
 	testkit.Equal(t, "first list", map[int][]string{0: {"warm", "cold"}}, endpointsByPool(first))
-	moved := []Entry{newEntry("warm", "dakar", 0), newEntry("cold", "dakar", 95*time.Second)}
+	moved := []EndpointEntry{newEntry("warm", "dakar", 0), newEntry("cold", "dakar", 95*time.Second)}
 	testkit.Equal(t, "moved", map[int][]string{0: {"-warm", "-cold"}, 1: {"warm"}}, endpointsByPool(o.ApplyList(now+time.Second, balancer.DeltaList, 2, moved)))
-	testkit.Equal(t, "owners", []int{1, -1, -1}, []int{o.Pool("warm"), o.Pool("cold"), o.Pool("x")})
+	testkit.Equal(t, "owners", []int{1, -1, -1}, []int{o.PoolOf("warm"), o.PoolOf("cold"), o.PoolOf("x")})
 	_, next := o.ReleaseDue(now + 4*time.Second)
 	testkit.Equal(t, "due again", 105*time.Second, next)
 	// A list that comes before that does not release it either.
@@ -371,13 +371,13 @@
 	testkit.Equal(t, "not yet", []any{0, 105 * time.Second}, []any{len(due), next})
 	due, next = o.ReleaseDue(now + 5*time.Second)
 	testkit.Equal(t, "warm", []any{map[int][]string{1: {"cold"}}, time.Duration(0)}, []any{endpointsByPool(due), next})
-	testkit.Equal(t, "notes", []Note{{Event: NotSelected, Endpoint: "x"}, {Event: Moved, Endpoint: "warm", From: "t", To: "d"},
-		{Event: Reserved, Endpoint: "cold", From: "t", To: "d"}, {Event: Released, Endpoint: "cold", To: "d"}}, o.DrainNotes())
+	testkit.Equal(t, "notes", []MembershipEvent{{Type: NotSelected, Endpoint: "x"}, {Type: Moved, Endpoint: "warm", From: "t", To: "d"},
+		{Type: Reserved, Endpoint: "cold", From: "t", To: "d"}, {Type: Released, Endpoint: "cold", To: "d"}}, o.TakeEvents())
 	// One that changes pools with a restart belongs to the new pool at once.
 	restarted := newEntry("cold", "thies", 110*time.Second)
-	testkit.Equal(t, "restarted", map[int][]string{0: {"cold"}, 1: {"-cold"}}, endpointsByPool(o.ApplyList(now+11*time.Second, balancer.DeltaList, 4, []Entry{restarted})))
+	testkit.Equal(t, "restarted", map[int][]string{0: {"cold"}, 1: {"-cold"}}, endpointsByPool(o.ApplyList(now+11*time.Second, balancer.DeltaList, 4, []EndpointEntry{restarted})))
 	testkit.Equal(t, "selected by the pool that never had it", map[int][]string{0: {"x"}},
-		endpointsByPool(o.ApplyList(now+11*time.Second, balancer.DeltaList, 5, []Entry{newEntry("x", "thies", 110*time.Second)})))
+		endpointsByPool(o.ApplyList(now+11*time.Second, balancer.DeltaList, 5, []EndpointEntry{newEntry("x", "thies", 110*time.Second)})))
 }
 
 // ownerObserver applies the updates of pools and checks that no endpoint is in two of them.
@@ -434,18 +434,18 @@
 	drawPools := func(rt *rapid.T) *Set {
 		set := &Set{}
 		for i := range rapid.IntRange(1, 3).Draw(rt, "pools") {
-			set.Pools = append(set.Pools, Pool{Name: fmt.Sprint("p", i), Select: Select{Zones: drawSubset(rt, zones, 2, "zones")}})
+			set.Pools = append(set.Pools, Pool{Name: fmt.Sprint("p", i), Select: EndpointSelector{Zones: drawSubset(rt, zones, 2, "zones")}})
 		}
 		return set
 	}
 	testkit.Property(t, func(rt *rapid.T) {
 		set := drawPools(rt)
-		o := NewOwners(set, warmUp)
+		o := NewPoolMembership(set, warmUp)
 		now := 100 * time.Second
 		observer := &ownerObserver{t: rt, warmUp: warmUp, current: map[string]string{}, last: map[string]string{}, started: map[string]time.Duration{}}
 		for range rapid.IntRange(1, 15).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms")) * time.Millisecond
-			var entries []Entry
+			var entries []EndpointEntry
 			step := rapid.IntRange(0, 3).Draw(rt, "step")
 			for _, id := range drawSubset(rt, []string{"s1", "s2", "s3"}, 3, "servers") {
 				e := newEntry(id, rapid.SampledFrom(zones).Draw(rt, "zone"), observer.started[id])
@@ -460,7 +460,7 @@
 			case 0:
 				observer.apply(now, set, o.ApplyList(now, balancer.FullList, 1, entries), true)
 				maps.DeleteFunc(observer.last, func(id, _ string) bool { // one that is not listed any more starts over
-					return !slices.ContainsFunc(entries, func(e Entry) bool { return e.ID == id })
+					return !slices.ContainsFunc(entries, func(e EndpointEntry) bool { return e.ID == id })
 				})
 			case 1:
 				observer.apply(now, set, o.ApplyList(now, balancer.DeltaList, 1, entries), false)
@@ -481,7 +481,7 @@
 
 func TestSuccessorPools(t *testing.T) {
 	old := Set{Pools: []Pool{{Name: "kept"}, {Name: "renamed"}, {Name: "split"}, {Name: "gone"}}}
-	next := Set{Pools: []Pool{{Name: "z", Was: []string{"split"}}, {Name: "y", Was: []string{"split"}}, {Name: "new", Was: []string{"renamed"}}, {Name: "kept", Was: []string{"gone"}}}}
+	next := Set{Pools: []Pool{{Name: "z", FormerNames: []string{"split"}}, {Name: "y", FormerNames: []string{"split"}}, {Name: "new", FormerNames: []string{"renamed"}}, {Name: "kept", FormerNames: []string{"gone"}}}}
 	testkit.Equal(t, "successors", []int{3, 2, 1, -1}, SuccessorPools(&old, &next))
 }
 
@@ -492,7 +492,7 @@
 		most := rapid.IntRange(0, 6).Draw(rt, "attempts")
 		table, err := New(Set{Pools: []Pool{{Name: "a"}, {Name: "b", MaxOpen: 3}, {Name: "c", MaxWaiting: 2}},
 			Policies: []Policy{{Name: "q", Attempts: most, Fallback: []string{"c", "a", "b"}}}, Default: "r",
-			Routes: []Route{{Name: "r", Policy: "q", To: []SplitShare{{Pool: "a", PPM: Whole}}, MaxOpen: 9}}})
+			Routes: []Route{{Name: "r", Policy: "q", To: []SplitShare{{Pool: "a", PPM: TotalPPM}}, MaxOpen: 9}}})
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -501,7 +501,7 @@
 			uses[i] = Usage{rapid.IntRange(0, 4).Draw(rt, "open"), rapid.IntRange(0, 3).Draw(rt, "waiting")}
 		}
 		use := func(i int) Usage { return uses[i] }
-		d, _ := table.Decide(&Line{Key: "k"})
+		d, _ := table.Decide(&ConnectionAttributes{Key: "k"})
 		route := Usage{Open: rapid.IntRange(0, 10).Draw(rt, "open")}
 		progress, verdict := table.BeginRequest(d, route, use)
 		if (verdict == RouteFull) != (route.Open >= 9) {
@@ -519,8 +519,8 @@
 				rt.Fatalf("pool %d is tried twice, or full", progress.Pool)
 			}
 			seen[progress.Pool] = true
-			for n := rapid.IntRange(0, progress.Attempts(limit)).Draw(rt, "tries"); n > 0; n-- {
-				if got := progress.Number(total); got < 0 || got != progress.poolAttempts {
+			for n := rapid.IntRange(0, progress.AttemptsLeft(limit)).Draw(rt, "tries"); n > 0; n-- {
+				if got := progress.AttemptInPool(total); got < 0 || got != progress.poolAttempts {
 					rt.Fatalf("attempt %d has number %d", total, got)
 				}
 				progress.AttemptSent()
@@ -530,8 +530,8 @@
 				progress.AttemptEnded(never)
 			}
 			left := time.Duration(rapid.IntRange(0, 20).Draw(rt, "left"))
-			before := progress.Attempts(limit)
-			v := progress.NextPool(table, Rejection{Remaining: left, Slack: 5, AttemptLimit: limit, RepeatIsSafe: safe}, use)
+			before := progress.AttemptsLeft(limit)
+			v := progress.NextPool(table, Rejection{Remaining: left, MinRemaining: 5, AttemptLimit: limit, RetryIsSafe: safe}, use)
 			if v == Proceed && (left <= 5 || before == 0 || ran && !safe) {
 				rt.Fatalf("goes on with %v left, %d attempts, ran %v", left, before, ran)
 			}
@@ -546,7 +546,7 @@
 }
 
 func TestRequestProgressTimes(t *testing.T) {
-	progress := RequestProgress{Policy: Policy{Deadline: 2_000_000, ComeBackFrom: 500_000, ComeBackTo: 800_000}}
+	progress := RequestProgress{Policy: Policy{Deadline: 2_000_000, RetryAfterMin: 500_000, RetryAfterMax: 800_000}}
 	testkit.Equal(t, "deadlines", []time.Duration{3 * time.Second, 1500 * time.Millisecond},
 		[]time.Duration{progress.Deadline(time.Second, 60*time.Second), progress.Deadline(time.Second, 1500*time.Millisecond)})
 	testkit.Equal(t, "advice", []time.Duration{500 * time.Millisecond, 600 * time.Millisecond, 800 * time.Millisecond},
@@ -555,16 +555,16 @@
 
 func TestOverlap(t *testing.T) {
 	for _, c := range []struct {
-		a, b Select
+		a, b EndpointSelector
 		want bool
 	}{
-		{Select{}, Select{Zones: []string{"a"}}, true},
-		{Select{Zones: []string{"a"}}, Select{Zones: []string{"b"}}, false},
-		{Select{IDPrefixes: []string{"s-1"}}, Select{IDPrefixes: []string{"s-12", "x"}}, true},
-		{Select{IDPrefixes: []string{"s-1"}}, Select{IDPrefixes: []string{"s-2"}}, false},
-		{Select{SizeTo: 1}, Select{SizeFrom: 2}, false},
-		{Select{SizeTo: 2}, Select{SizeFrom: 2}, true},
-		{Select{Cells: []int{1, 2}, SizeTo: 0.5}, Select{Cells: []int{2}}, true},
+		{EndpointSelector{}, EndpointSelector{Zones: []string{"a"}}, true},
+		{EndpointSelector{Zones: []string{"a"}}, EndpointSelector{Zones: []string{"b"}}, false},
+		{EndpointSelector{IDPrefixes: []string{"s-1"}}, EndpointSelector{IDPrefixes: []string{"s-12", "x"}}, true},
+		{EndpointSelector{IDPrefixes: []string{"s-1"}}, EndpointSelector{IDPrefixes: []string{"s-2"}}, false},
+		{EndpointSelector{SizeTo: 1}, EndpointSelector{SizeFrom: 2}, false},
+		{EndpointSelector{SizeTo: 2}, EndpointSelector{SizeFrom: 2}, true},
+		{EndpointSelector{Cells: []int{1, 2}, SizeTo: 0.5}, EndpointSelector{Cells: []int{2}}, true},
 	} {
 		e, ok := c.a.Overlap(&c.b)
 		if ok != c.want || ok && (!c.a.Matches(e) || !c.b.Matches(e)) {
@@ -575,14 +575,14 @@
 
 func FuzzDecide(f *testing.F) {
 	table, err := New(Set{Pools: []Pool{{Name: "a"}, {Name: "b"}}, Default: "r", Routes: []Route{
-		{Name: "r", To: []SplitShare{{Pool: "a", PPM: Whole}}},
-		{Name: "s", To: []SplitShare{{Pool: "a", PPM: Whole / 2}, {Pool: "b", PPM: Whole / 2}}, Match: Match{Key: Strings{Prefix: []string{"k", "key"}}, Fields: map[string]Strings{"x": {Exact: []string{"1"}}}}}}})
+		{Name: "r", To: []SplitShare{{Pool: "a", PPM: TotalPPM}}},
+		{Name: "s", To: []SplitShare{{Pool: "a", PPM: TotalPPM / 2}, {Pool: "b", PPM: TotalPPM / 2}}, Match: Match{Key: StringMatcher{Prefix: []string{"k", "key"}}, Fields: map[string]StringMatcher{"x": {Exact: []string{"1"}}}}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add("key1", "", "1")
 	f.Fuzz(func(t *testing.T, key, group, x string) {
-		d, ok := table.Decide(&Line{Key: key, Group: group, Fields: []string{x}})
+		d, ok := table.Decide(&ConnectionAttributes{Key: key, Group: group, Fields: []string{x}})
 		want := 0
 		if strings.HasPrefix(key, "k") && x == "1" {
 			want = 1
@@ -597,8 +597,8 @@
 func largeTable(n int) *Table {
 	set := Set{Default: "r0", Pools: []Pool{{Name: "a"}, {Name: "b"}}}
 	for i := range n {
-		set.Routes = append(set.Routes, Route{Name: fmt.Sprint("r", i), To: []SplitShare{{Pool: "a", PPM: Whole / 4}, {Pool: "b", PPM: Whole / 4 * 3}},
-			Match: Match{Class: []string{classes[i%3]}, Group: Strings{Prefix: []string{fmt.Sprintf("%06x", i)}}}})
+		set.Routes = append(set.Routes, Route{Name: fmt.Sprint("r", i), To: []SplitShare{{Pool: "a", PPM: TotalPPM / 4}, {Pool: "b", PPM: TotalPPM / 4 * 3}},
+			Match: Match{Class: []string{classes[i%3]}, Group: StringMatcher{Prefix: []string{fmt.Sprintf("%06x", i)}}}})
 	}
 	t, err := New(set)
 	if err != nil {
@@ -609,7 +609,7 @@
 
 func TestDecideDoesNotAllocate(t *testing.T) {
 	table := largeTable(1000)
-	l := &Line{Class: "feed", Group: "00000301", Key: "k"}
+	l := &ConnectionAttributes{Class: "feed", Group: "00000301", Key: "k"}
 	if n := testing.AllocsPerRun(100, func() { table.Decide(l) }); n != 0 {
 		t.Errorf("%v allocations per decision", n)
 	}
@@ -619,10 +619,10 @@
 	for _, n := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			table := largeTable(n)
-			lines := make([]Line, 4096)
+			lines := make([]ConnectionAttributes, 4096)
 			for i := range lines {
 				k := (i * 7919) % n
-				lines[i] = Line{Class: classes[k%3], Group: fmt.Sprintf("%06x-%d", k, i), Key: fmt.Sprint("k", i)}
+				lines[i] = ConnectionAttributes{Class: classes[k%3], Group: fmt.Sprintf("%06x-%d", k, i), Key: fmt.Sprint("k", i)}
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/routing/rules.go
+++ b/internal/routing/rules.go
@@ -54,8 +54,8 @@
 }
 
 // patterns returns a condition's alternatives, sorted and each once. A condition that always holds has one, of any text.
-func patterns(s Strings) []pattern {
-	if s.Any() {
+func patterns(s StringMatcher) []pattern {
+	if s.MatchesAll() {
 		return []pattern{{length: anyText}}
 	}
 	var alternatives []pattern
@@ -77,8 +77,8 @@
 	for _, name := range t.FieldNames {
 		byDimension = append(byDimension, patterns(m.Fields[name]))
 	}
-	return append(byDimension, patterns(Strings{Exact: m.Class}), patterns(Strings{Exact: m.Listener}),
-		patterns(Strings{Exact: m.Zone}))
+	return append(byDimension, patterns(StringMatcher{Exact: m.Class}), patterns(StringMatcher{Exact: m.Listener}),
+		patterns(StringMatcher{Exact: m.Zone}))
 }
 
 // expandRoute returns the rules of a route: one for each combination of its conditions' alternatives. Their route is not set.
@@ -108,19 +108,19 @@
 		cmp.Compare(t.Set.Routes[a.route].Name, t.Set.Routes[b.route].Name))
 }
 
-// Ambiguity is the error of two routes that claim the same connections at the same precedence.
-type Ambiguity struct {
-	A    string // names of the routes
-	B    string
-	What string // description of the connections
+// AmbiguityError is the error of two routes that claim the same connections at the same precedence.
+type AmbiguityError struct {
+	RouteA      string // names of the routes
+	RouteB      string
+	Connections string // description of the connections
 }
 
-func (a Ambiguity) Error() string {
-	return fmt.Sprintf("routes %q and %q both claim %s, at the same precedence", a.A, a.B, a.What)
+func (a AmbiguityError) Error() string {
+	return fmt.Sprintf("routes %q and %q both claim %s, at the same precedence", a.RouteA, a.RouteB, a.Connections)
 }
 
 // Unwrap returns the error's kind.
-func (a Ambiguity) Unwrap() error { return ambiguousRoutes.New("", "") }
+func (a AmbiguityError) Unwrap() error { return ambiguousRoutes.New("", "") }
 
 // routePair is two routes, which are reported once even where several of their rules are equal.
 type routePair struct {
@@ -142,7 +142,7 @@
 		pair := routePair{first: a.route, second: b.route}
 		if !reported[pair] {
 			reported[pair] = true
-			errs = append(errs, Ambiguity{A: routeA.Name, B: routeB.Name, What: t.describeRule(b)})
+			errs = append(errs, AmbiguityError{RouteA: routeA.Name, RouteB: routeB.Name, Connections: t.describeRule(b)})
 		}
 	}
 	return errors.Join(errs...)
@@ -185,7 +185,7 @@
 }
 
 // matches reports whether a rule matches a line.
-func (t *Table) matches(r *rule, l *Line) bool {
+func (t *Table) matches(r *rule, l *ConnectionAttributes) bool {
 	for dimension, length := range r.lengths {
 		text := t.lineText(l, dimension)
 		switch {
@@ -200,7 +200,7 @@
 }
 
 // lineText returns a line's text in a dimension; "" for a field that the line lacks.
-func (t *Table) lineText(l *Line, dimension int) string {
+func (t *Table) lineText(l *ConnectionAttributes, dimension int) string {
 	switch dimension {
 	case keyDimension:
 		return l.Key
--- a/internal/routing/successors.go
+++ b/internal/routing/successors.go
@@ -6,7 +6,7 @@
 )
 
 // SuccessorPools returns, for each pool of an old set, the position of the pool in a new set that continues it; -1: none does.
-// Pools continue under their name, or under the name of a new pool whose Was has it. A pool that was split is continued by the
+// Pools continue under their name, or under the name of a new pool whose FormerNames has it. A pool that was split is continued by the
 // first of its successors by name; the others begin anew.
 func SuccessorPools(oldSet, newSet *Set) []int {
 	successors := make([]int, len(oldSet.Pools))
@@ -27,7 +27,7 @@
 			continue
 		}
 		for _, candidate := range byName {
-			if !taken[candidate] && slices.Contains(newSet.Pools[candidate].Was, pool.Name) {
+			if !taken[candidate] && slices.Contains(newSet.Pools[candidate].FormerNames, pool.Name) {
 				successors[i] = candidate
 				taken[candidate] = true
 				break
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -12,7 +12,7 @@
 // Table is a compiled Set. It is immutable.
 type Table struct {
 	Set        Set
-	FieldNames []string // the fields of Match.Fields that Line.Fields has to bring, in this order
+	FieldNames []string // the fields of Match.Fields that ConnectionAttributes.Fields has to bring, in this order
 
 	rules         []rule         // by precedence
 	shapes        []shape        // index of the rules, in the order of their first rules
@@ -20,7 +20,7 @@
 	targets       []target       // of the routes, as Set.Routes
 	sharedTargets []target       // the same, equal ones once
 	defaultRoute  int            // position in Set.Routes; -1: none
-	poolIndex     map[string]int // position in Set.Pools by name
+	poolIndexes   map[string]int // position in Set.Pools by name
 }
 
 // target is where a route's connections go.
@@ -34,11 +34,11 @@
 
 // Decision is where a connection goes. Numbers are positions in the Set's lists.
 type Decision struct {
-	Route  int
-	Pool   int
-	Policy int // -1: none
-	Rule   int // position among all rules; -1: the default route
-	Place  int // of the key in its route's split, in parts per million
+	Route         int
+	Pool          int
+	Policy        int // -1: none
+	Rule          int // position among all rules; -1: the default route
+	SplitPosition int // of the key in its route's split, in parts per million
 }
 
 // New compiles a set. The error joins everything that is wrong with it.
@@ -46,9 +46,9 @@
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	t := &Table{Set: set, FieldNames: set.fieldNames(), defaultRoute: -1, poolIndex: map[string]int{}}
+	t := &Table{Set: set, FieldNames: set.fieldNames(), defaultRoute: -1, poolIndexes: map[string]int{}}
 	for i, p := range set.Pools {
-		t.poolIndex[p.Name] = i
+		t.poolIndexes[p.Name] = i
 	}
 	t.compileRoutes()
 	slices.SortStableFunc(t.rules, t.compareRules)
@@ -95,14 +95,14 @@
 	if policy, ok := policies[r.Policy]; ok {
 		to.policy = policy
 		for _, name := range t.Set.Policies[policy].Fallback {
-			to.fallbacks = append(to.fallbacks, t.poolIndex[name])
+			to.fallbacks = append(to.fallbacks, t.poolIndexes[name])
 		}
 	}
 	slices.SortFunc(to.shares, func(a, b SplitShare) int { return cmp.Compare(a.Pool, b.Pool) })
 	end := 0
 	for _, share := range to.shares {
 		end += share.PPM
-		to.pools = append(to.pools, t.poolIndex[share.Pool])
+		to.pools = append(to.pools, t.poolIndexes[share.Pool])
 		to.ends = append(to.ends, uint32(end))
 	}
 	return to
@@ -118,24 +118,24 @@
 	return len(to.ends) - 1
 }
 
-// Place returns where in a split a connection lies, in parts per million, from 0 to below Whole. It follows from the group, or
+// SplitPosition returns where in a split a connection lies, in parts per million, from 0 to below TotalPPM. It follows from the group, or
 // else from the key, so that a group stays together. It is the same for every route and independent of their names, so that
 // renaming a route moves no connection.
 //
 // A split arranges its shares by pool name, one after the other. Where one share grows and no other does, it ends no earlier
 // and begins no later than before, so every key in it stays.
-func Place(l *Line) int {
+func SplitPosition(l *ConnectionAttributes) int {
 	text := l.Group
 	if text == "" {
 		text = l.Key
 	}
-	place, _ := bits.Mul64(xxhash.Sum64String(text), Whole)
+	place, _ := bits.Mul64(xxhash.Sum64String(text), TotalPPM)
 	return int(place)
 }
 
-// Pool returns a pool's position in the Set's list by its name; -1: there is none.
-func (t *Table) Pool(name string) int {
-	if i, ok := t.poolIndex[name]; ok {
+// PoolIndex returns a pool's position in the Set's list by its name; -1: there is none.
+func (t *Table) PoolIndex(name string) int {
+	if i, ok := t.poolIndexes[name]; ok {
 		return i
 	}
 	return -1
--- a/internal/routing/unreached.go
+++ b/internal/routing/unreached.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Unreached returns the routes that no connection in a space reaches, by name, each with the names of the routes that precede
+// UnreachedRoutes returns the routes that no connection in a space reaches, by name, each with the names of the routes that precede
 // it and claim some of its connections. The default route counts as reached. It fails with ErrTooManyCells.
-func (t *Table) Unreached(space Space) (map[string][]string, error) {
+func (t *Table) UnreachedRoutes(space MatchSpace) (map[string][]string, error) {
 	reached := map[int32]bool{}
 	d := newDiffer(t, &Table{defaultRoute: -1}, t.FieldNames, space)
 	d.visit = func(first *diffRule) {
--- a/internal/sitelang/references.go
+++ b/internal/sitelang/references.go
@@ -126,7 +126,7 @@
 	}
 	for _, collection := range []string{"listener", "policy", "pool", "route"} {
 		for _, m := range membersOf(r.site.member(collection)) {
-			if !routing.Nameable(m.name) {
+			if !routing.IsValidName(m.name) {
 				message := fmt.Sprintf("%s %q has a blank or a control character in its name", collection, m.name)
 				r.report(m.pos, Error, message, "figures and log lines name it")
 			}
--- a/internal/sitelang/route_check.go
+++ b/internal/sitelang/route_check.go
@@ -85,19 +85,19 @@
 // reportRoutingErrors reports the errors for which the routes do not compile, ambiguous routes at the second one.
 func (c *checker) reportRoutingErrors(site *node, err error) {
 	for _, e := range flattenErrors(err) {
-		var ambiguity routing.Ambiguity
+		var ambiguity routing.AmbiguityError
 		if !errors.As(e, &ambiguity) {
 			c.report(site.pos, Error, e.Error(), "")
 			continue
 		}
-		second := declaration(site, "route", ambiguity.B)
+		second := declaration(site, "route", ambiguity.RouteB)
 		c.report(second.pos, Error, ambiguity.Error(), "give one of them the higher precedence, or narrow it")
 	}
 }
 
 // checkUnreachedRoutes warns of routes whose connections all match other routes.
 func (c *checker) checkUnreachedRoutes(site *node, set *routing.Set, table *routing.Table) {
-	unreached, err := table.Unreached(SpaceOf(set, site.member("class").memberNames()))
+	unreached, err := table.UnreachedRoutes(SpaceOf(set, site.member("class").memberNames()))
 	if err != nil {
 		c.report(site.pos, Warning, "the routes are too many to look for some that are never reached: "+err.Error(), "")
 	}
@@ -168,8 +168,8 @@
 }
 
 // SpaceOf returns the classes, listeners and zones that a connection can have under a set of routes.
-func SpaceOf(set *routing.Set, classes []string) routing.Space {
-	space := routing.Space{Classes: classes, Listeners: []string{routing.MainListener}}
+func SpaceOf(set *routing.Set, classes []string) routing.MatchSpace {
+	space := routing.MatchSpace{Classes: classes, Listeners: []string{routing.MainListener}}
 	for name := range set.Listeners {
 		space.Listeners = append(space.Listeners, name)
 	}
--- a/internal/sitelang/site.go
+++ b/internal/sitelang/site.go
@@ -17,11 +17,11 @@
 
 // Site is a configuration that has been checked and compiled.
 type Site struct {
-	JSON     []byte         // the form that a proxy runs from
-	Files    []string       // all files that were read, the root first
-	Set      routing.Set    // pools, policies and routes, completed as a proxy does it
-	Table    *routing.Table // compiled from Set
-	Space    routing.Space  // what a connection can be, for comparisons of tables
+	JSON     []byte             // the form that a proxy runs from
+	Files    []string           // all files that were read, the root first
+	Set      routing.Set        // pools, policies and routes, completed as a proxy does it
+	Table    *routing.Table     // compiled from Set
+	Space    routing.MatchSpace // what a connection can be, for comparisons of tables
 	Settings balancer.Settings
 	Known    discovery.List // the endpoints that the configuration itself lists
 }
@@ -159,7 +159,7 @@
 			return fmt.Errorf("routing: %w", err)
 		}
 	}
-	s.Set = s.Set.Completed()
+	s.Set = s.Set.WithDefaults()
 	return nil
 }
 
--- a/internal/sitereport/diff.go
+++ b/internal/sitereport/diff.go
@@ -57,8 +57,8 @@
 }
 
 // unionSpace returns what a connection can be under either of two versions.
-func unionSpace(current, proposed *routing.Space) routing.Space {
-	space := routing.Space{
+func unionSpace(current, proposed *routing.MatchSpace) routing.MatchSpace {
+	space := routing.MatchSpace{
 		Classes:   union(current.Classes, proposed.Classes),
 		Listeners: union(current.Listeners, proposed.Listeners),
 	}
@@ -82,7 +82,7 @@
 	for i, pool := range current.Pools {
 		switch successor := successors[i]; {
 		case successor < 0:
-			out = append(out, fmt.Sprintf("pool %q is dropped: its connections have %s to leave", pool.Name, proposed.Drain()))
+			out = append(out, fmt.Sprintf("pool %q is dropped: its connections have %s to leave", pool.Name, proposed.EffectiveDrainTimeout()))
 		case proposed.Pools[successor].Name != pool.Name:
 			out = append(out, fmt.Sprintf("pool %q goes on as %q, with all that it knows", pool.Name, proposed.Pools[successor].Name))
 		}
@@ -110,7 +110,7 @@
 
 // describePoolOf names the pool that an endpoint belongs to.
 func (p *sitePools) describePoolOf(endpoint string) string {
-	pool := p.owners.Pool(endpoint)
+	pool := p.owners.PoolOf(endpoint)
 	if pool < 0 {
 		return "no pool"
 	}
@@ -122,7 +122,7 @@
 	moved := &MovedKeys{KeysPerClass: keysPerClass, LostBy: map[string]int{}, GainedBy: map[string]int{}}
 	for _, class := range classes {
 		for i := range keysPerClass {
-			connection := &routing.Line{Class: class, Key: "key-" + strconv.Itoa(i), Listener: routing.MainListener}
+			connection := &routing.ConnectionAttributes{Class: class, Key: "key-" + strconv.Itoa(i), Listener: routing.MainListener}
 			from := before.placement(connection)
 			to := after.placement(connection)
 			if from != to {
@@ -140,7 +140,7 @@
 
 // placement returns the first endpoint for a connection in the site's zone without further fields, that of a fallback pool if
 // its own has none.
-func (p *sitePools) placement(connection *routing.Line) string {
+func (p *sitePools) placement(connection *routing.ConnectionAttributes) string {
 	local := *connection
 	local.Zone = p.site.Settings.Zone
 	local.Fields = make([]string, len(p.site.Table.FieldNames))
--- a/internal/sitereport/explain.go
+++ b/internal/sitereport/explain.go
@@ -74,8 +74,8 @@
 }
 
 // newConnection returns what routing sees of a connection with this first line.
-func newConnection(site *sitelang.Site, open *lineprotocol.Open, listener string) *routing.Line {
-	connection := &routing.Line{Class: open.Class, Key: open.Key, Group: open.Group, Zone: site.Settings.Zone, Listener: listener}
+func newConnection(site *sitelang.Site, open *lineprotocol.Open, listener string) *routing.ConnectionAttributes {
+	connection := &routing.ConnectionAttributes{Class: open.Class, Key: open.Key, Group: open.Group, Zone: site.Settings.Zone, Listener: listener}
 	for _, name := range site.Table.FieldNames {
 		value, _ := open.Field(name) // a line without the field matches as one with the value ""
 		connection.Fields = append(connection.Fields, value)
@@ -92,15 +92,15 @@
 	e.Route = set.Routes[decision.Route].Name
 	e.Pool = set.Pools[decision.Pool].Name
 	e.Policy = progress.Policy.Name
-	e.SplitPosition = fmt.Sprintf("%s of the way through the split", routing.Percent(decision.Place))
+	e.SplitPosition = fmt.Sprintf("%s of the way through the split", routing.Percent(decision.SplitPosition))
 	for _, pool := range site.Table.Fallbacks(decision) {
 		e.Fallback = append(e.Fallback, set.Pools[pool].Name)
 	}
-	e.MaxAttempts = progress.Attempts(site.Settings.Limits.Attempts)
+	e.MaxAttempts = progress.AttemptsLeft(site.Settings.Limits.Attempts)
 }
 
 // addAttempts fills in the attempts, pool by pool until the policy has no other pool, and the conclusion.
-func (e *Explanation) addAttempts(pools *sitePools, progress *routing.RequestProgress, connection *routing.Line, deadline balancer.Instant) {
+func (e *Explanation) addAttempts(pools *sitePools, progress *routing.RequestProgress, connection *routing.ConnectionAttributes, deadline balancer.Instant) {
 	site := pools.site
 	attemptLimit := site.Settings.Limits.Attempts
 	previousPool := ""
--- a/internal/sitereport/pools.go
+++ b/internal/sitereport/pools.go
@@ -16,7 +16,7 @@
 // sitePools are the pools of a site, each with a balancer that knows the pool's part of an endpoint list.
 type sitePools struct {
 	site      *sitelang.Site
-	owners    *routing.Owners
+	owners    *routing.PoolMembership
 	balancers []*balancer.Balancer // by pool
 	now       balancer.Instant
 	requests  int // made by firstEndpoint so far, for their ids
@@ -25,7 +25,7 @@
 // newSitePools returns the pools in the state that a proxy of the site has after it received the list. Each balancer draws from
 // its pool's position as the seed, so the same list gives the same answers. It fails if the site's settings are not valid.
 func newSitePools(site *sitelang.Site, list *discovery.List, now balancer.Instant) (*sitePools, error) {
-	p := &sitePools{site: site, owners: routing.NewOwners(&site.Set, site.Settings.Rules.WarmUp), now: now}
+	p := &sitePools{site: site, owners: routing.NewPoolMembership(&site.Set, site.Settings.Rules.WarmUp), now: now}
 	for i, update := range p.owners.ApplyList(now, balancer.CachedList, list.Generation, list.Entries()) {
 		settings := site.Settings
 		settings.Subscribe = false // there is no discovery to ask
@@ -40,13 +40,13 @@
 }
 
 // newRequest returns a request for a connection.
-func newRequest(id string, connection *routing.Line, deadline balancer.Instant) balancer.Request {
+func newRequest(id string, connection *routing.ConnectionAttributes, deadline balancer.Instant) balancer.Request {
 	return balancer.Request{ID: id, Class: connection.Class, Key: connection.Key, Group: connection.Group, Deadline: deadline}
 }
 
 // firstEndpoint returns the endpoint that a pool tries first; "" if there is none. The request is taken back, so that the next
 // one finds the pool as it was.
-func (p *sitePools) firstEndpoint(pool int, connection *routing.Line) string {
+func (p *sitePools) firstEndpoint(pool int, connection *routing.ConnectionAttributes) string {
 	p.requests++
 	id := fmt.Sprint("k", p.requests)
 	b := p.balancers[pool]
@@ -66,10 +66,10 @@
 
 // attemptOrder returns the endpoints that the request's current pool tries in turn if each of them is full, and counts the
 // attempts in the request's progress.
-func (p *sitePools) attemptOrder(progress *routing.RequestProgress, connection *routing.Line, deadline balancer.Instant, attemptLimit int) []string {
+func (p *sitePools) attemptOrder(progress *routing.RequestProgress, connection *routing.ConnectionAttributes, deadline balancer.Instant, attemptLimit int) []string {
 	const requestID = "x"
 	request := newRequest(requestID, connection, deadline)
-	request.MaxAttempts = progress.Attempts(attemptLimit)
+	request.MaxAttempts = progress.AttemptsLeft(attemptLimit)
 	var endpoints []string
 	events := []balancer.Event{request}
 	for len(events) > 0 {
@@ -94,9 +94,9 @@
 	settings := &p.site.Settings
 	rejection := routing.Rejection{
 		Remaining:    deadline - p.now,
-		Slack:        settings.Rules.AnswerSlack,
+		MinRemaining: settings.Rules.AnswerSlack,
 		AttemptLimit: settings.Limits.Attempts,
-		RepeatIsSafe: true, // a full endpoint has executed nothing
+		RetryIsSafe:  true, // a full endpoint has executed nothing
 	}
 	return progress.NextPool(p.site.Table, rejection, noUsage) == routing.Proceed
 }
--- a/internal/testing/fleettest/configuration.go
+++ b/internal/testing/fleettest/configuration.go
@@ -44,7 +44,7 @@
 func routes(version uint64) json.RawMessage {
 	var set routing.Set
 	for _, pool := range poolNames {
-		set.Pools = append(set.Pools, routing.Pool{Name: pool, Select: routing.Select{Zones: []string{pool}}})
+		set.Pools = append(set.Pools, routing.Pool{Name: pool, Select: routing.EndpointSelector{Zones: []string{pool}}})
 	}
 	set.Routes = []routing.Route{
 		routeOfClass("contested", ContestedClass, contestedPool(version)),
@@ -61,8 +61,8 @@
 func routeOfClass(name, class, pool string) routing.Route {
 	return routing.Route{
 		Name:  name,
-		Match: routing.Match{Key: routing.Strings{Prefix: []string{class}}},
-		To:    []routing.SplitShare{{Pool: pool, PPM: routing.Whole}},
+		Match: routing.Match{Key: routing.StringMatcher{Prefix: []string{class}}},
+		To:    []routing.SplitShare{{Pool: pool, PPM: routing.TotalPPM}},
 	}
 }
 
--- a/internal/testing/samples/samples.go
+++ b/internal/testing/samples/samples.go
@@ -20,8 +20,8 @@
 
 // Publication returns a mesh's publication of a service and an alias.
 func Publication() catalog.Publication {
-	pool := routing.Pool{Name: "mail", Precedence: 2, Was: []string{"letters"}, MaxOpen: 100, MaxWaiting: 10,
-		Select: routing.Select{Zones: []string{"a"}, MachineTypes: []string{"m1"}, Cells: []int{1}, IDPrefixes: []string{"i-"},
+	pool := routing.Pool{Name: "mail", Precedence: 2, FormerNames: []string{"letters"}, MaxOpen: 100, MaxWaiting: 10,
+		Select: routing.EndpointSelector{Zones: []string{"a"}, MachineTypes: []string{"m1"}, Cells: []int{1}, IDPrefixes: []string{"i-"},
 			SizeFrom: 0.5, SizeTo: 4}}
 	return catalog.Publication{Mesh: "thies", Epoch: 4, Seq: 12,
 		Services: []catalog.Service{{Name: "mail", Owner: "post", Contract: "c1", Zones: []string{"a"}, Class: "bulk",
