--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -196,7 +196,7 @@
 		l.wanted = fleetconfig.PrepareVersion{}
 		l.prepared = prepared
 		l.log.Info("fleet: version prepared", zap.Uint64("version", prepared.number),
-			zap.Uint64("estimated_bytes", prepared.estimate.Live))
+			zap.Uint64("estimated_bytes", prepared.estimate.LiveBytes))
 		l.host.handle(fleetconfig.PrepareDone{Number: version.Number})
 	}
 }
