--- a/internal/catalog/validate_services.go
+++ b/internal/catalog/validate_services.go
@@ -35,7 +35,7 @@
 		return false
 	}
 	if repeated := repeatedMesh(mesh, s); repeated != "" {
-		v.add(Reexport, mesh, s.Name, "service %s comes from %s through %s: it passes %s twice", s.Name, s.Origin,
+		v.add(ReexportLoop, mesh, s.Name, "service %s comes from %s through %s: it passes %s twice", s.Name, s.Origin,
 			strings.Join(append(slices.Clone(s.Via), mesh), ", "), repeated)
 		return false
 	}
@@ -64,13 +64,13 @@
 
 // invalidity returns what is wrong with a service's record, for a finding; nil where it is valid.
 func invalidity(s *Service) (kind *apperror.Kind, text string) {
-	if !Nameable(s.Name) {
+	if !ValidName(s.Name) {
 		return BadName, fmt.Sprintf("service %.140q is malformed as a name", s.Name)
 	}
 	pool := &s.Pool
 	selector := &s.Pool.Select
 	texts := []string{s.Name, s.Owner, s.Contract, s.Class, s.Origin, pool.Name}
-	for _, list := range [][]string{texts, s.Zones, s.Via, pool.Was, selector.Zones, selector.MachineTypes, selector.IDPrefixes} {
+	for _, list := range [][]string{texts, s.Zones, s.Via, pool.FormerNames, selector.Zones, selector.MachineTypes, selector.IDPrefixes} {
 		if len(list) > maxListEntries || slices.ContainsFunc(list, func(text string) bool {
 			return len(text) > maxTextBytes || !utf8.ValidString(text)
 		}) {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -88,14 +88,14 @@
 	if record.Node != nil {
 		f.Node = *record.Node
 	}
-	if f.Node == "" || len(f.Node) > fleetconfig.MaxNodeNameBytes || !routing.Nameable(f.Node) {
+	if f.Node == "" || len(f.Node) > fleetconfig.MaxNodeNameBytes || !routing.IsValidName(f.Node) {
 		faults.add("node", "%q is empty, over %d bytes, or has a blank or a control character", f.Node, fleetconfig.MaxNodeNameBytes)
 	}
 	if record.Mesh == nil {
 		return
 	}
 	f.Mesh = *record.Mesh
-	if !catalog.Nameable(f.Mesh) {
+	if !catalog.ValidName(f.Mesh) {
 		// The text shows as much of the name as tells what is wrong with it.
 		faults.add("mesh", "%.140q is empty, over 128 bytes, or has a dot, a blank or a control character", f.Mesh)
 	}
