--- a/internal/fleetconfig/agreement_test.go
+++ b/internal/fleetconfig/agreement_test.go
@@ -14,11 +14,11 @@
 	switches, comparisons := 0, 0
 	testkit.Property(t, func(t *rapid.T) {
 		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), conditions{
-			proxies: rapid.IntRange(2, 5).Draw(t, "proxies"),
-			loss:    rapid.IntRange(0, 300).Draw(t, "loss"),
-			delay:   time.Duration(rapid.IntRange(0, 60).Draw(t, "delay")) * time.Millisecond,
-			disk:    time.Duration(rapid.IntRange(0, 1000).Draw(t, "disk")) * time.Millisecond,
-			drift:   rapid.SampledFrom([]int64{1, 1000, 30_000, 100_000}).Draw(t, "drift"),
+			proxies:        rapid.IntRange(2, 5).Draw(t, "proxies"),
+			lossPerMille:   rapid.IntRange(0, 300).Draw(t, "loss"),
+			maxDelay:       time.Duration(rapid.IntRange(0, 60).Draw(t, "delay")) * time.Millisecond,
+			maxCommitDelay: time.Duration(rapid.IntRange(0, 1000).Draw(t, "disk")) * time.Millisecond,
+			maxDriftPPM:    rapid.SampledFrom([]int64{1, 1000, 30_000, 100_000}).Draw(t, "drift"),
 		}, wrappers{})
 		sim.run(20 * time.Second)
 		if sim.violation == "" {
@@ -51,7 +51,7 @@
 	memberTimeout := time.Duration(1+seed%4*3) * second
 	c := &unreachableCase{
 		seed: seed,
-		sim:  newSimulation(seed, conditions{proxies: 3, delay: 20 * time.Millisecond, drift: 1000}, wrappers{}),
+		sim:  newSimulation(seed, conditions{proxies: 3, maxDelay: 20 * time.Millisecond, maxDriftPPM: 1000}, wrappers{}),
 		terms: Terms{
 			AgreementTimeout: min(memberTimeout, 2*second),
 			MemberTimeout:    memberTimeout,
--- a/internal/fleetconfig/body.go
+++ b/internal/fleetconfig/body.go
@@ -9,10 +9,10 @@
 	"io"
 )
 
-// MaxBodyBytes is the most bytes that a body's settings, routing and catalog may have together.
+// MaxBodyBytes is the maximum combined size of a body's settings, routing and catalog, in bytes.
 const MaxBodyBytes = 64 << 20
 
-// digestFormat starts the digested bytes, so that a later encoding cannot collide with this one.
+// digestFormat starts the hashed bytes, so that a digest of a later encoding cannot collide with one of this encoding.
 const digestFormat = "micafront body 1"
 
 // Body is the content of a version. Two bodies with the same digest lead to the same decisions.
@@ -24,9 +24,9 @@
 	Fleet     Terms           `json:"fleet"`
 }
 
-// Digest is the SHA-256 of the body in hexadecimal. It covers the canonical form of each part (compact, with the escapes
+// Digest returns the SHA-256 of the body in hexadecimal. It covers the canonical form of each part (compact, with the escapes
 // that encoding/json writes), so both ends of a transport compute the same digest. A part that is not valid JSON is
-// digested as it is.
+// hashed unchanged.
 func (b Body) Digest() string {
 	hash := sha256.New() // its Write never fails
 	writeNumber := func(number uint64) {
@@ -51,8 +51,8 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// Validated validates the body and returns its canonical form: each part compacted, null as absent, and defaults filled
-// into the terms. It fails with BadBody, BadTerms or TooLarge. place says in errors where the body comes from.
+// Validated checks the body and returns its canonical form: compact JSON, null parts removed, and defaults filled into
+// the terms. It returns BadBody, BadTerms or TooLarge if the body is invalid; place names the body's source in the error.
 func (b Body) Validated(place string) (Body, error) {
 	size := 0
 	for _, part := range []struct {
@@ -80,7 +80,7 @@
 	return b, err
 }
 
-// canonicalJSON compacts a JSON text and escapes it as encoding/json does. Empty text and null become nil.
+// canonicalJSON compacts a JSON text and escapes it as encoding/json does. It returns nil for an empty text and for null.
 func canonicalJSON(raw json.RawMessage) (json.RawMessage, error) {
 	if len(raw) == 0 {
 		return nil, nil
@@ -96,5 +96,5 @@
 	return escaped.Bytes(), nil
 }
 
-// Size is the number of bytes in the body's JSON parts.
+// Size returns the number of bytes in the body's JSON parts.
 func (b Body) Size() int { return len(b.Settings) + len(b.Routing) + len(b.Catalog) }
--- a/internal/fleetconfig/commands.go
+++ b/internal/fleetconfig/commands.go
@@ -18,12 +18,12 @@
 	MeshChange *federation.Change `json:"mesh,omitempty"`
 }
 
-// Propose proposes a version. It is rejected while another version is proposed, or where Base is not the active version.
-// The first version of a fleet becomes active at once.
+// Propose proposes a version. It is rejected while another version is proposed, or if Base is set and is not the active
+// version. The first version of a fleet becomes active at once.
 type Propose struct {
-	ID         string `json:"id"`                    // makes the command idempotent: a repeat gets the first answer
-	Base       uint64 `json:"base,omitempty"`        // the version that the change was made on; 0: any
-	RollbackOf uint64 `json:"rollback_of,omitempty"` // take the body of this earlier version; Body is then nil
+	ID         string `json:"id"`                    // makes the command idempotent: a repeated command gets the first answer
+	Base       uint64 `json:"base,omitempty"`        // the version that the change is based on; 0: any
+	RollbackOf uint64 `json:"rollback_of,omitempty"` // reuses the body of this earlier version; Body must be nil
 	ProposedBy string `json:"by,omitempty"`
 	Reason     string `json:"why,omitempty"`
 	Body       *Body  `json:"body,omitempty"`
@@ -31,15 +31,16 @@
 	Force bool `json:"force,omitempty"`
 }
 
-// Activate makes the proposed version active. Excluded names the nodes that it was forced past.
+// Activate makes the proposed version active. Excluded names the nodes that rejected it, if it was forced.
 type Activate struct {
 	Number   uint64   `json:"number"`
 	Excluded []string `json:"stranded,omitempty"`
-	// SettledVersion is the active version's number where all leases of earlier versions have expired; else 0.
+	// SettledVersion is the number of the version that was active until now if all leases of versions before that one
+	// have expired; otherwise 0.
 	SettledVersion uint64 `json:"settled,omitempty"`
 }
 
-// Withdraw drops the proposed version, for an operator or because nodes rejected it.
+// Withdraw removes the proposed version, on an operator's request or because nodes rejected it.
 type Withdraw struct {
 	Number     uint64               `json:"number"`
 	Reason     string               `json:"why"`
@@ -48,21 +49,21 @@
 
 // AddMember registers a node's process before its first lease, so that no version becomes active without it. An earlier
 // process of the node stays a member until it has been unresponsive for MemberTimeout or reports that it drains, since it
-// may still act. An incarnation below a registered one is rejected.
+// may still place connections. An incarnation below a registered one is rejected.
 type AddMember struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// RemoveMember removes a process that drains, was unresponsive for long, or was superseded. JoinIndex names the membership
-// that it ends, so that a repeated command does not end a later one; 0: any.
+// RemoveMember removes a process that drains, was superseded, or was unresponsive for many member timeouts. JoinIndex
+// identifies the membership to end, so that a repeated command does not end a later membership; 0: any.
 type RemoveMember struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
 	JoinIndex   uint64 `json:"joined,omitempty"`
 }
 
-// Answer is the result of a command. Err is an *apperror.Error, or nil where the command was applied.
+// Answer is the result of a command. Err is an *apperror.Error, or nil if the command was applied.
 type Answer struct {
 	Number uint64 `json:"number,omitempty"` // of the version, or the endpoint list, that the command concerns
 	Err    error  `json:"-"`
--- a/internal/fleetconfig/errors.go
+++ b/internal/fleetconfig/errors.go
@@ -4,13 +4,13 @@
 
 // Kinds of errors in commands, bodies, terms and snapshots. The names are stored with answers and sent to clients.
 var (
-	// StaleBase means that a proposal was made on a version that is not active.
+	// StaleBase means that a proposal is based on a version that is not active.
 	StaleBase = apperror.NewKind("agreement/stale-base",
 		"look at the version that is active now, make the change on it and propose again with its number as base")
 	// AlreadyProposed means that another version is proposed.
 	AlreadyProposed = apperror.NewKind("agreement/already-proposed",
 		"wait until the proposed version is active, or withdraw it; GET /v1/status of a replica names the nodes that block it")
-	// UnknownVersion means that a rollback names a version that is not kept, was withdrawn, or never was.
+	// UnknownVersion means that a rollback names a version that is no longer kept, was withdrawn, or never existed.
 	UnknownVersion = apperror.NewKind("agreement/unknown-version",
 		"take a number from the control plane's list of versions; propose the body itself where its version is no longer kept")
 	// BadTerms means that Terms are out of bounds.
@@ -22,7 +22,7 @@
 	// TooLarge means that a body or a text is above its limit.
 	TooLarge = apperror.NewKind("agreement/too-large",
 		"make what is named smaller: fewer routes or names in a version, a shorter text in a command")
-	// BrokenSnapshot means that a snapshot is damaged, inconsistent, or of another release.
+	// BrokenSnapshot means that a snapshot is damaged, inconsistent, or in the format of another release.
 	BrokenSnapshot = apperror.NewKind("agreement/broken-snapshot",
 		"keep this replica's data folder for a report and start it on an empty one with --rejoin, while all others are up")
 	// NotProposed means that the version to activate or withdraw is not the proposed one.
@@ -34,24 +34,24 @@
 	// BadCommand means that a command, or a name in it, is invalid.
 	BadCommand = apperror.NewKind("agreement/bad-command",
 		"run replicas and tools of one release: the command is not one that this replica knows")
-	// OldCommand means that the command, or a later one, was applied before.
+	// OldCommand means that the command, or a later one, has already been applied.
 	OldCommand = apperror.NewKind("agreement/old-command",
 		"restart this replica: its log gave a command again that its state has already applied")
 	// TooManyMembers means that the fleet has as many members as the state may hold.
 	TooManyMembers = apperror.NewKind("agreement/too-many-members",
 		"find out what joins under ever new node names, and give each proxy one name that it keeps over restarts")
-	// NotMember means that the process to remove is no member, or was added again.
+	// NotMember means that the process to remove is not a member, or was added again.
 	NotMember = apperror.NewKind("agreement/not-member",
 		"nothing to do: the node has parted already, or has joined again since")
 )
 
-// ownKinds are the kinds that a stored answer may have.
-var ownKinds = []*apperror.Kind{StaleBase, AlreadyProposed, UnknownVersion, BadTerms, BadBody, TooLarge, BrokenSnapshot,
+// answerKinds are the kinds of errors that a stored answer may have.
+var answerKinds = []*apperror.Kind{StaleBase, AlreadyProposed, UnknownVersion, BadTerms, BadBody, TooLarge, BrokenSnapshot,
 	NotProposed, OldIncarnation, BadCommand, OldCommand, TooManyMembers, NotMember}
 
-// kindByName returns the kind of that name, or nil.
+// kindByName returns the kind with that name, or nil if there is none.
 func kindByName(name string) *apperror.Kind {
-	for _, k := range ownKinds {
+	for _, k := range answerKinds {
 		if k.Name == name {
 			return k
 		}
--- a/internal/fleetconfig/faulty_parts_test.go
+++ b/internal/fleetconfig/faulty_parts_test.go
@@ -13,14 +13,14 @@
 		LeaseService
 		unrestricted *LeaseManager
 	}
-	earlyCountingManager struct{ LeaseService }  // counts the time before its election
-	activeTimeoutState   struct{ *StateMachine } // waits only for the active version's MemberTimeout
-	unleasedClient       struct{ Leaseholder }   // acts without a lease
-	uncontestedClient    struct{ Leaseholder }   // takes no connection for contested
-	forceIgnoringClient  struct{ Leaseholder }   // does not know that a version is forced
-	unconfirmingClient   struct{ Leaseholder }   // does not report accepted leases
-	confirmingManager    struct{ *LeaseManager } // takes each lease for confirmed
-	latestOnlyState      struct{ *StateMachine } // forgets a superseded process at once
+	earlyCountingManager   struct{ LeaseService }  // counts the time before its election
+	activeTimeoutState     struct{ *StateMachine } // waits only for the active version's MemberTimeout
+	unleasedClient         struct{ Leaseholder }   // acts without a lease
+	conflictIgnoringClient struct{ Leaseholder }   // takes no connection for contested
+	forceIgnoringClient    struct{ Leaseholder }   // does not know that a version is forced
+	unconfirmingClient     struct{ Leaseholder }   // does not report accepted leases
+	confirmingManager      struct{ *LeaseManager } // takes each lease for confirmed
+	latestOnlyState        struct{ *StateMachine } // forgets a superseded process at once
 )
 
 func (h impatientManager) DueCommands(now time.Duration) []Command {
@@ -95,7 +95,7 @@
 	return p
 }
 
-func (i uncontestedClient) Authorize(now time.Duration, _ func() bool) Authorization {
+func (i conflictIgnoringClient) Authorize(now time.Duration, _ func() bool) Authorization {
 	return i.Leaseholder.Authorize(now, func() bool { return false })
 }
 
@@ -115,7 +115,7 @@
 		"takes each lease for confirmed":           {0, wrappers{leases: func(m *LeaseManager, _ *StateMachine) LeaseService { return confirmingManager{m} }}},
 		"does not know that a version is forced":   {0, wrappers{client: func(f Leaseholder) Leaseholder { return forceIgnoringClient{f} }}},
 		"forgets a superseded process":             {30, wrappers{state: func(b *StateMachine) ReplicatedState { return latestOnlyState{b} }}},
-		"takes no connection for contested":        {0, wrappers{client: func(f Leaseholder) Leaseholder { return uncontestedClient{f} }}},
+		"takes no connection for contested":        {0, wrappers{client: func(f Leaseholder) Leaseholder { return conflictIgnoringClient{f} }}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const seeds = 200
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -112,7 +112,7 @@
 		{"answered", proposalOutcome{ID: "change-1", Number: 7, Kind: "agreement/bad-body", Place: "proposal", Cause: "it has no body"},
 			`{"id":""}`},
 		{"member", Member{Node: "proxy-1", Incarnation: 4, JoinIndex: 20}, `{"node":"","incarnation":0,"joined":0}`},
-		{"record", HistoryEntry{Index: 21, Number: 7, Step: stepWithdraw, Reason: "nodes refuse it", Rejections: goldenWithdraw().Rejections},
+		{"record", HistoryEntry{Index: 21, Number: 7, Step: stepWithdrawn, Reason: "nodes refuse it", Rejections: goldenWithdraw().Rejections},
 			`{"index":0,"number":0,"step":""}`},
 		{"node_status", NodeStatus{Renewal: goldenRenewal(), SinceRenewal: 350 * time.Millisecond, Unresponsive: true, Unreachable: true,
 			BlocksProposal: true}, `{` + renewal + `,"heard":0,"silent":false,"deaf":false,"holds_up":false}`},
@@ -299,7 +299,7 @@
 func TestGoldenTexts(t *testing.T) {
 	for _, tc := range []struct{ got, want string }{
 		{string(RejectOnExpiry), "hold"}, {string(ServeOnExpiry), "serve"},
-		{stepProposed, "proposed"}, {stepActive, "active"}, {stepWithdraw, "withdrawn"},
+		{stepProposed, "proposed"}, {stepActive, "active"}, {stepWithdrawn, "withdrawn"},
 		{string(Starting), "starting"}, {string(Leased), "leased"}, {string(Expired), "lapsed"}, {string(Disconnected), "blind"},
 		{string(Excluded), "stranded"}, {string(Draining), "leaving"},
 	} {
--- a/internal/fleetconfig/lease_client.go
+++ b/internal/fleetconfig/lease_client.go
@@ -7,15 +7,15 @@
 
 // LeaseClient implements Leaseholder: it renews its lease, prepares and switches versions, and authorizes connections.
 //
-// What it knows rests on the latest lease that it accepted. For KnowledgeDuration after that renewal was sent, only that
-// lease's active version and the versions acknowledged since can be active: the control plane activates another one only
-// with this process's acknowledgment, or after it was unresponsive for longer. A version counts as acknowledged from when
-// it is prepared, before any renewal reports it, and a rejected one that is forced from when it was rejected.
+// The latest accepted lease determines which versions can be active. For KnowledgeDuration after its renewal was sent,
+// these are the lease's active version and the versions that this process has acknowledged since: the control plane
+// activates any other version only after the process has been unresponsive for longer. A version counts as acknowledged as
+// soon as it is prepared, before any renewal reports it; a forced version counts as acknowledged also once it is rejected.
 type LeaseClient struct {
 	node        string
 	incarnation uint64
 	ownTerms    Terms
-	jitter      uint64 // of jitterSteps
+	jitterStep  uint64 // below jitterSteps; from the node's name
 	started     bool
 	startedAt   time.Duration // time of the first call
 
@@ -26,15 +26,15 @@
 	renewalSentAt   time.Duration
 	renewalDeadline time.Duration
 	nextRenewal     time.Duration
-	failures        int    // in a row
-	lastAnsweredSeq uint64 // of the renewal whose lease was accepted last
+	failures        int    // consecutive
+	lastAnsweredSeq uint64 // Seq of the renewal that brought the last accepted lease
 
 	// The latest accepted lease.
 	hasLease        bool
 	latestLease     Lease
 	leaseSentAt     time.Duration // when its renewal was sent
 	leaseExpiry     time.Duration // end of the lease on activeVersion
-	knowledgeExpiry time.Duration // until when the latest lease tells which versions can be active
+	knowledgeExpiry time.Duration // until then the latest lease determines which versions can be active
 
 	// Versions.
 	activeVersion    uint64 // the one that this process acts on
@@ -62,7 +62,7 @@
 var _ Leaseholder = (*LeaseClient)(nil)
 
 // NewLeaseClient returns a LeaseClient that has no version yet. ownTerms, from the node's own settings, apply until a lease
-// brings others; where they are not valid the defaults take their place.
+// carries others; if they are invalid, the defaults apply.
 func NewLeaseClient(node string, incarnation uint64, ownTerms Terms) *LeaseClient {
 	terms, err := ownTerms.WithDefaults(node)
 	if err != nil {
@@ -74,13 +74,13 @@
 		node:          node,
 		incarnation:   incarnation,
 		ownTerms:      terms,
-		jitter:        hash.Sum64() % jitterSteps,
+		jitterStep:    hash.Sum64() % jitterSteps,
 		rejections:    map[uint64]Rejection{},
 		reportedState: Starting,
 	}
 }
 
-// ensureStarted notes the time of the first call.
+// ensureStarted records the time of the first call.
 func (c *LeaseClient) ensureStarted(now time.Duration) {
 	if !c.started {
 		c.started = true
@@ -89,7 +89,7 @@
 	}
 }
 
-// terms are those of the active version, as far as it is known, or the node's own.
+// terms returns the terms of the active version that the latest lease names, or the node's own if there is none.
 func (c *LeaseClient) terms() Terms {
 	if c.hasLease && c.latestLease.ActiveVersion != 0 {
 		return c.latestLease.Terms
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// startDrain discards all versions in preparation. Only renewals that report the drain go on.
+// startDrain discards the prepared version and the one in preparation. Renewals continue only to report the drain.
 func (c *LeaseClient) startDrain() []Action {
 	if c.draining {
 		return nil
@@ -143,7 +143,8 @@
 	return append(discard(&c.preparingVersion), discard(&c.preparedVersion)...)
 }
 
-// armTimer asks for the next turn: to renew, to give up a renewal, at a change of state, or to prepare again.
+// armTimer sets the timer for the next step: a renewal, the deadline of one, the end of the lease or of what it tells about
+// active versions, or another attempt to prepare a rejected version.
 func (c *LeaseClient) armTimer(now time.Duration) []Action {
 	next := c.nextRenewal
 	if c.renewing {
--- a/internal/fleetconfig/lease_client_renewal.go
+++ b/internal/fleetconfig/lease_client_renewal.go
@@ -6,26 +6,27 @@
 	renewalsPerLease       = 4                      // in a LeaseDuration
 	answerTimeoutsPerLease = 6                      // in a LeaseDuration
 	immediateAttempts      = 5                      // replicas that are tried without a pause
-	maxRenewalPause        = 5 * time.Second        // while no replica answers, so that recovery is noticed soon
-	minRenewalInterval     = 500 * time.Microsecond // whatever the terms
-	jitterSteps            = uint64(1000)           // in which a node's jitter is measured
-	jitterFraction         = 8                      // the jitter shortens an interval by up to one in so many parts
+	maxRenewalPause        = 5 * time.Second        // bounds how long a recovered replica goes unnoticed
+	minRenewalInterval     = 500 * time.Microsecond // under any terms
+	jitterSteps            = uint64(1000)           // resolution of a node's jitter
+	jitterFraction         = 8                      // the jitter shortens an interval by up to 1/jitterFraction
 )
 
-// renewalInterval is the time between renewals. The jitter, from the node's name, keeps proxies from renewing in step.
+// renewalInterval returns the time between renewals. The jitter, derived from the node's name, keeps proxies from renewing
+// at the same times.
 func (c *LeaseClient) renewalInterval() time.Duration {
 	interval := c.terms().LeaseDuration() / renewalsPerLease
-	jitter := interval / jitterFraction * time.Duration(c.jitter) / time.Duration(jitterSteps)
+	jitter := interval / jitterFraction * time.Duration(c.jitterStep) / time.Duration(jitterSteps)
 	return max(interval-jitter, minRenewalInterval)
 }
 
-// answerTimeout is how long to wait for an answer. With a renewal each quarter of a lease and two replicas that time out
-// in turn, a third one is tried 7/12 of a lease after the last renewal that was answered.
+// answerTimeout returns how long to wait for an answer. A renewal is due a quarter of a lease after the last answered one;
+// if two replicas then time out in turn, a third one is tried 7/12 of a lease after the last answered renewal.
 func (c *LeaseClient) answerTimeout() time.Duration {
 	return max(c.terms().LeaseDuration()/answerTimeoutsPerLease, minRenewalInterval)
 }
 
-// renew sends a renewal where one is due and none is in progress.
+// renew sends a renewal if one is due and none is in progress.
 func (c *LeaseClient) renew(now time.Duration) []Action {
 	due := c.renewNow || now >= c.nextRenewal
 	if c.renewing || c.drainConfirmed || !due {
@@ -36,7 +37,7 @@
 	c.drainSent = c.draining
 	c.seq++
 	c.renewalSentAt = now
-	c.renewalDeadline = now + 2*c.answerTimeout() // a safeguard: the caller reports RenewalFailed sooner
+	c.renewalDeadline = now + 2*c.answerTimeout() // fallback: the caller normally reports RenewalFailed earlier
 	renewal := Renewal{
 		Node:            c.node,
 		Incarnation:     c.incarnation,
@@ -47,7 +48,7 @@
 		Headroom:        c.headroom,
 		Draining:        c.draining,
 	}
-	// Where both versions were rejected, the proposed one is reported.
+	// If both versions were rejected, the proposed one is reported.
 	for _, number := range []uint64{c.latestLease.ActiveVersion, c.latestLease.ProposedVersion} {
 		if rejection, ok := c.rejections[number]; ok {
 			renewal.RejectedVersion = number
@@ -57,8 +58,9 @@
 	return []Action{SendRenewal{renewal, c.failures, c.answerTimeout()}}
 }
 
-// handleFailure notes a renewal without an answer. The next replica is tried at once until all can be taken to have been
-// tried; then once per interval, with exponential backoff while the active version is unknown.
+// handleFailure records a renewal without a valid answer. The next replica is tried at once until immediateAttempts
+// renewals have failed in a row, by when all replicas have presumably been tried. Then one is tried per renewal interval,
+// with exponential backoff while the active version is unknown.
 func (c *LeaseClient) handleFailure(now time.Duration) {
 	c.renewing = false
 	c.failures++
@@ -72,7 +74,8 @@
 	c.nextRenewal = now + pause
 }
 
-// backoff doubles a pause with each failure beyond immediateAttempts, up to half of MemberTimeout or maxRenewalPause.
+// backoff doubles a pause with each failure beyond immediateAttempts, up to the smaller of half of MemberTimeout and
+// maxRenewalPause. It never shortens the pause.
 func (c *LeaseClient) backoff(pause time.Duration) time.Duration {
 	longest := max(pause, min(c.terms().MemberTimeout/2, maxRenewalPause))
 	for i := immediateAttempts; i < c.failures && pause < longest; i++ {
@@ -81,12 +84,12 @@
 	return min(pause, longest)
 }
 
-// handleLease accepts a lease that answers the renewal in progress and is not older than what is known. Any other answer
-// to that renewal is a failure: the next replica is tried.
+// handleLease accepts a lease that answers the renewal in progress and is not outdated. Any other answer to that renewal
+// counts as a failure, and the next replica is tried.
 func (c *LeaseClient) handleLease(now time.Duration, event LeaseGranted) []Action {
 	lease := event.Lease
 	if !c.renewing || lease.Seq != c.seq || lease.Node != c.node || lease.Incarnation != c.incarnation {
-		return nil // it answers a renewal that was given up, or another process
+		return nil // it answers an abandoned renewal, or one of another process
 	}
 	terms, err := lease.Terms.WithDefaults("lease")
 	invalidTerms := lease.ActiveVersion != 0 && err != nil // no replica of this release sends them
@@ -118,7 +121,7 @@
 	return actions
 }
 
-// outdated reports whether a lease contradicts the renewal in progress, what is known already, or itself.
+// outdated reports whether a lease contradicts the renewal in progress, an earlier lease, or itself.
 func (c *LeaseClient) outdated(now time.Duration, event LeaseGranted) bool {
 	lease := event.Lease
 	switch {
--- a/internal/fleetconfig/lease_client_state.go
+++ b/internal/fleetconfig/lease_client_state.go
@@ -11,7 +11,7 @@
 	maxRetryAfter = time.Second
 )
 
-// state is the present state, which Authorize decides by.
+// state returns the current state, by which Authorize decides.
 func (c *LeaseClient) state(now time.Duration) LeaseState {
 	lease := c.latestLease
 	behind := lease.ActiveVersion != c.activeVersion
@@ -21,18 +21,18 @@
 	case c.draining:
 		return Draining
 	case c.activeVersion != 0 && now < c.leaseExpiry:
-		return Leased // also where a later version is known to be active: until the lease ends the bound is kept
+		return Leased // also if a later version is known to be active: the agreement bound holds until the lease ends
 	case c.hasLease && behind && (lease.Excluded || activeRejected):
 		return Excluded
 	case c.activeVersion == 0:
 		return Starting
 	case behind, now >= c.knowledgeExpiry, proposedRejected && lease.Forced:
-		return Disconnected // a version may be active that this process cannot compare with its own
+		return Disconnected // the version that is active may be one that this process cannot compare with its own
 	}
 	return Expired
 }
 
-// reportState reports a change of state.
+// reportState returns a StatusChanged if the state differs from the one reported last.
 func (c *LeaseClient) reportState(now time.Duration) []Action {
 	state := c.state(now)
 	if state == c.reportedState {
@@ -45,12 +45,12 @@
 	return []Action{StatusChanged{state, c.describe(state)}}
 }
 
-// Authorize implements Leaseholder. A starting process under ServeOnExpiry serves by its own settings once no replica has
-// named an active version for MemberTimeout. An excluded or draining one places nothing.
-func (c *LeaseClient) Authorize(now time.Duration, contested func() bool) Authorization {
+// Authorize implements Leaseholder. Under ServeOnExpiry a starting process serves by its own settings once no lease has
+// named an active version for MemberTimeout. An excluded or draining process places no connections.
+func (c *LeaseClient) Authorize(now time.Duration, conflicts func() bool) Authorization {
 	c.ensureStarted(now)
 	state := c.state(now)
-	if c.allows(now, state, contested) {
+	if c.allows(now, state, conflicts) {
 		return Authorization{Allowed: true, State: state}
 	}
 	next := c.nextRenewal
@@ -60,14 +60,15 @@
 	return Authorization{RetryAfter: min(max(next-now, minRetryAfter), maxRetryAfter), State: state}
 }
 
-// allows decides on a connection and counts it where it is placed without knowing the active version.
-func (c *LeaseClient) allows(now time.Duration, state LeaseState, contested func() bool) bool {
+// allows reports whether a connection may be placed. It counts connections that are allowed while the active version is
+// unknown.
+func (c *LeaseClient) allows(now time.Duration, state LeaseState, conflicts func() bool) bool {
 	serve := false
 	switch state {
 	case Leased:
 		return true
 	case Expired:
-		return c.preparedVersion == 0 || !contested()
+		return c.preparedVersion == 0 || !conflicts()
 	case Disconnected:
 		serve = c.terms().OnLeaseExpiry == ServeOnExpiry
 	case Starting:
@@ -102,8 +103,8 @@
 	return status
 }
 
-// describe explains a state for the log. internal/testing/fleettest searches the log for parts of the texts of Expired and
-// Disconnected.
+// describe returns the text that is logged for a state. internal/testing/fleettest searches the log for parts of the texts
+// for Expired and Disconnected.
 func (c *LeaseClient) describe(state LeaseState) string {
 	switch state {
 	case Leased:
@@ -116,9 +117,9 @@
 	case Disconnected:
 		return fmt.Sprintf("unknown which version is in force after version %d; policy %q applies", c.activeVersion, c.terms().OnLeaseExpiry)
 	case Excluded:
-		return fmt.Sprintf("version %d is active and cannot be prepared here: new connections are rejected", c.latestLease.ActiveVersion)
+		return fmt.Sprintf("this node cannot prepare the active version %d: new connections are rejected", c.latestLease.ActiveVersion)
 	case Draining:
-		return "the process stops: new connections are rejected"
+		return "the process is draining: new connections are rejected"
 	}
-	return "no version yet"
+	return "the process has no version yet"
 }
--- a/internal/fleetconfig/lease_client_versions.go
+++ b/internal/fleetconfig/lease_client_versions.go
@@ -5,8 +5,8 @@
 // rejectedRetryInterval is the time between attempts to prepare a version that was rejected.
 const rejectedRetryInterval = 30 * time.Second
 
-// discardWithdrawn discards the versions that the latest lease shows to be neither active nor proposed any more. Since
-// numbers are never reused, they will not become active.
+// discardWithdrawn discards the versions that are neither active nor proposed according to the latest lease. Since version
+// numbers are never reused, they cannot become active later.
 func (c *LeaseClient) discardWithdrawn() []Action {
 	lease := c.latestLease
 	var actions []Action
@@ -25,7 +25,7 @@
 	return actions
 }
 
-// discard forgets a version and returns the action that drops it; nil where there is none.
+// discard clears a version number and returns the action that discards the version, or nil if the number was 0.
 func discard(number *uint64) []Action {
 	if *number == 0 {
 		return nil
@@ -47,10 +47,11 @@
 	return SwitchVersion{number}
 }
 
-// handlePrepareDone takes the outcome of a preparation. A prepared version that is active already is switched to.
+// handlePrepareDone handles the outcome of a preparation. If the prepared version is already active, the process switches
+// to it.
 func (c *LeaseClient) handlePrepareDone(now time.Duration, event PrepareDone) []Action {
 	if event.Number == 0 || event.Number != c.preparingVersion {
-		return nil // it was discarded meanwhile
+		return nil // the version was discarded meanwhile
 	}
 	c.preparingVersion = 0
 	c.renewNow = true // reports the outcome
@@ -61,15 +62,16 @@
 	}
 	delete(c.rejections, event.Number)
 	if event.Number == c.latestLease.ActiveVersion && now < c.knowledgeExpiry {
-		// The lease that named it still tells what can be active: no later version, since this process would know.
+		// The latest lease still determines which versions can be active, so no later version is active without this
+		// process knowing of it.
 		return []Action{c.switchTo(event.Number)}
 	}
 	c.preparedVersion = event.Number
 	return nil
 }
 
-// startPreparation begins to prepare the next version: the active one before the proposed one, one at a time. Nothing is
-// prepared in place of a prepared version, which has been acknowledged.
+// startPreparation starts to prepare the next version: the active one before the proposed one, one at a time. A prepared
+// version has been acknowledged, so no other version is prepared in its place.
 func (c *LeaseClient) startPreparation(now time.Duration) []Action {
 	if c.draining || c.preparingVersion != 0 || c.preparedVersion != 0 {
 		return nil
--- a/internal/fleetconfig/lease_manager.go
+++ b/internal/fleetconfig/lease_manager.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// defaultRemoveAfterTimeouts is how many member timeouts an unresponsive process stays a member.
+// defaultRemoveAfterTimeouts is the number of member timeouts after which an unresponsive process is removed.
 const defaultRemoveAfterTimeouts = 60
 
 // LeaseManager implements LeaseService. Its state is lost with the leadership; a later leader waits until the leases that
 // an earlier one may have granted have expired.
 //
-// A decision that goes ahead without a node (an activation that the node has not prepared, a removal) binds from when
-// DueCommands returns it until it applies. The node gets no lease in between: with one it could rely on the active
-// version for another MemberTimeout.
+// A decision that skips a node (the activation of a version that the node has not prepared, or the node's removal) is
+// binding from when DueCommands returns it until it applies. The node gets no lease in between, since with one it could
+// rely on the active version for another MemberTimeout.
 //
-// What a node relies on depends on the leases that it accepted, not on the renewals that it sent: a node whose renewals
-// arrive while its leases are lost is waited for no longer than an unresponsive one. A renewal tells which lease was
-// accepted last, and an answer to an earlier renewal is not accepted after it was sent. So the leases that may be in use
-// are that one and any granted since.
+// What a node relies on depends on the leases that it accepted, not on the renewals that it sent. So a decision waits for
+// a node whose renewals arrive while its leases are lost no longer than for an unresponsive one. Each renewal reports
+// which lease the node accepted last, and once it is sent the node accepts no answer to an earlier renewal. So the leases
+// that may be in use are the one reported last and any granted since.
 type LeaseManager struct {
 	state        ReplicatedState
 	leading      bool
@@ -26,11 +26,11 @@
 	term         uint64
 
 	sessions            map[processID]*memberSession
-	activeVersion       uint64        // as last seen in state
-	activeSince         time.Duration // when activeVersion was first seen; it became active no later
-	activating          *Activate     // returned as due and not applied yet
-	removals            map[processID]RemoveMember
-	removeAfterTimeouts int // how many member timeouts an unresponsive process stays a member
+	activeVersion       uint64                     // as last seen in state
+	activeSince         time.Duration              // when activeVersion was first seen; it became active no later
+	activating          *Activate                  // returned as due and not applied yet
+	removals            map[processID]RemoveMember // returned as due and not applied yet
+	removeAfterTimeouts int                        // the number of member timeouts after which an unresponsive process is removed
 }
 
 // processID identifies a process of a node.
@@ -41,7 +41,7 @@
 
 var _ LeaseService = (*LeaseManager)(nil)
 
-// NewLeaseManager returns a manager that does not lead yet.
+// NewLeaseManager returns a manager that grants nothing until BecomeLeader is called.
 func NewLeaseManager(state ReplicatedState) *LeaseManager {
 	return &LeaseManager{state: state, removeAfterTimeouts: defaultRemoveAfterTimeouts}
 }
@@ -66,7 +66,7 @@
 	*m = LeaseManager{state: m.state, removeAfterTimeouts: m.removeAfterTimeouts}
 }
 
-// syncState notes which commands applied since the last call.
+// syncState records a new active version, and drops the decisions that have been applied since the last call.
 func (m *LeaseManager) syncState(now time.Duration) {
 	if active, _ := m.state.Active(); active.Number != m.activeVersion {
 		m.activeVersion = active.Number
@@ -92,14 +92,15 @@
 	return Member{}, false
 }
 
-// superseded reports whether a later process of the node is a member. All leases of the earlier one were granted before.
+// superseded reports whether a later process of the node is a member. All leases of the earlier process were granted
+// before the later one was added.
 func (m *LeaseManager) superseded(id processID) bool {
 	latest, ok := latestIncarnation(m.state.Members(), id.node)
 	return ok && latest > id.incarnation
 }
 
-// HandleRenewal implements LeaseService. A renewal of a superseded process does not extend the time for which it is waited
-// for, since it gets no more leases; only that it drains is recorded.
+// HandleRenewal implements LeaseService. Of a superseded process, only a reported drain is recorded: the process gets no
+// more leases, so its renewals do not extend the wait for it.
 func (m *LeaseManager) HandleRenewal(now time.Duration, r Renewal) []Command {
 	if !m.leading || !validNodeName(r.Node) {
 		return nil
@@ -126,8 +127,8 @@
 	return []Command{{AddMember: &AddMember{r.Node, r.Incarnation}}}
 }
 
-// GrantLease implements LeaseService. A draining process is answered whether it is a member or not: the answer ends its
-// renewals and gives it nothing to act on.
+// GrantLease implements LeaseService. A draining process gets an answer even if it is not a member: the answer ends its
+// renewals, and the process does not act on the lease.
 func (m *LeaseManager) GrantLease(now time.Duration, r Renewal) (Lease, bool) {
 	id := processID{r.Node, r.Incarnation}
 	session := m.sessions[id]
@@ -144,7 +145,7 @@
 	return m.newLease(r, session), true
 }
 
-// mayGrant reports whether a process may get a lease: it is the node's present member and no decision goes ahead without
+// mayGrant reports whether a process may get a lease: it is a member, is not superseded or draining, and no decision skips
 // it.
 func (m *LeaseManager) mayGrant(now time.Duration, id processID, session *memberSession) bool {
 	_, isMember := m.member(id)
@@ -171,7 +172,7 @@
 		Terms:         active.Body.Fleet,
 	}
 	if proposed, ok := m.state.Proposed(); ok {
-		// Also for a node that rejected it, which must know of it as long as it may become active.
+		// A node that rejected the version gets its number too, since the node must know which version may become active.
 		lease.ProposedVersion = proposed.Number
 		lease.ProposedDigest = proposed.Digest
 		lease.Forced = proposed.Force
@@ -182,7 +183,8 @@
 	return lease
 }
 
-// Status implements LeaseService. A member that has not renewed under this leader has only its name set.
+// Status implements LeaseService. For a member that has not renewed under this leader, the Renewal contains only the node
+// and the incarnation.
 func (m *LeaseManager) Status(now time.Duration) []NodeStatus {
 	if !m.leading {
 		return nil
--- a/internal/fleetconfig/lease_manager_decisions.go
+++ b/internal/fleetconfig/lease_manager_decisions.go
@@ -17,7 +17,8 @@
 	return due
 }
 
-// dueRemovals returns the removals of members that drain, were superseded, or have been unresponsive for long.
+// dueRemovals returns the removals of members that drain, have been superseded, or have been unresponsive for
+// removeAfterTimeouts member timeouts.
 func (m *LeaseManager) dueRemovals(now, timeout time.Duration) []Command {
 	var due []Command
 	for _, member := range m.state.Members() {
@@ -30,7 +31,7 @@
 		inactive := min(m.sinceRenewal(now, session), sinceLease)
 		unresponsive := inactive > time.Duration(m.removeAfterTimeouts)*timeout
 		if removing || draining || replaced || unresponsive {
-			removal := RemoveMember(member) // the two have the same fields
+			removal := RemoveMember(member) // the two types have the same fields
 			m.removals[id] = removal
 			due = append(due, Command{RemoveMember: &removal})
 		}
@@ -38,7 +39,7 @@
 	return due
 }
 
-// dropStaleSessions forgets unresponsive processes that are no members.
+// dropStaleSessions deletes the sessions of unresponsive processes that are not members.
 func (m *LeaseManager) dropStaleSessions(now, timeout time.Duration) {
 	for id, session := range m.sessions {
 		if _, isMember := m.member(id); !isMember && m.sinceRenewal(now, session) > timeout {
@@ -47,7 +48,7 @@
 	}
 }
 
-// decide returns the command that activates or withdraws the proposed version, or none while it waits.
+// decide returns the command that activates or withdraws the proposed version, or nil while the version waits for members.
 func (m *LeaseManager) decide(now time.Duration, proposed Version, timeout time.Duration) []Command {
 	if m.activating == nil {
 		rejections, pending := m.collectVerdicts(now, proposed, timeout)
@@ -70,7 +71,7 @@
 	return []Command{{Activate: &activate}}
 }
 
-// collectVerdicts returns the members' rejections of the proposed version by node, and whether it waits for a member.
+// collectVerdicts returns the members' rejections of the proposed version by node, and whether any verdict is pending.
 func (m *LeaseManager) collectVerdicts(
 	now time.Duration, proposed Version, timeout time.Duration,
 ) (rejections map[string]Rejection, pending bool) {
@@ -90,13 +91,13 @@
 type verdict int
 
 const (
-	verdictPending  verdict = iota // the version waits for it
-	verdictReady                   // it has prepared the version
-	verdictRejected                // it cannot load the version
-	verdictSkipped                 // it drains, or its leases have expired: the version need not wait for it
+	verdictPending  verdict = iota // the version waits for the member
+	verdictReady                   // the member has prepared the version
+	verdictRejected                // the member cannot load the version
+	verdictSkipped                 // the member drains or its leases have expired, so the version need not wait for it
 )
 
-// verdict returns what a member's renewals and leases say of the proposed version. timeout is the member timeout.
+// verdict derives a member's answer to the proposed version from its renewals and leases. timeout is the member timeout.
 func (m *LeaseManager) verdict(now time.Duration, member Member, proposed Version, timeout time.Duration) verdict {
 	id := processID{member.Node, member.Incarnation}
 	session := m.sessions[id]
@@ -104,7 +105,7 @@
 	case session != nil && session.Draining:
 		return verdictSkipped
 	case session != nil && session.PreparedVersion == proposed.Number:
-		return verdictReady // it reckons with this version from now on, whatever it receives
+		return verdictReady // from now on the member assumes that this version may be active
 	case session != nil && session.RejectedVersion == proposed.Number && session.Rejection != nil && !m.superseded(id):
 		return verdictRejected
 	case m.sinceLease(now, session) > timeout:
--- a/internal/fleetconfig/lease_manager_test.go
+++ b/internal/fleetconfig/lease_manager_test.go
@@ -327,7 +327,7 @@
 			t.Errorf("a renewal of node %.10q is accepted", name)
 		}
 	}
-	if kinds := apperror.Kinds(); len(kinds) < len(ownKinds) {
+	if kinds := apperror.Kinds(); len(kinds) < len(answerKinds) {
 		t.Errorf("%d kinds of error", len(kinds))
 	}
 }
--- a/internal/fleetconfig/leaseholder.go
+++ b/internal/fleetconfig/leaseholder.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Leaseholder is a proxy's part. It handles events and returns actions, and has at most one renewal and one preparation
-// in progress. Times are the proxy's monotonic clock, read once per turn of its event loop. LeaseClient implements it.
+// Leaseholder is the proxy's side of the lease protocol. It handles events and returns actions, and has at most one
+// renewal and one preparation in progress. Times are readings of the proxy's monotonic clock, which is read once per turn
+// of the proxy's event loop. LeaseClient implements Leaseholder.
 type Leaseholder interface {
-	// Handle handles an event. The actions are to be carried out in order, in the same turn.
+	// Handle handles an event. The caller must carry out the actions in order and in the same turn.
 	Handle(now time.Duration, e Event) []Action
-	// Authorize says whether a connection may be placed now. contested reports whether the active version and the prepared
-	// one decide differently on it; it is called only where the answer depends on it. The proxy calls Authorize again when
-	// it is about to write to the endpoint, since time has passed by then.
-	Authorize(now time.Duration, contested func() bool) Authorization
-	// ActiveVersion is the version that the proxy acts on; false before the first one.
+	// Authorize reports whether a connection may be placed now. conflicts reports whether the active version and the
+	// prepared one decide differently on the connection; it is called only if the result depends on it. The proxy calls
+	// Authorize again just before it writes to the endpoint, since time has passed by then.
+	Authorize(now time.Duration, conflicts func() bool) Authorization
+	// ActiveVersion returns the version that the proxy acts on; ok is false before the first one.
 	ActiveVersion() (number uint64, ok bool)
 	// Status returns the state for telemetry.
 	Status(now time.Duration) LeaseStatus
 }
 
-// Authorization is whether a connection may be placed.
+// Authorization is the decision whether a connection may be placed.
 type Authorization struct {
 	Allowed    bool
-	RetryAfter time.Duration // where it is not allowed: when to call again
+	RetryAfter time.Duration // how long to wait before the next call; 0 if Allowed
 	State      LeaseState
 }
 
@@ -31,17 +32,17 @@
 const (
 	Starting     LeaseState = "starting" // it has no version yet
 	Leased       LeaseState = "leased"   // it acts on the active version without restriction
-	Expired      LeaseState = "lapsed"   // no lease: connections that the prepared version contests are rejected
+	Expired      LeaseState = "lapsed"   // no lease: connections on which the prepared version decides differently are rejected
 	Disconnected LeaseState = "blind"    // it cannot know which version is active; Terms.OnLeaseExpiry applies
 	Excluded     LeaseState = "stranded" // it cannot prepare the active version and rejects new connections
-	Draining     LeaseState = "leaving"  // it stops and rejects new connections
+	Draining     LeaseState = "leaving"  // it drains and rejects new connections
 )
 
 // LeaseStatus is a Leaseholder's state for telemetry.
 type LeaseStatus struct {
 	State                          LeaseState
 	ActiveVersion, PreparedVersion uint64        // 0: none
-	LeaseRemaining                 time.Duration // negative: for how long it has been expired
+	LeaseRemaining                 time.Duration // negative: the time since it expired
 	Switches, Expirations          uint64        // since the process started
 	ServedDisconnected             uint64        // connections placed without knowing the active version, under ServeOnExpiry
 }
@@ -50,25 +51,25 @@
 type Event interface{ leaseholderEvent() }
 
 type (
-	// Tick reports that the time of the last SetTimer has come. It may come early.
+	// Tick reports that the timer of the last SetTimer has fired. It may arrive early.
 	Tick struct{}
 	// LeaseGranted is the answer to a renewal.
 	LeaseGranted struct {
 		Lease  Lease
-		SentAt time.Duration // when the renewal was sent, on this clock
+		SentAt time.Duration // when the renewal was sent, on the proxy's clock
 	}
 	// RenewalFailed reports that a renewal failed or got no answer before its timeout.
 	RenewalFailed struct{ Seq uint64 }
-	// PrepareDone is the outcome of a PrepareVersion. A nil Rejection means that the proxy can switch to the version. A failed
-	// fetch is no rejection, which would withdraw the version for the whole fleet: the caller fetches again until a
-	// DiscardVersion.
+	// PrepareDone is the outcome of a PrepareVersion. A nil Rejection means that the proxy can switch to the version. A
+	// failed fetch must not be reported as a rejection, which would withdraw the version for the whole fleet: the caller
+	// retries the fetch until a DiscardVersion.
 	PrepareDone struct {
 		Number    uint64
 		Rejection *Rejection
 	}
 	// HeadroomChanged reports the node's memory headroom.
 	HeadroomChanged struct{ Headroom MemoryHeadroom }
-	// StartDrain reports that the process begins to stop.
+	// StartDrain reports that the process starts to drain.
 	StartDrain struct{}
 )
 
@@ -83,8 +84,8 @@
 type Action interface{ leaseholderAction() }
 
 type (
-	// SendRenewal asks to send a renewal to a control-plane replica. Attempt counts the failures in a row: the caller
-	// selects the next replica with each.
+	// SendRenewal asks to send a renewal to a control-plane replica. Attempt is the number of consecutive failures; the
+	// caller selects the next replica after each.
 	SendRenewal struct {
 		Renewal Renewal
 		Attempt int
@@ -99,7 +100,7 @@
 	SwitchVersion struct{ Number uint64 }
 	// DiscardVersion asks to drop a version that will not become active, prepared or in preparation.
 	DiscardVersion struct{ Number uint64 }
-	// SetTimer asks for a Tick at a time. It replaces the previous timer.
+	// SetTimer asks for a Tick at the time At. It replaces the previous timer.
 	SetTimer struct{ At time.Duration }
 	// StatusChanged reports a change of state, for the log.
 	StatusChanged struct {
--- a/internal/fleetconfig/rejections.go
+++ b/internal/fleetconfig/rejections.go
@@ -8,7 +8,8 @@
 	"unicode/utf8"
 )
 
-// boundRejections returns what a history entry may hold: the rejections of the first nodes by name, their texts truncated.
+// boundRejections returns the rejections that a history entry may hold: those of the first maxRejections nodes by name,
+// with truncated texts.
 func boundRejections(all map[string]Rejection) map[string]Rejection {
 	if len(all) == 0 {
 		return nil
@@ -19,11 +20,11 @@
 			break
 		}
 		rejection := all[node]
-		rejection.Kind = truncate(rejection.Kind, maxName)
-		rejection.Cause = truncate(rejection.Cause, maxText)
+		rejection.Kind = truncate(rejection.Kind, maxNameBytes)
+		rejection.Cause = truncate(rejection.Cause, maxTextBytes)
 		var routes []string
 		for _, route := range rejection.LargestRoutes[:min(len(rejection.LargestRoutes), maxLargestRoutes)] {
-			routes = append(routes, truncate(route, maxName))
+			routes = append(routes, truncate(route, maxNameBytes))
 		}
 		rejection.LargestRoutes = routes
 		bounded[truncate(node, MaxNodeNameBytes)] = rejection
@@ -31,7 +32,7 @@
 	return bounded
 }
 
-// rejectionSummary is the reason of a withdrawal. It is replicated, so its wording cannot change.
+// rejectionSummary returns the reason for a withdrawal. The text is replicated, so its wording cannot change.
 func rejectionSummary(rejections map[string]Rejection) string {
 	const maxNodes, maxShortName = 3, 64
 	nodes := sortedNodes(rejections)
@@ -39,7 +40,7 @@
 	for _, node := range nodes[:min(maxNodes, len(nodes))] {
 		rejection := rejections[node]
 		parts = append(parts, fmt.Sprintf("%s: %s (%s)",
-			truncate(node, maxShortName), truncate(rejection.Cause, maxName), truncate(rejection.Kind, maxShortName)))
+			truncate(node, maxShortName), truncate(rejection.Cause, maxNameBytes), truncate(rejection.Kind, maxShortName)))
 	}
 	if more := len(nodes) - maxNodes; more > 0 {
 		parts = append(parts, fmt.Sprintf("and %d more", more))
@@ -51,8 +52,8 @@
 	return slices.Sorted(maps.Keys(rejections))
 }
 
-// truncate shortens a text to at most maxBytes without splitting a character. Invalid UTF-8 is replaced first, since JSON
-// would change it in a snapshot.
+// truncate shortens a text to at most maxBytes without splitting a character. It first replaces invalid UTF-8, since the
+// JSON encoding of a snapshot would replace it.
 func truncate(text string, maxBytes int) string {
 	if text = strings.ToValidUTF8(text, string(utf8.RuneError)); len(text) <= maxBytes {
 		return text
--- a/internal/fleetconfig/simulation_test.go
+++ b/internal/fleetconfig/simulation_test.go
@@ -38,11 +38,11 @@
 
 // conditions are the size of the fleet and the faults of its environment.
 type conditions struct {
-	proxies int
-	loss    int           // messages lost of 1000
-	delay   time.Duration // longest of a message
-	disk    time.Duration // longest extra time until a command is committed, one time in four
-	drift   int64         // largest of a clock, in parts per million
+	proxies        int
+	lossPerMille   int           // messages lost of 1000
+	maxDelay       time.Duration // longest of a message
+	maxCommitDelay time.Duration // longest extra time until a command is committed, one time in four
+	maxDriftPPM    int64         // largest of a clock, in parts per million
 }
 
 var moderateConditions = conditions{4, 30, 30 * time.Millisecond, time.Second, 1000}
@@ -67,12 +67,12 @@
 
 // driftingClock runs fast or slow by a drift in parts per million.
 type driftingClock struct {
-	offset time.Duration
-	drift  int64
+	offset   time.Duration
+	driftPPM int64
 }
 
 func (c driftingClock) at(now time.Duration) time.Duration {
-	return c.offset + now + now*time.Duration(c.drift)/1_000_000
+	return c.offset + now + now*time.Duration(c.driftPPM)/1_000_000
 }
 
 type simulatedProxy struct {
@@ -107,7 +107,7 @@
 func (sim *simulation) oneIn(n int) bool { return !sim.faultsStopped && sim.random.IntN(n) == 0 }
 
 func (sim *simulation) newClock() driftingClock {
-	return driftingClock{sim.randomDuration(time.Hour), sim.random.Int64N(2*sim.drift+1) - sim.drift}
+	return driftingClock{sim.randomDuration(time.Hour), sim.random.Int64N(2*sim.maxDriftPPM+1) - sim.maxDriftPPM}
 }
 
 func newSimulation(seed uint64, environment conditions, faulty wrappers) *simulation {
@@ -159,9 +159,9 @@
 
 func (sim *simulation) propose(commands ...Command) {
 	for _, c := range commands {
-		at := sim.now + sim.randomDuration(sim.delay)
+		at := sim.now + sim.randomDuration(sim.maxDelay)
 		if sim.oneIn(4) {
-			at += sim.randomDuration(sim.disk)
+			at += sim.randomDuration(sim.maxCommitDelay)
 		}
 		if n := len(sim.pending); n > 0 {
 			at = max(at, sim.pending[n-1].at)
@@ -180,8 +180,8 @@
 }
 
 func (sim *simulation) send(term uint64, do func()) {
-	if sim.faultsStopped || sim.random.IntN(1000) >= sim.loss {
-		sim.messages = append(sim.messages, message{sim.now + sim.randomDuration(sim.delay), term, do})
+	if sim.faultsStopped || sim.random.IntN(1000) >= sim.lossPerMille {
+		sim.messages = append(sim.messages, message{sim.now + sim.randomDuration(sim.maxDelay), term, do})
 	}
 }
 
@@ -334,7 +334,7 @@
 			memberTimeout *= 4
 		}
 		sim.propose(Command{Propose: &Propose{Force: sim.oneIn(2), Body: &Body{Settings: json.RawMessage(`{}`),
-			Fleet: Terms{AgreementTimeout: 300*time.Millisecond + sim.randomDuration(300*time.Millisecond), MemberTimeout: memberTimeout, ClockDriftPPM: sim.drift}}}})
+			Fleet: Terms{AgreementTimeout: 300*time.Millisecond + sim.randomDuration(300*time.Millisecond), MemberTimeout: memberTimeout, ClockDriftPPM: sim.maxDriftPPM}}}})
 	}
 	if p, ok := sim.state.Proposed(); ok && sim.oneIn(200) {
 		sim.propose(Command{Withdraw: &Withdraw{Number: p.Number}})
@@ -430,7 +430,7 @@
 // settle ends all faults and gives the fleet time: then every live process must act on the active version, unless it could
 // not prepare it.
 func (sim *simulation) settle() {
-	sim.faultsStopped, sim.delay, sim.leaderPausedUntil = true, 5*time.Millisecond, 0
+	sim.faultsStopped, sim.maxDelay, sim.leaderPausedUntil = true, 5*time.Millisecond, 0
 	for _, p := range sim.processes {
 		p.pausedUntil, p.partitionedUntil, p.unreachableUntil = 0, 0, 0
 	}
--- a/internal/fleetconfig/state_machine.go
+++ b/internal/fleetconfig/state_machine.go
@@ -8,53 +8,53 @@
 	"example.org/micafront/internal/federation"
 )
 
-// Bounds of the replicated state, so that no client makes a replica grow without end.
+// Limits of the replicated state, so that no client can make it grow without bound.
 const (
-	maxVersions      = 64        // kept to roll back to
-	maxVersionBytes  = 256 << 20 // of all kept bodies together
-	maxOutcomes      = 1024      // of proposals that may be repeated
-	maxHistory       = 512       // entries
-	maxMembers       = 1 << 16
-	maxRejections    = 16      // recorded with a withdrawn version
-	maxLargestRoutes = 16      // recorded with a rejection
-	maxName          = 256     // bytes
-	maxText          = 4 << 10 // bytes
+	maxVersions       = 64        // kept to roll back to
+	maxVersionBytes   = 256 << 20 // all kept bodies together
+	maxOutcomes       = 1024      // answers kept for repeated proposals
+	maxHistoryEntries = 512       // entries
+	maxMembers        = 1 << 16
+	maxRejections     = 16      // recorded with a withdrawn version
+	maxLargestRoutes  = 16      // recorded with a rejection
+	maxNameBytes      = 256     // bytes
+	maxTextBytes      = 4 << 10 // bytes
 )
 
-// MaxNodeNameBytes is the most bytes that a node's name may have.
+// MaxNodeNameBytes is the maximum length of a node's name, in bytes.
 const MaxNodeNameBytes = 255
 
 // Values of HistoryEntry.Step. They are stored and sent.
 const (
-	stepProposed = "proposed"
-	stepActive   = "active"
-	stepWithdraw = "withdrawn"
+	stepProposed  = "proposed"
+	stepActive    = "active"
+	stepWithdrawn = "withdrawn"
 )
 
-// ReplicatedState is the state that all control-plane replicas share. Apply is called on each replica with the committed
-// commands in their one order; the same commands give the same state and the same answers to the byte. StateMachine
-// implements it.
+// ReplicatedState is the state that all control-plane replicas share. Each replica calls Apply with the committed commands
+// in log order; the same commands yield the same state and the same answers, byte for byte. StateMachine implements
+// ReplicatedState.
 type ReplicatedState interface {
 	Apply(index uint64, c Command) Answer
 	Active() (Version, bool)   // false before the first version
-	Proposed() (Version, bool) // false where no version waits to become active
+	Proposed() (Version, bool) // false if no version waits to become active
 	Version(number uint64) (Version, bool)
-	Members() []Member       // sorted by node, then incarnation; not to be changed
+	Members() []Member       // sorted by node, then incarnation; callers must not modify it
 	History() []HistoryEntry // of versions, oldest first, bounded
-	// EndpointList is the replicated endpoint list. Only commands change it; Restore replaces it.
+	// EndpointList returns the replicated endpoint list. Only commands change it; Restore replaces it.
 	EndpointList() *endpointlist.State
 	Federation() federation.ReplicatedState // of the meshes; only Apply changes it
 	Snapshot() ([]byte, error)
 	Restore(snapshot []byte) error
 }
 
-// HistoryEntry is a step in a version's life.
+// HistoryEntry is a step in a version's lifecycle.
 type HistoryEntry struct {
 	Index  uint64 `json:"index"` // of the command
 	Number uint64 `json:"number"`
 	Step   string `json:"step"` // "proposed", "active" or "withdrawn"
 	Reason string `json:"why,omitempty"`
-	// Rejections are why nodes could not load the version, by node, where it was withdrawn for that.
+	// Rejections contains, by node, why nodes could not load the version, if it was withdrawn because of that.
 	Rejections map[string]Rejection `json:"refusals,omitempty"`
 }
 
@@ -62,9 +62,9 @@
 func (e HistoryEntry) IsProposal() bool { return e.Step == stepProposed }
 
 // IsWithdrawal reports whether the version was withdrawn in this step.
-func (e HistoryEntry) IsWithdrawal() bool { return e.Step == stepWithdraw }
+func (e HistoryEntry) IsWithdrawal() bool { return e.Step == stepWithdrawn }
 
-// StateMachine implements ReplicatedState. NewStateMachine makes one; the zero value is not usable.
+// StateMachine implements ReplicatedState. Use NewStateMachine to create one; the zero value is not usable.
 type StateMachine struct {
 	lastIndex  uint64 // of the latest command
 	lastNumber uint64 // the latest version number assigned
@@ -86,7 +86,7 @@
 	return &StateMachine{endpoints: endpointlist.NewState(), federation: federation.NewState()}
 }
 
-// Apply applies a command. An index that is not above the latest one is rejected with OldCommand. The texts of the errors
+// Apply applies a command. It rejects an index that is not above the latest one with OldCommand. The texts of its errors
 // are stored with answers and sent to clients, so they cannot change.
 func (s *StateMachine) Apply(index uint64, c Command) Answer {
 	if index <= s.lastIndex {
@@ -113,7 +113,7 @@
 	return s.removeMember(*c.RemoveMember)
 }
 
-// fieldsSet counts the changes that the command holds.
+// fieldsSet returns the number of changes that the command contains.
 func (c Command) fieldsSet() int {
 	count := 0
 	for _, set := range []bool{
@@ -138,7 +138,7 @@
 // record adds an entry to the history, at the index of the command being applied.
 func (s *StateMachine) record(entry HistoryEntry) {
 	entry.Index = s.lastIndex
-	s.history = lastN(append(slices.Clip(s.history), entry), maxHistory)
+	s.history = lastN(append(slices.Clip(s.history), entry), maxHistoryEntries)
 }
 
 // lastN returns the last n items of a list, copied where earlier ones are dropped.
--- a/internal/fleetconfig/state_machine_endpoints.go
+++ b/internal/fleetconfig/state_machine_endpoints.go
@@ -5,15 +5,15 @@
 // EndpointList implements ReplicatedState.
 func (s *StateMachine) EndpointList() *endpointlist.State { return s.endpoints }
 
-// applyEndpointChange applies a change of the endpoint list. The answer's number is the list's.
+// applyEndpointChange applies a change of the endpoint list. The answer carries the number of the list.
 func (s *StateMachine) applyEndpointChange(change endpointlist.Change) Answer {
 	err := s.endpoints.Apply(change)
 	return Answer{s.endpoints.Number(), err}
 }
 
-// writeEndpoints adds the endpoint list to a snapshot. Before the first list the snapshot has no such member, as in
-// releases without endpoint lists.
-func (s *StateMachine) writeEndpoints(snapshot *snapshotJSON) error {
+// addEndpointsTo adds the endpoint list to a snapshot. It adds nothing before the first list, so that releases without
+// endpoint lists can read the snapshot.
+func (s *StateMachine) addEndpointsTo(snapshot *snapshotJSON) error {
 	if s.endpoints.Number() == 0 {
 		return nil
 	}
@@ -22,7 +22,7 @@
 	return err
 }
 
-func (s *StateMachine) readEndpoints(snapshot snapshotJSON) error {
+func (s *StateMachine) restoreEndpoints(snapshot snapshotJSON) error {
 	s.endpoints = endpointlist.NewState()
 	if snapshot.EndpointList == nil {
 		return nil
--- a/internal/fleetconfig/state_machine_members.go
+++ b/internal/fleetconfig/state_machine_members.go
@@ -14,7 +14,7 @@
 	JoinIndex   uint64 `json:"joined"`
 }
 
-// Members returns the known processes, sorted by node and incarnation. The list is not to be changed.
+// Members returns the known processes, sorted by node and incarnation. Callers must not modify the list.
 func (s *StateMachine) Members() []Member { return s.members }
 
 func (s *StateMachine) addMember(a AddMember) Answer {
@@ -57,9 +57,9 @@
 	return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// latestIncarnation returns the highest known incarnation of a node; false where the node is unknown.
+// latestIncarnation returns the highest known incarnation of a node, and false if the node is unknown.
 func latestIncarnation(members []Member, node string) (uint64, bool) {
-	// The comparison never returns 0, so that the search ends behind the node's last incarnation.
+	// The comparison never returns 0, so the search returns the position after the node's last incarnation.
 	after, _ := slices.BinarySearchFunc(members, node, func(m Member, node string) int {
 		if m.Node <= node {
 			return -1
--- a/internal/fleetconfig/state_machine_proposals.go
+++ b/internal/fleetconfig/state_machine_proposals.go
@@ -8,7 +8,7 @@
 	"example.org/micafront/internal/apperror"
 )
 
-// proposalOutcome is the answer to a proposal, kept so that a repeat of it gets the same one.
+// proposalOutcome is the answer to a proposal, kept so that a repeated proposal gets the same answer.
 type proposalOutcome struct {
 	ID     string `json:"id"`
 	Number uint64 `json:"number,omitempty"`
@@ -24,7 +24,7 @@
 	return Answer{o.Number, &apperror.Error{Kind: kindByName(o.Kind), Place: o.Place, Cause: o.Cause}}
 }
 
-// propose applies a proposal, or repeats the answer to an earlier one of the same ID.
+// propose applies a proposal, or repeats the answer to an earlier one with the same ID.
 func (s *StateMachine) propose(p Propose) Answer {
 	if err := p.checkTexts(); err != nil {
 		return Answer{Err: err}
@@ -53,12 +53,12 @@
 	return newAnswer(number, err)
 }
 
-// checkTexts fails where a text of the proposal is too long or not UTF-8.
+// checkTexts returns TooLarge or BadCommand if a text of the proposal is too long or not UTF-8.
 func (p Propose) checkTexts() error {
 	for _, field := range []struct {
 		name, text string
 		maxBytes   int
-	}{{"id", p.ID, maxName}, {"by", p.ProposedBy, maxText}, {"why", p.Reason, maxText}} {
+	}{{"id", p.ID, maxNameBytes}, {"by", p.ProposedBy, maxTextBytes}, {"why", p.Reason, maxTextBytes}} {
 		if len(field.text) > field.maxBytes {
 			return TooLarge.New("proposal: "+field.name, "it has %d bytes, %d at most", len(field.text), field.maxBytes)
 		}
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// newAnswer keeps a nil *apperror.Error from becoming a non-nil error.
+// newAnswer returns an Answer. It keeps a nil *apperror.Error from becoming a non-nil error.
 func newAnswer(number uint64, err *apperror.Error) Answer {
 	if err != nil {
 		return Answer{number, err}
@@ -77,8 +77,8 @@
 	return Answer{Number: number}
 }
 
-// addProposal adds the proposed version, and activates it where it is the first. With an error it returns the number of
-// the version that is in the way, if any.
+// addProposal adds the proposed version, and activates it if it is the first. With an error it returns the number of the
+// conflicting version, or 0 if there is none.
 func (s *StateMachine) addProposal(p Propose) (uint64, *apperror.Error) {
 	if s.proposed != 0 {
 		return s.proposed, AlreadyProposed.New("proposal", "version %d waits to become active", s.proposed)
@@ -99,14 +99,14 @@
 	s.proposed = version.Number
 	s.record(HistoryEntry{Number: version.Number, Step: stepProposed, Reason: version.Reason})
 	if s.active == 0 {
-		// No proxy acts on a version yet that this one could contradict.
+		// No proxy acts on a version yet, so this one cannot contradict another.
 		s.makeActive(Activate{Number: version.Number})
 	}
 	s.trimVersions()
 	return version.Number, nil
 }
 
-// proposedBody returns the body that a proposal brings, or that of the version it rolls back to, and its digest.
+// proposedBody returns the body of a proposal, or of the version that it rolls back to, and the digest of the body.
 func (s *StateMachine) proposedBody(p Propose) (Body, string, *apperror.Error) {
 	switch {
 	case p.RollbackOf != 0:
@@ -141,7 +141,7 @@
 	return Answer{Number: a.Number}
 }
 
-// requireProposed fails with NotProposed where the version is not the proposed one.
+// requireProposed returns NotProposed if the version is not the proposed one.
 func (s *StateMachine) requireProposed(number uint64) error {
 	switch {
 	case number != 0 && number == s.proposed:
@@ -185,8 +185,8 @@
 	s.proposed = 0
 	s.record(HistoryEntry{
 		Number:     w.Number,
-		Step:       stepWithdraw,
-		Reason:     truncate(w.Reason, maxText),
+		Step:       stepWithdrawn,
+		Reason:     truncate(w.Reason, maxTextBytes),
 		Rejections: boundRejections(w.Rejections),
 	})
 	return Answer{Number: w.Number}
--- a/internal/fleetconfig/state_machine_snapshot.go
+++ b/internal/fleetconfig/state_machine_snapshot.go
@@ -8,7 +8,8 @@
 	"slices"
 )
 
-// snapshotHeader begins a snapshot's first line, which ends with the SHA-256 of the rest, the state as JSON.
+// snapshotHeader starts the first line of a snapshot. The line ends with the SHA-256 of the rest, which is the state as
+// JSON.
 const snapshotHeader = "micafront-book 1 "
 
 // snapshotJSON is the JSON form of the state. Each body is written once, however many versions share it.
@@ -27,7 +28,7 @@
 	Federation   json.RawMessage `json:"federation,omitempty"` // absent before the first mesh
 }
 
-// versionJSON is a Version without its body, which Bodies holds.
+// versionJSON is a Version without its body, which snapshotJSON.Bodies contains.
 type versionJSON struct {
 	Version
 	Body *struct{} `json:"body,omitempty"`
@@ -51,7 +52,7 @@
 		version.Body = Body{}
 		snapshot.Versions = append(snapshot.Versions, versionJSON{Version: version})
 	}
-	if err := s.writeEndpoints(&snapshot); err != nil {
+	if err := s.addEndpointsTo(&snapshot); err != nil {
 		return nil, err
 	}
 	var err error
@@ -70,7 +71,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Restore replaces the state by a snapshot's. Where it fails, with BrokenSnapshot, the state is unchanged.
+// Restore replaces the state by that of a snapshot. If the snapshot is invalid, it returns BrokenSnapshot and leaves the
+// state unchanged.
 func (s *StateMachine) Restore(encoded []byte) error {
 	snapshot, err := decodeSnapshot(encoded)
 	if err != nil {
@@ -99,14 +101,14 @@
 	if err := restored.checkRestored(); err != nil {
 		return err
 	}
-	if err := restored.readEndpoints(snapshot); err != nil {
+	if err := restored.restoreEndpoints(snapshot); err != nil {
 		return err
 	}
-	s.replaceBy(restored)
+	s.replaceWith(restored)
 	return nil
 }
 
-// decodeSnapshot checks a snapshot's header and checksum and decodes the rest.
+// decodeSnapshot checks the header and the checksum of a snapshot and decodes the rest.
 func decodeSnapshot(encoded []byte) (snapshotJSON, error) {
 	header, text, _ := bytes.Cut(encoded, []byte("\n"))
 	before, digest, _ := bytes.Cut(header, []byte(snapshotHeader))
@@ -123,7 +125,7 @@
 	return snapshot, nil
 }
 
-// checkBodies validates the bodies, puts their canonical forms in place and compares the digests.
+// checkBodies validates the bodies, replaces them by their canonical forms, and checks their digests.
 func (j snapshotJSON) checkBodies() error {
 	for digest, body := range j.Bodies {
 		checked, err := body.Validated("body " + digest)
@@ -138,7 +140,8 @@
 	return nil
 }
 
-// versions returns the versions with their bodies. It fails where one has no body or they are out of order.
+// versions returns the versions with their bodies. It returns BrokenSnapshot if a version has no body, is out of order, or
+// has a MaxMemberTimeout below its own MemberTimeout.
 func (j snapshotJSON) versions() ([]Version, error) {
 	var versions []Version
 	for i, version := range j.Versions {
@@ -157,7 +160,7 @@
 	return versions, nil
 }
 
-// checkRestored fails where parts of a restored state contradict each other.
+// checkRestored returns BrokenSnapshot if parts of a restored state contradict each other.
 func (s *StateMachine) checkRestored() error {
 	for _, required := range []uint64{s.active, s.proposed} {
 		if required != 0 && s.versionIndex(required) < 0 {
@@ -178,8 +181,8 @@
 	return nil
 }
 
-// replaceBy takes over another state, but keeps the federation's address, since callers of Federation hold it.
-func (s *StateMachine) replaceBy(restored *StateMachine) {
+// replaceWith copies a restored state into s. It keeps the address of s.federation, since callers of Federation hold it.
+func (s *StateMachine) replaceWith(restored *StateMachine) {
 	kept := s.federation
 	*kept = *restored.federation
 	*s = *restored
--- a/internal/fleetconfig/state_machine_test.go
+++ b/internal/fleetconfig/state_machine_test.go
@@ -74,7 +74,7 @@
 		"settings are null":                       {nil, proposeSettings(`null`), BadBody, "no JSON object"},
 		"invalid routing":                         {nil, proposeCommand(Propose{Body: broken}), BadBody, "routing: unexpected end"},
 		"body too large":                          {nil, proposeCommand(Propose{Body: tooLarge}), TooLarge, "proposal: the body"},
-		"reason too long":                         {nil, proposeCommand(Propose{Reason: string(big[:maxText+1])}), TooLarge, "proposal: why"},
+		"reason too long":                         {nil, proposeCommand(Propose{Reason: string(big[:maxTextBytes+1])}), TooLarge, "proposal: why"},
 		"id is not UTF-8":                         {nil, proposeCommand(Propose{ID: "\xff"}), BadCommand, "proposal: id"},
 		"member timeout below agreement timeout":  {nil, terms(Terms{MemberTimeout: time.Second}), BadTerms, "fleet: know is 1s, under within"},
 		"agreement timeout below minimum":         {nil, terms(Terms{AgreementTimeout: -1 * time.Second}), BadTerms, "within is -1s"},
@@ -151,7 +151,7 @@
 	for range 2 * maxVersions { // the state stays bounded
 		applyAll(t, state, Command{Activate: &Activate{Number: state.proposed}}, proposeSettings(`{}`))
 	}
-	if _, kept := state.Version(6); kept || len(state.versions) != maxVersions || len(state.history) > maxHistory {
+	if _, kept := state.Version(6); kept || len(state.versions) != maxVersions || len(state.history) > maxHistoryEntries {
 		t.Errorf("%d versions, %d history entries kept", len(state.versions), len(state.history))
 	}
 }
--- a/internal/fleetconfig/state_machine_versions.go
+++ b/internal/fleetconfig/state_machine_versions.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Version returns a version that is or was active, or is proposed; false where it is not kept or was withdrawn.
+// Version returns a version that is or was active, or is proposed. It returns false if the version is no longer kept or was
+// withdrawn.
 func (s *StateMachine) Version(number uint64) (Version, bool) {
 	if i := s.versionIndex(number); i >= 0 {
 		return s.versions[i], true
@@ -13,10 +14,10 @@
 	return Version{}, false
 }
 
-// Active returns the active version; false before the first one.
+// Active returns the active version, and false before the first one.
 func (s *StateMachine) Active() (Version, bool) { return s.Version(s.active) }
 
-// Proposed returns the version that waits to become active; false where none does.
+// Proposed returns the version that waits to become active, and false if there is none.
 func (s *StateMachine) Proposed() (Version, bool) { return s.Version(s.proposed) }
 
 // versionIndex returns a version's index in s.versions, or -1.
@@ -28,9 +29,10 @@
 	return i
 }
 
-// trimVersions drops the oldest versions above the bounds. The active and the proposed one stay whatever their size.
+// trimVersions deletes the oldest versions until the limits are met. It keeps the active and the proposed version
+// regardless of their size.
 func (s *StateMachine) trimVersions() {
-	for s.overVersionBounds() {
+	for s.exceedsVersionLimits() {
 		i := slices.IndexFunc(s.versions, func(v Version) bool { return v.Number != s.active && v.Number != s.proposed })
 		if i < 0 {
 			return
@@ -39,8 +41,8 @@
 	}
 }
 
-// overVersionBounds reports whether too many versions, or too many bytes of distinct bodies, are kept.
-func (s *StateMachine) overVersionBounds() bool {
+// exceedsVersionLimits reports whether the kept versions exceed maxVersions, or their distinct bodies maxVersionBytes.
+func (s *StateMachine) exceedsVersionLimits() bool {
 	if len(s.versions) > maxVersions {
 		return true
 	}
--- a/internal/fleetconfig/terms.go
+++ b/internal/fleetconfig/terms.go
@@ -16,7 +16,7 @@
 // Limits of Terms.
 const (
 	minAgreementTimeout = 10 * time.Millisecond
-	maxMemberTimeout    = time.Hour // keeps the product of a duration and a drift from overflowing
+	maxMemberTimeout    = time.Hour // keeps driftMargin from overflowing
 	maxClockDriftPPM    = 100_000
 )
 
@@ -29,7 +29,7 @@
 	// default and never below AgreementTimeout. A proxy that has received no lease for that long can no longer know which
 	// versions are active.
 	MemberTimeout time.Duration `cbor:"Know"`
-	// OnLeaseExpiry is what a proxy does then.
+	// OnLeaseExpiry is what a proxy does once it can no longer know which versions are active.
 	OnLeaseExpiry LeaseExpiryPolicy `cbor:"OnSilence"`
 	// ClockDriftPPM bounds how far a machine's clock may run fast or slow, in parts per million; 1,000 by default.
 	ClockDriftPPM int64 `cbor:"Drift"`
@@ -42,25 +42,25 @@
 const (
 	// RejectOnExpiry rejects new connections until a lease arrives. The agreement bound is kept.
 	RejectOnExpiry LeaseExpiryPolicy = "hold"
-	// ServeOnExpiry goes on with the version that the proxy has, logs it and counts such connections. The agreement bound
-	// is given up for availability.
+	// ServeOnExpiry keeps placing connections by the proxy's version, logs this and counts the connections. It gives up
+	// the agreement bound for availability.
 	ServeOnExpiry LeaseExpiryPolicy = "serve"
 )
 
-// LeaseDuration is how long a lease lets a proxy act on the active version without restriction, on the proxy's clock and
+// LeaseDuration returns how long a lease lets a proxy act on the active version without restriction, on the proxy's clock and
 // from the time it sent the renewal. It is shorter than AgreementTimeout by the clock drift of both sides.
 func (t Terms) LeaseDuration() time.Duration {
 	return t.AgreementTimeout - driftMargin(t.AgreementTimeout, t.ClockDriftPPM)
 }
 
-// KnowledgeDuration is how long a proxy may rely on what a lease says of the active and the proposed version, on the
+// KnowledgeDuration returns how long a proxy may rely on the active and the proposed version that a lease names, on the
 // proxy's clock and from the time it sent the renewal.
 func (t Terms) KnowledgeDuration() time.Duration {
 	return t.MemberTimeout - driftMargin(t.MemberTimeout, t.ClockDriftPPM)
 }
 
-// WithDefaults returns the terms with defaults for unset fields, durations truncated to microseconds. It fails with BadTerms;
-// place says in errors where the terms come from.
+// WithDefaults returns the terms with defaults for unset fields and with durations truncated to microseconds. It returns
+// BadTerms if a value is out of bounds; place names the source of the terms in the error.
 func (t Terms) WithDefaults(place string) (Terms, error) {
 	t.AgreementTimeout = t.AgreementTimeout.Truncate(time.Microsecond)
 	t.MemberTimeout = t.MemberTimeout.Truncate(time.Microsecond)
@@ -92,17 +92,17 @@
 	return t, nil
 }
 
-// expiryWithDrift is how long a leader must have received no renewal, on its own clock, until the leases that it granted
-// under a MemberTimeout of timeout have expired at the node. The node counts KnowledgeDuration, shorter by four drifts,
-// from when it sent the renewal, which is before the leader received it. In real time that is under
-// timeout*(1-4d)/(1-d), and timeout on a leader's clock that runs fast is over timeout/(1+d). The former is shorter for
-// every d up to maxClockDriftPPM, so timeout alone would do; the four drifts on top cover an earlier version whose terms
-// put the drift lower than it is.
+// expiryWithDrift returns how long a leader must have received no renewal, on its own clock, until the leases that it
+// granted under a MemberTimeout of timeout have expired at the node. The node counts KnowledgeDuration, which is shorter
+// than timeout by four drifts, from when it sent the renewal, which is before the leader received it. With a drift of d,
+// that takes less than timeout*(1-4d)/(1-d) of real time, while timeout on a fast leader clock takes more than
+// timeout/(1+d). The former is shorter for every d up to maxClockDriftPPM, so timeout alone would suffice. The four
+// drifts added to it cover leases of an earlier version whose terms understate the drift.
 func expiryWithDrift(timeout time.Duration, driftPPM int64) time.Duration {
 	return timeout + driftMargin(timeout, driftPPM)
 }
 
-// driftMargin is four times what a clock may drift in d.
+// driftMargin returns four times the maximum drift of a clock during d.
 func driftMargin(d time.Duration, driftPPM int64) time.Duration {
 	const driftsPerMargin, million = 4, 1_000_000
 	return d * time.Duration(driftsPerMargin*driftPPM) / million
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -7,8 +7,8 @@
 	Number     uint64 `json:"number"` // starts at 1 and is never reused; a withdrawn version leaves a gap
 	Digest     string `json:"digest"` // of Body, by Body.Digest
 	RollbackOf uint64 `json:"rollback_of,omitempty"`
-	ProposedBy string `json:"by,omitempty"`  // who proposed it, as the operator wrote it
-	Reason     string `json:"why,omitempty"` // why it was proposed, as the operator wrote it
+	ProposedBy string `json:"by,omitempty"`  // who proposed it, as entered by the operator
+	Reason     string `json:"why,omitempty"` // why it was proposed, as entered by the operator
 	Body       Body   `json:"body"`
 	// Force lets the version become active despite nodes that rejected it. Excluded names those nodes, sorted.
 	Force    bool     `json:"force,omitempty"`
