--- a/internal/fleetconfig/agreement_test.go
+++ b/internal/fleetconfig/agreement_test.go
@@ -30,19 +30,19 @@
 		switches, comparisons = switches+sim.switches, comparisons+sim.comparisons
 	})
 	if switches < 1000 || comparisons < 100 {
-		t.Errorf("only %d switches and %d comparisons of two versions", switches, comparisons)
+		t.Errorf("only %d switches and %d comparisons of two versions; at least 1000 and 100 are needed", switches, comparisons)
 	}
 	t.Logf("%d switches, %d comparisons of two versions", switches, comparisons)
 }
 
-// unreachableCase is a fleet in which a proxy becomes unreachable around the proposal of version 2, by the seed: its
-// renewals arrive while its leases are lost.
+// unreachableCase is a fleet in which a proxy becomes unreachable (its renewals arrive, but its leases are lost) shortly
+// before or after version 2 is proposed, depending on the seed.
 type unreachableCase struct {
 	seed             uint64
 	sim              *simulation
 	terms            Terms
 	proxy            *simulatedProxy // the unreachable one
-	slow             *simulatedProxy // prepares slowly with some seeds
+	slow             *simulatedProxy // prepares slowly for some seeds
 	unreachableSince time.Duration
 	proposedAt       time.Duration
 }
@@ -77,7 +77,7 @@
 // beforeProposal reports whether the proxy is unreachable for some time before the proposal.
 func (c *unreachableCase) beforeProposal() bool { return c.seed%3 == 1 }
 
-// disconnectAndPropose makes the proxy unreachable and proposes version 2, in the order that the seed selects.
+// disconnectAndPropose makes the proxy unreachable and proposes version 2, in an order that depends on the seed.
 func (c *unreachableCase) disconnectAndPropose() {
 	sim := c.sim
 	c.unreachableSince = sim.now
@@ -104,8 +104,8 @@
 	}
 }
 
-// awaitActivation runs until version 2 is active. It returns whether the status reported that the proxy is unreachable and
-// blocks the version.
+// awaitActivation runs the simulation until version 2 is active. It reports whether the status named the proxy as
+// unreachable and as blocking the version.
 func (c *unreachableCase) awaitActivation(t *testing.T) bool {
 	t.Helper()
 	sim := c.sim
@@ -122,8 +122,9 @@
 	return reported
 }
 
-// An unreachable proxy is waited for no longer than an unresponsive one, also if its preparation never ends, and has the
-// version once it is reachable again. A reachable one that prepares for longer than MemberTimeout is waited for.
+// A version must wait no longer for an unreachable proxy than for an unresponsive one, even if the proxy never finishes
+// preparing. The proxy must act on the version once it is reachable again. A version must wait for a reachable proxy that
+// prepares for longer than MemberTimeout.
 func TestUnreachableProxyBlocksNoLongerThanUnresponsiveOne(t *testing.T) {
 	for seed := range uint64(60) {
 		c := newUnreachableCase(seed)
@@ -131,7 +132,7 @@
 		c.disconnectAndPropose()
 		reported := c.awaitActivation(t)
 		prepared := c.proposedAt + c.slow.prepareDelay
-		// A disconnected proxy renews each half of MemberTimeout, and reports then that the last lease did not arrive.
+		// A disconnected proxy renews at least every MemberTimeout/2, and then reports that the last lease did not arrive.
 		latest := max(c.unreachableSince+memberTimeout, prepared+memberTimeout/2) + c.terms.AgreementTimeout
 		if at := sim.activeAt[2]; at < prepared || at > latest {
 			t.Errorf("seed %d: version 2 is active at %v, not from %v to %v", seed, at, prepared, latest)
--- a/internal/fleetconfig/faulty_parts_test.go
+++ b/internal/fleetconfig/faulty_parts_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Faulty parts, each of which breaks one rule.
+// Faulty implementations, each of which breaks one rule.
 type (
 	impatientManager    struct{ LeaseService } // does not wait for unresponsive members
 	skipIgnoringManager struct {               // grants leases to nodes that a pending decision skips
@@ -16,70 +16,70 @@
 	earlyCountingManager   struct{ LeaseService }  // counts the time before its election
 	activeTimeoutState     struct{ *StateMachine } // waits only for the active version's MemberTimeout
 	unleasedClient         struct{ Leaseholder }   // acts without a lease
-	conflictIgnoringClient struct{ Leaseholder }   // takes no connection for contested
+	conflictIgnoringClient struct{ Leaseholder }   // treats no connection as conflicting
 	forceIgnoringClient    struct{ Leaseholder }   // does not know that a version is forced
 	unconfirmingClient     struct{ Leaseholder }   // does not report accepted leases
-	confirmingManager      struct{ *LeaseManager } // takes each lease for confirmed
+	confirmingManager      struct{ *LeaseManager } // treats every lease as confirmed
 	latestOnlyState        struct{ *StateMachine } // forgets a superseded process at once
 )
 
-func (h impatientManager) DueCommands(now time.Duration) []Command {
-	return h.LeaseService.DueCommands(now + time.Minute)
+func (m impatientManager) DueCommands(now time.Duration) []Command {
+	return m.LeaseService.DueCommands(now + time.Minute)
 }
 
-func (f skipIgnoringManager) BecomeLeader(now time.Duration, term uint64) {
-	f.LeaseService.BecomeLeader(now, term)
-	f.unrestricted.BecomeLeader(now, term)
+func (m skipIgnoringManager) BecomeLeader(now time.Duration, term uint64) {
+	m.LeaseService.BecomeLeader(now, term)
+	m.unrestricted.BecomeLeader(now, term)
 }
 
-func (f skipIgnoringManager) HandleRenewal(now time.Duration, r Renewal) []Command {
-	f.unrestricted.HandleRenewal(now, r)
-	return f.LeaseService.HandleRenewal(now, r)
+func (m skipIgnoringManager) HandleRenewal(now time.Duration, r Renewal) []Command {
+	m.unrestricted.HandleRenewal(now, r)
+	return m.LeaseService.HandleRenewal(now, r)
 }
 
-func (f skipIgnoringManager) GrantLease(now time.Duration, r Renewal) (Lease, bool) {
-	return f.unrestricted.GrantLease(now, r)
+func (m skipIgnoringManager) GrantLease(now time.Duration, r Renewal) (Lease, bool) {
+	return m.unrestricted.GrantLease(now, r)
 }
 
-func (n earlyCountingManager) BecomeLeader(now time.Duration, term uint64) {
-	n.LeaseService.BecomeLeader(now-time.Minute, term)
+func (m earlyCountingManager) BecomeLeader(now time.Duration, term uint64) {
+	m.LeaseService.BecomeLeader(now-time.Minute, term)
 }
 
-func (u forceIgnoringClient) Handle(now time.Duration, e Event) []Action {
-	if g, ok := e.(LeaseGranted); ok {
-		g.Lease.Forced = false
-		e = g
+func (c forceIgnoringClient) Handle(now time.Duration, e Event) []Action {
+	if granted, ok := e.(LeaseGranted); ok {
+		granted.Lease.Forced = false
+		e = granted
 	}
-	return u.Leaseholder.Handle(now, e)
+	return c.Leaseholder.Handle(now, e)
 }
 
-func (u unconfirmingClient) Handle(now time.Duration, e Event) []Action {
-	out := u.Leaseholder.Handle(now, e)
-	for i, a := range out {
-		if ask, ok := a.(SendRenewal); ok {
-			ask.Renewal.FirstUnanswered = 1
-			out[i] = ask
+func (c unconfirmingClient) Handle(now time.Duration, e Event) []Action {
+	actions := c.Leaseholder.Handle(now, e)
+	for i, a := range actions {
+		if send, ok := a.(SendRenewal); ok {
+			send.Renewal.FirstUnanswered = 1
+			actions[i] = send
 		}
 	}
-	return out
+	return actions
 }
 
-func (o confirmingManager) GrantLease(now time.Duration, r Renewal) (Lease, bool) {
-	g, ok := o.LeaseManager.GrantLease(now, r)
-	if h := o.sessions[processID{r.Node, r.Incarnation}]; h != nil {
-		h.leaseUnconfirmed = false
+func (m confirmingManager) GrantLease(now time.Duration, r Renewal) (Lease, bool) {
+	lease, ok := m.LeaseManager.GrantLease(now, r)
+	if session := m.sessions[processID{r.Node, r.Incarnation}]; session != nil {
+		session.leaseUnconfirmed = false
 	}
-	return g, ok
+	return lease, ok
 }
 
 func (s latestOnlyState) Members() []Member {
-	var out []Member
+	var members []Member
 	for _, m := range s.StateMachine.Members() {
 		if latest, _ := latestIncarnation(s.StateMachine.Members(), m.Node); latest == m.Incarnation {
-			out = append(out, m)
+			members = append(members, m)
 		}
 	}
-	return out
+	return members
 }
 
 func (s activeTimeoutState) Active() (Version, bool) {
@@ -88,34 +88,34 @@
 	return v, ok
 }
 
-func (c unleasedClient) Authorize(now time.Duration, contested func() bool) Authorization {
-	p := c.Leaseholder.Authorize(now, contested)
-	n, ok := c.ActiveVersion()
-	p.Allowed = p.Allowed || ok && n > 0
-	return p
+func (c unleasedClient) Authorize(now time.Duration, conflicts func() bool) Authorization {
+	authorization := c.Leaseholder.Authorize(now, conflicts)
+	version, ok := c.ActiveVersion()
+	authorization.Allowed = authorization.Allowed || ok && version > 0
+	return authorization
 }
 
-func (i conflictIgnoringClient) Authorize(now time.Duration, _ func() bool) Authorization {
-	return i.Leaseholder.Authorize(now, func() bool { return false })
+func (c conflictIgnoringClient) Authorize(now time.Duration, _ func() bool) Authorization {
+	return c.Leaseholder.Authorize(now, func() bool { return false })
 }
 
 func TestInvariantChecksDetectFaultyParts(t *testing.T) {
 	for name, faulty := range map[string]struct {
-		from uint64 // the first seed, where the violation is rare
+		from uint64 // the first seed; above 0 if only few seeds lead to a violation
 		wrappers
 	}{
 		"does not wait for unresponsive members": {0, wrappers{leases: func(m *LeaseManager, _ *StateMachine) LeaseService { return impatientManager{m} }}},
-		"grants leases past a pending decision": {80, wrappers{leases: func(m *LeaseManager, b *StateMachine) LeaseService {
-			return skipIgnoringManager{m, NewLeaseManager(b)}
+		"grants leases past a pending decision": {80, wrappers{leases: func(m *LeaseManager, s *StateMachine) LeaseService {
+			return skipIgnoringManager{m, NewLeaseManager(s)}
 		}}},
 		"counts the time before its election":      {0, wrappers{leases: func(m *LeaseManager, _ *StateMachine) LeaseService { return earlyCountingManager{m} }}},
-		"waits only for the active member timeout": {0, wrappers{state: func(b *StateMachine) ReplicatedState { return activeTimeoutState{b} }}},
-		"acts without a lease":                     {0, wrappers{client: func(f Leaseholder) Leaseholder { return unleasedClient{f} }}},
-		"does not report accepted leases":          {0, wrappers{client: func(f Leaseholder) Leaseholder { return unconfirmingClient{f} }}},
-		"takes each lease for confirmed":           {0, wrappers{leases: func(m *LeaseManager, _ *StateMachine) LeaseService { return confirmingManager{m} }}},
-		"does not know that a version is forced":   {0, wrappers{client: func(f Leaseholder) Leaseholder { return forceIgnoringClient{f} }}},
-		"forgets a superseded process":             {30, wrappers{state: func(b *StateMachine) ReplicatedState { return latestOnlyState{b} }}},
-		"takes no connection for contested":        {0, wrappers{client: func(f Leaseholder) Leaseholder { return conflictIgnoringClient{f} }}},
+		"waits only for the active member timeout": {0, wrappers{state: func(s *StateMachine) ReplicatedState { return activeTimeoutState{s} }}},
+		"acts without a lease":                     {0, wrappers{client: func(c Leaseholder) Leaseholder { return unleasedClient{c} }}},
+		"does not report accepted leases":          {0, wrappers{client: func(c Leaseholder) Leaseholder { return unconfirmingClient{c} }}},
+		"treats every lease as confirmed":          {0, wrappers{leases: func(m *LeaseManager, _ *StateMachine) LeaseService { return confirmingManager{m} }}},
+		"does not know that a version is forced":   {0, wrappers{client: func(c Leaseholder) Leaseholder { return forceIgnoringClient{c} }}},
+		"forgets a superseded process":             {30, wrappers{state: func(s *StateMachine) ReplicatedState { return latestOnlyState{s} }}},
+		"treats no connection as conflicting":      {0, wrappers{client: func(c Leaseholder) Leaseholder { return conflictIgnoringClient{c} }}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const seeds = 200
@@ -127,7 +127,7 @@
 					return
 				}
 			}
-			t.Errorf("no violation in %d runs", seeds)
+			t.Errorf("no invariant was violated in %d runs", seeds)
 		})
 	}
 }
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -20,8 +20,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// The fixtures in testdata/golden were written by the program before its Go names were changed. They are never rewritten:
-// a test that fails here has found a change of the encoding that replicas, proxies and stored data depend on.
+// The fixtures in testdata/golden were written by a release before its Go names were changed. Never regenerate them: a
+// failure here means that the encoding has changed, on which replicas, proxies and stored data depend.
 
 func goldenTerms() Terms {
 	return Terms{AgreementTimeout: 1500 * time.Millisecond, MemberTimeout: 9 * time.Second, OnLeaseExpiry: ServeOnExpiry, ClockDriftPPM: 250}
@@ -69,7 +69,7 @@
 		json.RawMessage(`{"instanceId":"i-2","lifecycle":"terminated"}`)}}
 }
 
-// goldenMeshChange sets all members; a command of the program sets one beside At.
+// goldenMeshChange sets all fields; the program sets At and one other.
 func goldenMeshChange() federation.Change {
 	publication := samples.Publication()
 	terms := samples.FederationTerms()
@@ -77,11 +77,11 @@
 		Tick: true}
 }
 
-// jsonForm is an encoded type: its name is the fixture's, empty the encoding of its zero value.
+// jsonForm is a type that is encoded as JSON.
 type jsonForm struct {
-	name  string
-	value any
-	empty string
+	name  string // of the fixture, without its extension
+	value any    // the value that the fixture encodes
+	empty string // the encoding of the zero value
 }
 
 func jsonForms() []jsonForm {
@@ -119,7 +119,7 @@
 	}
 }
 
-// goldenCommand sets all members; a command of the program sets one.
+// goldenCommand sets all fields; the program sets one.
 func goldenCommand() Command {
 	list, propose, withdraw, mesh := goldenListChange(), goldenPropose(), goldenWithdraw(), goldenMeshChange()
 	return Command{EndpointChange: &list, Propose: &propose, Activate: &Activate{Number: 7, Excluded: []string{"proxy-1"}, SettledVersion: 6},
@@ -127,7 +127,7 @@
 		RemoveMember: &RemoveMember{Node: "proxy-1", Incarnation: 4, JoinIndex: 20}, MeshChange: &mesh}
 }
 
-// TestGoldenJSON pins the JSON encoding of each type that is sent or stored, both with all fields set and with none.
+// TestGoldenJSON checks the JSON encoding of each type that is sent or stored, with all fields set and with none set.
 func TestGoldenJSON(t *testing.T) {
 	for _, form := range jsonForms() {
 		t.Run(form.name, func(t *testing.T) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// TestGoldenBodyDigest pins the digests of bodies, which identify versions on all machines.
+// TestGoldenBodyDigest checks the digests of bodies, which identify versions on all machines.
 func TestGoldenBodyDigest(t *testing.T) {
 	spaced := goldenBody()
 	spaced.Settings = json.RawMessage("{\n \"GiveUp\": \"3s\", \"text\": \"<&>\"}")
@@ -197,7 +197,8 @@
 	testkit.RequireBytes(t, "checked body", testkit.GoldenFile(t, "body.json"), encoded)
 }
 
-// goldenCommands give a Book versions that share a body, a waiting proposal, members, history, answers, a list and meshes.
+// goldenCommands returns commands that give a StateMachine versions that share a body, a proposed version, members,
+// history, stored answers, an endpoint list and meshes.
 func goldenCommands() []Command {
 	body := func(settings string) *Body {
 		b := goldenBody()
@@ -226,7 +227,7 @@
 		{AddMember: &AddMember{Node: "proxy-3", Incarnation: 2}},
 		{Propose: &Propose{ID: "change-1", ProposedBy: "staff", Reason: "the first", Body: body(`{"GiveUp":"1s"}`)}},
 		{Propose: &Propose{ID: "change-2", Base: 1, ProposedBy: "staff", Reason: "slower", Body: body(`{"GiveUp":"2s"}`), Force: true}},
-		{Propose: &Propose{ID: "change-3", Base: 1, Body: body(`{"GiveUp":"3s"}`)}}, // refused: another one waits
+		{Propose: &Propose{ID: "change-3", Base: 1, Body: body(`{"GiveUp":"3s"}`)}}, // rejected: another version is proposed
 		{Activate: &Activate{Number: 2, Excluded: []string{"proxy-2"}, SettledVersion: 1}},
 		{Propose: &Propose{ID: "change-4", Base: 2, ProposedBy: "staff", Body: body(`{"GiveUp":"4s"}`)}},
 		{Withdraw: &Withdraw{Number: 3, Reason: "nodes refuse it", Rejections: goldenWithdraw().Rejections}},
@@ -244,7 +245,7 @@
 	}
 }
 
-// TestGoldenSnapshot pins the replicated state's snapshot: the one that goldenCommands lead to, and the empty one.
+// TestGoldenSnapshot checks the snapshot of the state after goldenCommands, and that of an empty state.
 func TestGoldenSnapshot(t *testing.T) {
 	golden := testkit.GoldenFile(t, "snapshot.txt")
 	head, text, _ := bytes.Cut(golden, []byte("\n"))
@@ -263,13 +264,13 @@
 	applied := NewStateMachine()
 	for i, command := range goldenCommands() {
 		answer := applied.Apply(uint64(i+1), command)
-		if refused := command.Propose != nil && command.Propose.ID == "change-3"; (answer.Err != nil) != refused {
+		if rejected := command.Propose != nil && command.Propose.ID == "change-3"; (answer.Err != nil) != rejected {
 			t.Fatalf("command %d: %v", i+1, answer.Err)
 		}
 	}
-	// The words of an error may change; how they are stored may not.
-	refused := &applied.outcomes[2]
-	refused.Place, refused.Cause = "proposal", "version 2 waits to become active"
+	// The fixture does not check the wording of an error, only how it is stored.
+	rejected := &applied.outcomes[2]
+	rejected.Place, rejected.Cause = "proposal", "version 2 waits to become active"
 	written, err := applied.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -295,7 +296,7 @@
 		empty)
 }
 
-// TestGoldenTexts pins the values that stand for constants in encoded forms.
+// TestGoldenTexts checks the encoded values of constants.
 func TestGoldenTexts(t *testing.T) {
 	for _, tc := range []struct{ got, want string }{
 		{string(RejectOnExpiry), "hold"}, {string(ServeOnExpiry), "serve"},
@@ -309,7 +310,7 @@
 	}
 }
 
-// TestGoldenErrorKinds pins the names of error kinds, which are sent to clients and stored with answers.
+// TestGoldenErrorKinds checks the names of error kinds, which are sent to clients and stored with answers.
 func TestGoldenErrorKinds(t *testing.T) {
 	want := map[string]*apperror.Kind{
 		"agreement/stale-base":       StaleBase,
--- a/internal/fleetconfig/lease_client_test.go
+++ b/internal/fleetconfig/lease_client_test.go
@@ -16,10 +16,10 @@
 	*LeaseClient
 	t        *testing.T
 	now      time.Duration
-	renewal  SendRenewal
-	renewals int
+	renewal  SendRenewal // the latest one
+	renewals int         // sent so far
 	timerAt  time.Duration
-	sentAt   time.Duration
+	sentAt   time.Duration // when the latest renewal was sent
 }
 
 func newClientScript(t *testing.T, ownTerms Terms) *clientScript {
@@ -55,15 +55,15 @@
 }
 
 // grant answers the renewal in progress.
-func (c *clientScript) grant(at time.Duration, g Lease) string {
-	g.Node, g.Incarnation, g.Seq, g.Term = "n", 1, c.renewal.Renewal.Seq, 1
-	if g.Terms == (Terms{}) {
-		g.Terms, _ = Terms{}.WithDefaults("")
+func (c *clientScript) grant(at time.Duration, lease Lease) string {
+	lease.Node, lease.Incarnation, lease.Seq, lease.Term = "n", 1, c.renewal.Renewal.Seq, 1
+	if lease.Terms == (Terms{}) {
+		lease.Terms, _ = Terms{}.WithDefaults("")
 	}
-	return c.handle(at, LeaseGranted{g, c.sentAt})
+	return c.handle(at, LeaseGranted{lease, c.sentAt})
 }
 
-// awaitRenewal lets time pass until the client sends its next renewal.
+// awaitRenewal advances the time until the client sends its next renewal.
 func (c *clientScript) awaitRenewal() {
 	c.t.Helper()
 	for n := c.renewals; n == c.renewals; c.handle(c.timerAt, Tick{}) {
@@ -78,7 +78,7 @@
 	testkit.Equal(c.t, what, want, got)
 }
 
-// clientAtVersion1 returns a client that acts on version 1, leased by a renewal of 1000 s.
+// clientAtVersion1 returns a client that acts on version 1, with a lease whose renewal was sent at 1000 s.
 func clientAtVersion1(t *testing.T, terms Terms) *clientScript {
 	client := newClientScript(t, Terms{})
 	terms, err := terms.WithDefaults("")
@@ -126,9 +126,9 @@
 	client.expect("proposed", "prepare 2", client.grant(client.now, Lease{ActiveVersion: 1, ProposedVersion: 2, Forced: true}))
 	client.expect("rejected", "renew", client.handle(client.now+ms, PrepareDone{2, &Rejection{Kind: "k"}}))
 	if r := client.renewal.Renewal; r.RejectedVersion != 2 || r.Rejection == nil || r.PreparedVersion != 0 {
-		t.Errorf("reports %+v", r)
+		t.Errorf("the client reports %+v", r)
 	}
-	client.expect("is not tried again at once", "", client.grant(client.now, Lease{ActiveVersion: 1, ProposedVersion: 2, Forced: true}))
+	client.expect("not tried again at once", "", client.grant(client.now, Lease{ActiveVersion: 1, ProposedVersion: 2, Forced: true}))
 	end := client.sentAt + client.latestLease.Terms.LeaseDuration()
 	client.awaitRenewal()
 	client.expect("a forced version may be active once the lease expired", "blind, renew", client.handle(end, RenewalFailed{client.renewal.Renewal.Seq}))
@@ -145,11 +145,10 @@
 	client.grant(client.now, Lease{ActiveVersion: 1, ProposedVersion: 2})
 	client.handle(client.now+ms, PrepareDone{2, &Rejection{Kind: "k"}})
 	client.grant(client.now, Lease{ActiveVersion: 1, ProposedVersion: 2})
-	testkit.Equal(t, "a version that is not forced cannot become active without it", Authorization{Allowed: true, State: Expired}, client.Authorize(client.now+3*second, nil))
+	testkit.Equal(t, "a version that is not forced cannot become active without this process", Authorization{Allowed: true, State: Expired}, client.Authorize(client.now+3*second, nil))
 	client.expect("tried again later", "prepare 2, blind, renew", client.handle(client.now+rejectedRetryInterval, Tick{}))
 }
 
-// Authorize at a time after the latest accepted lease's renewal was sent.
 func TestAuthorize(t *testing.T) {
 	reject, _ := Terms{}.WithDefaults("")
 	serve, _ := Terms{OnLeaseExpiry: ServeOnExpiry}.WithDefaults("")
@@ -173,19 +172,19 @@
 	}
 	for name, c := range map[string]struct {
 		terms     Terms
-		do        func(*clientScript)
-		after     time.Duration
-		contested bool
-		ok        bool
-		why       LeaseState
+		setUp     func(*clientScript)
+		after     time.Duration // from when the renewal of the lease on the client's active version was sent
+		conflicts bool
+		allowed   bool
+		state     LeaseState
 	}{
 		"leased":                                       {reject, unchanged, reject.LeaseDuration() - 1, true, true, Leased},
 		"leased, and a version is prepared":            {reject, prepared, reject.LeaseDuration() - 1, true, true, Leased},
 		"no other version can be active":               {reject, unchanged, reject.LeaseDuration(), true, true, Expired},
 		"proposed version is not acknowledged":         {reject, proposed, reject.LeaseDuration(), true, true, Expired},
-		"contested by the prepared version":            {reject, prepared, reject.LeaseDuration(), true, false, Expired},
-		"not contested by the prepared version":        {reject, prepared, reject.LeaseDuration(), false, true, Expired},
-		"last moment of knowledge":                     {reject, prepared, reject.KnowledgeDuration() - 1, false, true, Expired},
+		"conflicts with the prepared version":          {reject, prepared, reject.LeaseDuration(), true, false, Expired},
+		"does not conflict with the prepared version":  {reject, prepared, reject.LeaseDuration(), false, true, Expired},
+		"just before it disconnects":                   {reject, prepared, reject.KnowledgeDuration() - 1, false, true, Expired},
 		"disconnected, rejects":                        {reject, prepared, reject.KnowledgeDuration(), false, false, Disconnected},
 		"disconnected, serves":                         {serve, prepared, serve.KnowledgeDuration(), true, true, Disconnected},
 		"expired, serves only when disconnected":       {serve, prepared, serve.KnowledgeDuration() - 1, true, false, Expired},
@@ -198,17 +197,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := clientAtVersion1(t, c.terms)
-			c.do(s)
+			c.setUp(s)
 			at := s.sentAt + c.after
-			if s.latestLease.ActiveVersion != 1 { // the lease on the version that it acts on is from an earlier renewal
+			if s.latestLease.ActiveVersion != 1 { // an earlier renewal brought the lease on the client's active version
 				at = s.leaseExpiry - reject.LeaseDuration() + c.after
 			}
-			p := s.Authorize(at, func() bool { return c.contested })
-			if p.Allowed != c.ok || p.State != c.why || (p.RetryAfter > 0) == p.Allowed || p.RetryAfter > maxRetryAfter {
-				t.Errorf("%+v", p)
+			got := s.Authorize(at, func() bool { return c.conflicts })
+			if got.Allowed != c.allowed || got.State != c.state || (got.RetryAfter > 0) == got.Allowed || got.RetryAfter > maxRetryAfter {
+				t.Errorf("got %+v, want allowed %v in state %q", got, c.allowed, c.state)
 			}
 			served := uint64(0)
-			if c.ok && c.why == Disconnected {
+			if c.allowed && c.state == Disconnected {
 				served = 1
 			}
 			testkit.Equal(t, "served while disconnected", served, s.Status(at).ServedDisconnected)
@@ -218,18 +217,18 @@
 		RejectOnExpiry: {0: false, time.Hour: false},
 		ServeOnExpiry:  {0: false, 10*second - 1: false, 10 * second: true},
 	} {
-		for d, ok := range after {
+		for d, allowed := range after {
 			s := newClientScript(t, Terms{OnLeaseExpiry: policy})
-			if p := s.Authorize(s.now+d, nil); p.Allowed != ok || p.State != Starting {
-				t.Errorf("starting, %s, after %v: %+v", policy, d, p)
+			if got := s.Authorize(s.now+d, nil); got.Allowed != allowed || got.State != Starting {
+				t.Errorf("starting, policy %q, after %v: got %+v, want allowed %v", policy, d, got, allowed)
 			}
 		}
 	}
 	s := newClientScript(t, Terms{OnLeaseExpiry: ServeOnExpiry})
 	s.handle(s.now+8*second, RenewalFailed{s.seq})
 	s.grant(s.now, Lease{ActiveVersion: 1})
-	if p := s.Authorize(s.sentAt+10*second-1, nil); p.Allowed {
-		t.Error("it serves by its own settings although a lease named a version")
+	if got := s.Authorize(s.sentAt+10*second-1, nil); got.Allowed {
+		t.Error("the client serves by its own settings although a lease named a version")
 	}
 }
 
@@ -262,7 +261,7 @@
 		}
 		client.handle(client.now, LeaseGranted{valid(client), client.sentAt})
 		if client.leaseExpiry != client.sentAt+client.latestLease.Terms.LeaseDuration() {
-			t.Errorf("%s: the valid answer is then ignored", name)
+			t.Errorf("%s: the valid answer that follows is ignored", name)
 		}
 	}
 }
@@ -272,7 +271,7 @@
 	lease := client.latestLease.Terms.LeaseDuration()
 	firstSentAt := client.sentAt
 	if client.awaitRenewal(); client.sentAt-firstSentAt < lease*7/32 || client.sentAt-firstSentAt > lease/4 {
-		t.Errorf("renews again %v into a lease of %v", client.sentAt-firstSentAt, lease)
+		t.Errorf("the next renewal is sent %v into a lease of %v, want 7/32 to 1/4 of it", client.sentAt-firstSentAt, lease)
 	}
 	client.handle(client.now, Tick{})
 	testkit.Equal(t, "renewals, one at a time", 3, client.renewals)
@@ -291,21 +290,21 @@
 	}
 	for i, p := range pauses {
 		if p > maxRenewalPause+2*client.answerTimeout() || i > 0 && p < pauses[i-1] && p < 4*second && i > immediateAttempts {
-			t.Errorf("pauses %v", pauses)
+			t.Errorf("pauses between renewals are %v", pauses)
 			break
 		}
 	}
 	if n := len(pauses); n > 60 || n < 15 {
-		t.Errorf("%d renewals in a minute without replicas", n)
+		t.Errorf("%d renewals in a minute without replicas, want 15 to 60", n)
 	}
 	client.grant(client.now, Lease{ActiveVersion: 1})
 	status := client.Status(client.now)
 	if status.State != Leased || status.Expirations != 1 || client.failures != 0 {
-		t.Errorf("status is then %+v", status)
+		t.Errorf("status after the next lease is %+v", status)
 	}
 	other := NewLeaseClient("m", 1, Terms{AgreementTimeout: -1})
 	if other.ownTerms.AgreementTimeout != 2*second || other.renewalInterval() == NewLeaseClient("n", 1, Terms{}).renewalInterval() {
-		t.Error("proxies renew in step, or by invalid terms")
+		t.Error("two proxies have the same renewal interval, or invalid terms are used")
 	}
 }
 
@@ -315,7 +314,7 @@
 	client.grant(client.now, Lease{ActiveVersion: 1, ProposedVersion: 2})
 	client.handle(client.now, PrepareDone{Number: 2})
 	client.expect("drain while a renewal is in progress", "discard 2, leaving", client.handle(client.now+ms, StartDrain{}))
-	client.expect("which did not report the drain", "renew", client.grant(client.now+ms, Lease{ActiveVersion: 2}))
+	client.expect("answer to a renewal that did not report the drain", "renew", client.grant(client.now+ms, Lease{ActiveVersion: 2}))
 	testkit.Equal(t, "reported", Renewal{Node: "n", Incarnation: 1, Seq: client.seq, FirstUnanswered: client.seq, ActiveVersion: 1, Draining: true},
 		client.renewal.Renewal)
 	first := client.seq
