--- a/internal/fleetconfig/lease_manager_test.go
+++ b/internal/fleetconfig/lease_manager_test.go
@@ -17,7 +17,7 @@
 
 const second = time.Second
 
-// newLeadingManager returns a manager that leads since 100 s in term 7, with version 2 active and the given members.
+// newLeadingManager returns a manager that has led since 100 s in term 7, with version 2 active and the given members.
 func newLeadingManager(t *testing.T, members ...AddMember) leaseManagerFixture {
 	state := stateMachineAtVersion2(t, members...)
 	fixture := leaseManagerFixture{NewLeaseManager(state), t, state}
@@ -38,14 +38,14 @@
 // due applies the due commands and returns their descriptions.
 func (f leaseManagerFixture) due(at time.Duration) []string {
 	f.t.Helper()
-	var out []string
+	var descriptions []string
 	for _, c := range f.DueCommands(at) {
-		out = append(out, describeCommand(c))
+		descriptions = append(descriptions, describeCommand(c))
 		if a := applyAll(f.t, f.state, c); a.Err != nil {
 			f.t.Errorf("%s: %v", describeCommand(c), a.Err)
 		}
 	}
-	return out
+	return descriptions
 }
 
 func describeCommand(c Command) string {
@@ -67,7 +67,7 @@
 	return f.GrantLease(at, r)
 }
 
-// defaultMemberExpiry is how long a member is waited for under the default terms.
+// defaultMemberExpiry is how long a decision waits for a member under the default terms.
 const defaultMemberExpiry = 10*second + 40*time.Millisecond
 
 func TestProposedVersionIsDecided(t *testing.T) {
@@ -78,10 +78,10 @@
 	}
 	for name, c := range map[string]struct {
 		force bool
-		a, b  Renewal // renewals received at 101 s
-		then  func(leaseManagerFixture)
-		at    time.Duration
-		want  []string
+		a, b  Renewal                   // received from the two members at 101 s
+		then  func(leaseManagerFixture) // called after that; nil: nothing
+		at    time.Duration             // when the due commands are requested
+		want  []string                  // the due commands
 	}{
 		"all members are ready":                            {a: ready, b: ready, at: at, want: []string{"activate"}},
 		"one is not ready":                                 {a: ready, at: at + defaultMemberExpiry},
@@ -123,8 +123,8 @@
 	}
 }
 
-// A node renews each second and reports that no lease arrives. It gets no lease in the last quarter of the member timeout,
-// so that the version can become active without it, and is tried again once per member timeout.
+// A node renews every second and reports that its leases do not arrive. It must get no lease in the last quarter of the
+// member timeout, so that the version can become active without it, and one more lease per member timeout after that.
 func TestLeasesAreWithheldFromUnreachableNode(t *testing.T) {
 	const from, to = 101, 130
 	all := make([]int, 0, to-from)
@@ -132,9 +132,9 @@
 		all = append(all, s)
 	}
 	for name, c := range map[string]struct {
-		change  func(s int, r *Renewal)
-		granted []int // in which seconds
-		holds   []int // the seconds after the member timeout in which the version waits for it
+		change   func(s int, r *Renewal) // changes the renewal of a second; nil: nothing
+		granted  []int                   // the seconds in which a lease is granted
+		blocking []int                   // the seconds after the member timeout in which the node blocks the version
 	}{
 		"unreachable": {nil, []int{101, 102, 103, 104, 105, 106, 107, 118, 129}, []int{118, 129}},
 		"reachable again": {func(s int, r *Renewal) {
@@ -166,7 +166,7 @@
 				}
 			}
 			testkit.Equal(t, "granted", c.granted, granted)
-			testkit.Equal(t, "blocks the version", c.holds, blocking)
+			testkit.Equal(t, "blocks the version", c.blocking, blocking)
 		})
 	}
 }
@@ -185,8 +185,8 @@
 	applyAll(t, fixture.state, proposeCommand(Propose{Body: settingsBody(`{}`), Force: true}))
 	rejecting.RejectedVersion = 4
 	fixture.renew(102*second, rejecting)
-	if g, ok := fixture.requestLease(102*second, rejecting); !ok || g.ProposedVersion != 4 || !g.Forced || g.Excluded {
-		t.Errorf("the lease of a rejecting node is %+v", g)
+	if lease, ok := fixture.requestLease(102*second, rejecting); !ok || lease.ProposedVersion != 4 || !lease.Forced || lease.Excluded {
+		t.Errorf("the lease of a rejecting node is %+v", lease)
 	}
 	fixture.renew(102*second, Renewal{Node: "a", PreparedVersion: 4})
 	fixture.due(102 * second)
@@ -196,14 +196,14 @@
 	}{{rejecting, true}, {Renewal{Node: "b", Seq: 1, PreparedVersion: 4}, false}, {Renewal{Node: "b", Seq: 2, ActiveVersion: 4}, false},
 		{Renewal{Node: "a"}, false}} {
 		fixture.renew(103*second, c.r)
-		if g, ok := fixture.requestLease(103*second, c.r); !ok || g.ActiveVersion != 4 || g.Excluded != c.excluded {
-			t.Errorf("renewal %+v is answered by %+v", c.r, g)
+		if lease, ok := fixture.requestLease(103*second, c.r); !ok || lease.ActiveVersion != 4 || lease.Excluded != c.excluded {
+			t.Errorf("renewal %+v is answered by %+v, want version 4 and excluded %v", c.r, lease, c.excluded)
 		}
 	}
 }
 
-// A decision binds from when it is returned, not from when it applies: with a lease in between a skipped node could rely
-// on the active version for another member timeout.
+// A decision is binding from when it is returned, not from when it applies. With a lease granted in between, a skipped
+// node could rely on the active version for another member timeout.
 func TestNoLeaseForNodesThatAPendingDecisionSkips(t *testing.T) {
 	fixture := newLeadingManager(t, AddMember{"a", 1}, AddMember{"b", 1}, AddMember{"c", 1})
 	applyAll(t, fixture.state, proposeCommand(Propose{Body: settingsBody(`{}`)}))
@@ -214,21 +214,21 @@
 	decided := fixture.DueCommands(late)
 	fixture.renew(late, b)
 	testkit.Equal(t, "decision after another renewal of b", decided, fixture.DueCommands(late))
-	if g, ok := fixture.requestLease(late, b); ok {
-		t.Errorf("b gets the lease %+v", g)
+	if lease, ok := fixture.requestLease(late, b); ok {
+		t.Errorf("b gets the lease %+v, want none", lease)
 	}
-	if g, ok := fixture.requestLease(late, a); !ok || g.ActiveVersion != 2 || g.ProposedVersion != 3 {
-		t.Errorf("a gets the lease %+v, %v", g, ok)
+	if lease, ok := fixture.requestLease(late, a); !ok || lease.ActiveVersion != 2 || lease.ProposedVersion != 3 {
+		t.Errorf("a gets the lease %+v, %v", lease, ok)
 	}
 	fixture.due(late)
-	if g, ok := fixture.requestLease(late, b); !ok || g.ActiveVersion != 3 || g.Term != 7 || g.ActiveDigest == "" || g.Terms.AgreementTimeout != 2*second {
-		t.Errorf("after the activation b gets the lease %+v, %v", g, ok)
+	if lease, ok := fixture.requestLease(late, b); !ok || lease.ActiveVersion != 3 || lease.Term != 7 || lease.ActiveDigest == "" || lease.Terms.AgreementTimeout != 2*second {
+		t.Errorf("after the activation b gets the lease %+v, %v", lease, ok)
 	}
 
 	removals := fixture.DueCommands(late + 60*defaultMemberExpiry + 1)
 	later := late + 61*defaultMemberExpiry
 	if len(removals) != 3 || len(fixture.renew(later, b)) != 0 {
-		t.Fatalf("%d removals", len(removals))
+		t.Fatalf("%d removals, want 3 and no command for the renewal", len(removals))
 	}
 	if _, ok := fixture.requestLease(later, b); ok {
 		t.Error("b gets a lease while its removal is pending")
@@ -257,7 +257,7 @@
 	applyAll(t, fixture.state, fixture.renew(102*second, later)...)
 	applyAll(t, fixture.state, proposeCommand(Propose{Body: settingsBody(`{}`)}))
 	fixture.renew(102*second, later)
-	fixture.renew(103*second, earlier) // neither counts nor extends the wait
+	fixture.renew(103*second, earlier) // must not be recorded nor extend the wait
 	if _, ok := fixture.requestLease(103*second, earlier); ok {
 		t.Error("a superseded process gets a lease")
 	}
@@ -275,7 +275,7 @@
 		t.Error("the drain is not confirmed, or the process is added again")
 	}
 	if _, ok := fixture.requestLease(112*second, Renewal{Node: "a", Incarnation: 2, Seq: 8}); ok {
-		t.Error("an earlier renewal of it gets a lease")
+		t.Error("an earlier renewal of the draining process gets a lease")
 	}
 }
 
@@ -295,7 +295,7 @@
 	testkit.Equal(t, "while leases of version 1 may be unexpired", []string(nil), fixture.due(expired))
 	testkit.Equal(t, "after the timeout", []string{"activate"}, fixture.due(expired+1))
 	if v, _ := state.Active(); v.MaxMemberTimeout != 20*second {
-		t.Errorf("the maximum member timeout is then %v", v.MaxMemberTimeout)
+		t.Errorf("the maximum member timeout after the activation is %v, want 20s", v.MaxMemberTimeout)
 	}
 }
 
@@ -316,7 +316,7 @@
 	r := Renewal{Node: "a", Incarnation: 1}
 	_, ok := manager.GrantLease(0, r)
 	if ok || manager.HandleRenewal(0, r) != nil || manager.DueCommands(time.Hour) != nil || manager.Status(time.Hour) != nil {
-		t.Error("an inactive manager answers")
+		t.Error("a manager that does not lead grants a lease, returns commands or reports members")
 	}
 	manager.BecomeLeader(0, 1)
 	if _, ok := manager.GrantLease(0, r); ok {
@@ -328,6 +328,6 @@
 		}
 	}
 	if kinds := apperror.Kinds(); len(kinds) < len(answerKinds) {
-		t.Errorf("%d kinds of error", len(kinds))
+		t.Errorf("%d kinds of errors are registered, want at least %d", len(kinds), len(answerKinds))
 	}
 }
--- a/internal/fleetconfig/simulation_test.go
+++ b/internal/fleetconfig/simulation_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// simulation is a small fleet: one committed log, one leader at a time, proxies with drifting clocks, and links that delay
-// and lose messages. It checks the invariants after each step.
+// simulation simulates a small fleet: one committed log, one leader at a time, proxies with drifting clocks, and links that
+// delay and lose messages. It checks the invariants after each step.
 type simulation struct {
 	random *rand.Rand
 	now    time.Duration
@@ -22,14 +22,14 @@
 	pending           []pendingCommand // proposed by the leader, in order
 	leases            LeaseService
 	term              uint64
-	nextElection      time.Duration // when the next leader is elected; 0: there is one
+	nextElection      time.Duration // when the next leader is elected; 0: a replica leads
 	clock             driftingClock // the leader's
-	leaderPausedUntil time.Duration // the leader process
+	leaderPausedUntil time.Duration
 	processes         []*simulatedProxy
 	messages          []message
 
 	activeAt      map[uint64]time.Duration // of each version that was active
-	successor     map[uint64]uint64        // by version: the one that superseded it
+	successor     map[uint64]uint64        // by version: the version that superseded it
 	firstSwitchAt map[uint64]time.Duration // by version: when the first proxy switched to it
 	violation     string
 	switches      int
@@ -39,15 +39,16 @@
 // conditions are the size of the fleet and the faults of its environment.
 type conditions struct {
 	proxies        int
-	lossPerMille   int           // messages lost of 1000
-	maxDelay       time.Duration // longest of a message
-	maxCommitDelay time.Duration // longest extra time until a command is committed, one time in four
-	maxDriftPPM    int64         // largest of a clock, in parts per million
+	lossPerMille   int           // messages lost, of 1000
+	maxDelay       time.Duration // until a message arrives
+	maxCommitDelay time.Duration // extra time until a command is committed, for one command in four
+	maxDriftPPM    int64         // of a clock, either fast or slow
 }
 
 var moderateConditions = conditions{4, 30, 30 * time.Millisecond, time.Second, 1000}
 
-// wrappers replace parts of the simulation by faulty ones that the checks must detect.
+// wrappers wrap parts of the simulation in faulty implementations that the checks must detect. A nil function wraps
+// nothing.
 type wrappers struct {
 	state  func(*StateMachine) ReplicatedState
 	leases func(*LeaseManager, *StateMachine) LeaseService
@@ -61,7 +62,7 @@
 
 type message struct {
 	at      time.Duration
-	term    uint64 // of the leader that it is for, dropped after that term; 0: for a proxy
+	term    uint64 // the message is dropped once this leader's term has ended; 0: the message is for a proxy
 	deliver func()
 }
 
@@ -83,13 +84,13 @@
 	clock            driftingClock
 	pausedUntil      time.Duration
 	partitionedUntil time.Duration
-	unreachableUntil time.Duration // its renewals arrive, and no lease does
+	unreachableUntil time.Duration // until then its renewals arrive but its leases are lost
 	flapping         bool
 	prepareDelay     time.Duration // added to each preparation
 	timerAt          time.Duration
 	events           []scheduledEvent // also received while paused
 	activeVersion    uint64
-	stopsAt          time.Duration // when the process ends; 0: never
+	stopsAt          time.Duration // when the process exits; 0: never
 	stopped          bool
 }
 
@@ -136,7 +137,7 @@
 	if sim.wrappers.state != nil {
 		manager = NewLeaseManager(sim.wrappers.state(sim.state))
 	}
-	manager.removeAfterTimeouts = 2 // so that unresponsive members come back after their removal
+	manager.removeAfterTimeouts = 2 // low enough for unresponsive members to be removed and rejoin during a run
 	sim.leases = manager
 	if sim.wrappers.leases != nil {
 		sim.leases = sim.wrappers.leases(manager, sim.state)
@@ -146,7 +147,7 @@
 	sim.leases.BecomeLeader(sim.clock.at(sim.now), sim.term)
 }
 
-// depose ends a leadership. Of the commands that it proposed, a prefix, perhaps empty, is committed.
+// depose ends the current leader's term. A random prefix, possibly empty, of the pending commands is committed.
 func (sim *simulation) depose() {
 	for _, p := range sim.pending[:sim.random.IntN(len(sim.pending)+1)] {
 		sim.apply(p.command)
@@ -206,8 +207,8 @@
 	}
 }
 
-// sendRenewal sends a renewal to the leader. Its answer takes three messages: to the leader, its confirmation by a quorum,
-// and back.
+// sendRenewal sends a renewal to the leader. The exchange takes three messages: the renewal, the quorum's confirmation of
+// the leader, and the lease.
 func (p *simulatedProxy) sendRenewal(a SendRenewal) {
 	sim := p.sim
 	sentAt := p.clock.at(sim.now)
@@ -239,7 +240,7 @@
 	}
 	duration := sim.randomDuration(150 * time.Millisecond)
 	if sim.oneIn(4) {
-		duration *= 15 // a slow fetch
+		duration *= 15 // slow fetch
 	}
 	p.events = append(p.events, scheduledEvent{sim.now + duration + p.prepareDelay, done})
 }
@@ -283,7 +284,7 @@
 	sim.check()
 }
 
-// commitPending applies the commands whose time has come.
+// commitPending applies the pending commands that are committed by now.
 func (sim *simulation) commitPending() {
 	for len(sim.pending) > 0 && sim.pending[0].at <= sim.now {
 		next := sim.pending[0].command
@@ -292,7 +293,7 @@
 	}
 }
 
-// deliverMessages delivers the messages that arrive, and drops those for a leader whose term is over.
+// deliverMessages delivers the messages that have arrived, and drops those for a leader whose term has ended.
 func (sim *simulation) deliverMessages() {
 	messages := sim.messages
 	sim.messages = nil
@@ -326,7 +327,8 @@
 	}
 }
 
-// injectFaults draws proposals, withdrawals, elections, pauses, partitions and restarts.
+// injectFaults randomly proposes and withdraws versions, deposes or pauses the leader, and pauses, partitions and restarts
+// proxies.
 func (sim *simulation) injectFaults() {
 	if sim.oneIn(40) {
 		memberTimeout := 600*time.Millisecond + sim.randomDuration(1500*time.Millisecond)
@@ -368,8 +370,9 @@
 	}
 }
 
-// check verifies the invariants. A proxy acts on a version for at most AgreementTimeout after a later one became active, so
-// no two contradict for longer; and a proxy whose lease expired knows of the active version.
+// check verifies two invariants. A proxy acts on a version for at most AgreementTimeout after a later one became active, so
+// no two proxies contradict each other for longer. And a proxy in the state Expired knows of the active version: it acts
+// on that version or has prepared it.
 func (sim *simulation) check() {
 	active, _ := sim.state.Active()
 	var acting []*simulatedProxy
@@ -380,7 +383,7 @@
 		}
 		authorization, status := p.client.Authorize(now, func() bool { return true }), p.client.Status(now)
 		if status.State == Expired && active.Number != status.ActiveVersion && active.Number != status.PreparedVersion {
-			sim.fail("%s#%d knows versions %d and %d, and %d is active", p.name, p.incarnation, status.ActiveVersion, status.PreparedVersion, active.Number)
+			sim.fail("%s#%d knows versions %d and %d, but version %d is active", p.name, p.incarnation, status.ActiveVersion, status.PreparedVersion, active.Number)
 		}
 		if !authorization.Allowed {
 			continue
@@ -395,7 +398,8 @@
 	sim.checkOverlaps(acting)
 }
 
-// checkOverlaps compares the versions of all pairs of proxies that act.
+// checkOverlaps verifies for each pair of proxies that act on different versions that AgreementTimeout has not passed since
+// the first switch to a version later than the earlier one of the two.
 func (sim *simulation) checkOverlaps(acting []*simulatedProxy) {
 	for _, p := range acting {
 		for _, q := range acting {
@@ -416,7 +420,7 @@
 func (sim *simulation) agreementTimeout(number uint64) time.Duration {
 	v, ok := sim.state.Version(number)
 	if !ok {
-		return time.Hour // no longer kept, so long superseded
+		return time.Hour // above any timeout: the version is no longer kept, so it was superseded long ago
 	}
 	return v.Body.Fleet.AgreementTimeout
 }
@@ -427,8 +431,8 @@
 	}
 }
 
-// settle ends all faults and gives the fleet time: then every live process must act on the active version, unless it could
-// not prepare it.
+// settle ends all faults and runs on for some time. Afterward every live process must act on the active version, unless the
+// process could not prepare that version.
 func (sim *simulation) settle() {
 	sim.faultsStopped, sim.maxDelay, sim.leaderPausedUntil = true, 5*time.Millisecond, 0
 	for _, p := range sim.processes {
@@ -442,7 +446,7 @@
 	for _, p := range sim.processes {
 		status := p.client.Status(p.clock.at(sim.now))
 		if ok && status.State != Excluded && (status.State != Leased || status.ActiveVersion != active.Number) {
-			sim.fail("%s#%d is %+v, and version %d is active", p.name, p.incarnation, status, active.Number)
+			sim.fail("%s#%d has status %+v, but version %d is active", p.name, p.incarnation, status, active.Number)
 		}
 	}
 }
--- a/internal/fleetconfig/state_machine_endpoints_test.go
+++ b/internal/fleetconfig/state_machine_endpoints_test.go
@@ -14,11 +14,11 @@
 	state := stateMachineAtVersion2(t, AddMember{"a", 1})
 	before := snapshotOf(t, state)
 	if strings.Contains(string(before), `"list"`) {
-		t.Error("a state without an endpoint list writes one, which an earlier release would not read")
+		t.Error("the snapshot of a state without an endpoint list contains one, which an earlier release could not read")
 	}
 	add := Command{EndpointChange: &endpointlist.Change{Entries: []json.RawMessage{json.RawMessage(`{"instanceId":"s-1","lifecycle":"in_service"}`)}}}
 	if a := applyAll(t, state, add); a.Number != 1 {
-		t.Fatalf("%+v", a)
+		t.Fatalf("the first change is answered by %+v, want list number 1", a)
 	}
 	if a := state.Apply(state.lastIndex+1, add); !endpointlist.StaleChange.Of(a.Err) {
 		t.Errorf("repeated change: %+v", a)
@@ -34,7 +34,7 @@
 		manager.HandleRenewal(time.Second, r)
 		lease, ok := manager.GrantLease(time.Second, r)
 		if !ok {
-			t.Fatal("no lease")
+			t.Fatal("the manager grants no lease")
 		}
 		return lease.ListNumber
 	}
--- a/internal/fleetconfig/state_machine_federation_test.go
+++ b/internal/fleetconfig/state_machine_federation_test.go
@@ -10,12 +10,13 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// Publications of meshes are part of the state and its snapshots; a snapshot without meshes has no such member.
+// Publications of meshes are part of the state and its snapshots. The snapshot of a state without meshes must contain no
+// federation, as in releases without meshes.
 func TestSnapshotIncludesFederation(t *testing.T) {
 	state := NewStateMachine()
 	old, err := state.Snapshot()
 	if err != nil || bytes.Contains(old, []byte("federation")) {
-		t.Fatalf("%s, %v", old, err)
+		t.Fatalf("the snapshot without meshes is %s, %v", old, err)
 	}
 	federationState := state.Federation()
 	for i, c := range []federation.Change{{At: time.Second, Terms: &federation.Terms{Meshes: []catalog.Mesh{{Name: "thies"}}}},
--- a/internal/fleetconfig/state_machine_test.go
+++ b/internal/fleetconfig/state_machine_test.go
@@ -109,7 +109,7 @@
 	state := stateMachineAtVersion2(t)
 	applyAll(t, state, Command{AddMember: &AddMember{strings.Repeat("n", MaxNodeNameBytes), 4}})
 	if a := state.Apply(state.lastIndex, proposal); !OldCommand.Of(a.Err) || state.proposed != 0 {
-		t.Errorf("repeated index: %v", a.Err)
+		t.Errorf("a repeated index is answered by %v, want kind %s", a.Err, OldCommand.Name)
 	}
 }
 
@@ -123,7 +123,7 @@
 	}{
 		{2, time.Minute, time.Minute},
 		{0, 5 * time.Second, time.Minute},     // leases of the previous version may be unexpired
-		{0, 4 * time.Second, time.Minute},     // and still
+		{0, 4 * time.Second, time.Minute},     // leases of the version before that may still be unexpired
 		{5, 3 * time.Second, 4 * time.Second}, // only leases of the active version, 5, are unexpired
 	}
 	for i, s := range steps {
@@ -146,13 +146,14 @@
 	want := HistoryEntry{state.lastIndex, 7, "withdrawn", "no\uFFFD", map[string]Rejection{"n": {Kind: "k"}}}
 	testkit.Equal(t, "last history entry", want, h[len(h)-1])
 	if a := applyAll(t, state, proposeSettings(`{}`)); a.Number != 8 {
-		t.Errorf("the next version is %d: numbers must not be reused", a.Number)
+		t.Errorf("the next version is %d, want 8: numbers must not be reused", a.Number)
 	}
-	for range 2 * maxVersions { // the state stays bounded
+	for range 2 * maxVersions { // exceeds the limits on versions and history
 		applyAll(t, state, Command{Activate: &Activate{Number: state.proposed}}, proposeSettings(`{}`))
 	}
 	if _, kept := state.Version(6); kept || len(state.versions) != maxVersions || len(state.history) > maxHistoryEntries {
-		t.Errorf("%d versions, %d history entries kept", len(state.versions), len(state.history))
+		t.Errorf("%d versions and %d history entries are kept, want %d and at most %d; version 6 is kept: %v",
+			len(state.versions), len(state.history), maxVersions, maxHistoryEntries, kept)
 	}
 }
 
@@ -168,7 +169,7 @@
 	}
 	units := `"fleet":{"within_us":2000000,"know_us":10000000,"on_silence":"hold","drift_ppm":1000}`
 	if !bytes.Contains(wire, []byte(units)) {
-		t.Errorf("terms without units: %s", wire)
+		t.Errorf("the terms are not encoded as %s: %s", units, wire)
 	}
 	var back Version
 	if err := json.Unmarshal(wire, &back); err != nil {
@@ -177,7 +178,7 @@
 	testkit.Equal(t, "body", checked, back.Body)
 	b.Fleet = checked.Fleet
 	if d := checked.Digest(); d != back.Body.Digest() || d != b.Digest() || len(d) != 64 {
-		t.Error("the digest changed in transport")
+		t.Error("the digest differs after transport or validation")
 	}
 	for what, change := range map[string]func(*Body){
 		"settings":          func(b *Body) { b.Settings = json.RawMessage(`{}`) },
@@ -199,7 +200,7 @@
 	}
 }
 
-// anyCommand draws a command that the state may accept or reject.
+// anyCommand draws a random command, which the state may accept or reject.
 func anyCommand(t *rapid.T, state *StateMachine) Command {
 	near := func(n uint64, what string) uint64 { return n + rapid.Uint64Range(0, 2).Draw(t, what) - min(n, 1) }
 	node := rapid.SampledFrom([]string{"a", "b", "c\u2028<"}).Draw(t, "node")
