--- a/internal/fleetconfig/state_machine_federation.go
+++ b/internal/fleetconfig/state_machine_federation.go
@@ -26,7 +26,7 @@
 // restoredFederation decodes the federation's part of a snapshot. The result keeps the rules of the current state.
 func (s *StateMachine) restoredFederation(snapshot json.RawMessage) (*federation.State, error) {
 	restored := federation.NewState()
-	restored.Rules = s.federation.Rules
+	restored.Merger = s.federation.Merger
 	if len(snapshot) == 0 {
 		return restored, nil
 	}
