--- a/internal/fleetconfig/lease.go
+++ b/internal/fleetconfig/lease.go
@@ -10,7 +10,7 @@
 type Renewal struct {
 	Node            string `json:"node"`
 	Incarnation     uint64 `json:"incarnation"` // of the process; each later process of a node has a higher one
-	Seq             uint64 `json:"seq"`         // number of this request; tells its answer from late answers to earlier ones
+	Seq             uint64 `json:"seq"`         // number of this request; distinguishes its answer from late ones
 	ActiveVersion   uint64 `json:"in_force"`    // the version that the proxy acts on; 0: none yet
 	PreparedVersion uint64 `json:"prepared"`    // the next version that it can switch to; 0: none
 	// FirstUnanswered is the Seq of the first renewal sent after the one that brought the last accepted lease. It equals
--- a/internal/fleetconfig/lease_client.go
+++ b/internal/fleetconfig/lease_client.go
@@ -143,8 +143,8 @@
 	return append(discard(&c.preparingVersion), discard(&c.preparedVersion)...)
 }
 
-// armTimer sets the timer for the next step: a renewal, the deadline of one, the end of the lease or of what it tells about
-// active versions, or another attempt to prepare a rejected version.
+// armTimer sets the timer to the earliest of the next renewal (or the deadline of the one in progress), leaseExpiry,
+// knowledgeExpiry and retryPrepareAt.
 func (c *LeaseClient) armTimer(now time.Duration) []Action {
 	next := c.nextRenewal
 	if c.renewing {
--- a/internal/fleetconfig/lease_manager.go
+++ b/internal/fleetconfig/lease_manager.go
@@ -15,10 +15,10 @@
 // binding from when DueCommands returns it until it applies. The node gets no lease in between, since with one it could
 // rely on the active version for another MemberTimeout.
 //
-// What a node relies on depends on the leases that it accepted, not on the renewals that it sent. So a decision waits for
-// a node whose renewals arrive while its leases are lost no longer than for an unresponsive one. Each renewal reports
-// which lease the node accepted last, and once it is sent the node accepts no answer to an earlier renewal. So the leases
-// that may be in use are the one reported last and any granted since.
+// What a node relies on depends on the leases that it accepted, not on the renewals that it sent. So a node whose renewals
+// arrive but whose leases are lost delays a decision no longer than an unresponsive node. Each renewal reports which lease
+// the node accepted last, and once it is sent the node accepts no answer to an earlier renewal. So the leases that may be
+// in use are the one reported last and any granted since.
 type LeaseManager struct {
 	state        ReplicatedState
 	leading      bool
--- a/internal/fleetconfig/lease_manager_sessions.go
+++ b/internal/fleetconfig/lease_manager_sessions.go
@@ -95,7 +95,7 @@
 func (m *LeaseManager) memberTimeout(now time.Duration) time.Duration {
 	active, ok := m.state.Active()
 	if !ok {
-		return expiryWithDrift(defaultMemberTimeout, defaultClockDriftPPM) // leases granted before the first version name none to act on
+		return expiryWithDrift(defaultMemberTimeout, defaultClockDriftPPM) // earlier leases name no version to act on
 	}
 	if m.earlierLeasesExpired(now, active) {
 		return expiryWithDrift(active.Body.Fleet.MemberTimeout, active.Body.Fleet.ClockDriftPPM)
--- a/internal/fleetconfig/state_machine.go
+++ b/internal/fleetconfig/state_machine.go
@@ -13,12 +13,12 @@
 	maxVersions       = 64        // kept to roll back to
 	maxVersionBytes   = 256 << 20 // all kept bodies together
 	maxOutcomes       = 1024      // answers kept for repeated proposals
-	maxHistoryEntries = 512       // entries
+	maxHistoryEntries = 512
 	maxMembers        = 1 << 16
-	maxRejections     = 16      // recorded with a withdrawn version
-	maxLargestRoutes  = 16      // recorded with a rejection
-	maxNameBytes      = 256     // bytes
-	maxTextBytes      = 4 << 10 // bytes
+	maxRejections     = 16 // recorded with a withdrawn version
+	maxLargestRoutes  = 16 // recorded with a rejection
+	maxNameBytes      = 256
+	maxTextBytes      = 4 << 10
 )
 
 // MaxNodeNameBytes is the maximum length of a node's name, in bytes.
@@ -141,7 +141,7 @@
 	s.history = lastN(append(slices.Clip(s.history), entry), maxHistoryEntries)
 }
 
-// lastN returns the last n items of a list, copied where earlier ones are dropped.
+// lastN returns the last n items of a list. It copies them if it drops earlier ones.
 func lastN[T any](list []T, n int) []T {
 	if len(list) > n {
 		return slices.Clone(list[len(list)-n:])
--- a/internal/fleetconfig/state_machine_test.go
+++ b/internal/fleetconfig/state_machine_test.go
@@ -148,7 +148,7 @@
 	if a := applyAll(t, state, proposeSettings(`{}`)); a.Number != 8 {
 		t.Errorf("the next version is %d, want 8: numbers must not be reused", a.Number)
 	}
-	for range 2 * maxVersions { // exceeds the limits on versions and history
+	for range 2 * maxVersions { // proposes more versions than the limit
 		applyAll(t, state, Command{Activate: &Activate{Number: state.proposed}}, proposeSettings(`{}`))
 	}
 	if _, kept := state.Version(6); kept || len(state.versions) != maxVersions || len(state.history) > maxHistoryEntries {
