--- a/internal/consensus/apply.go
+++ b/internal/consensus/apply.go
@@ -6,10 +6,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// snapshotBytes is how many bytes of applied commands cause a snapshot, whatever their number.
-const snapshotBytes = 32 << 20
+// maxBytesBetweenSnapshots is the size of applied commands that triggers a snapshot even if fewer than
+// Config.SnapshotEvery entries were applied.
+const maxBytesBetweenSnapshots = 32 << 20
 
-// applyReady adds what was saved to the log and applies what is committed.
+// applyReady appends the saved entries to the in-memory log, applies the committed ones, and records confirmed reads.
 func (n *Node) applyReady(ready *raft.Ready) error {
 	if hasSnapshot(ready.Snapshot) {
 		if err := n.restoreSnapshot(ready.Snapshot); err != nil {
@@ -39,7 +40,7 @@
 	return n.compactLog()
 }
 
-// restoreSnapshot replaces the replicated state by a received snapshot.
+// restoreSnapshot replaces the log and the replicated state with a received snapshot.
 func (n *Node) restoreSnapshot(snapshot *pb.Snapshot) error {
 	if err := n.log.ApplySnapshot(snapshot); err != nil {
 		return err
@@ -53,11 +54,12 @@
 	return nil
 }
 
+// applyEntry applies a committed entry and adds its result to the outcome. An entry that cannot be decoded stops the node.
 func (n *Node) applyEntry(entry *pb.Entry) error {
 	n.appliedIndex = entry.GetIndex()
 	n.appliedTerm = entry.GetTerm()
 	if len(entry.GetData()) == 0 {
-		return nil // a new leader's first entry
+		return nil // a new leader begins its term with an empty entry
 	}
 	n.appliedBytes += len(entry.GetData())
 	var record logRecord
@@ -78,9 +80,10 @@
 	return nil
 }
 
-// compactLog takes a snapshot, and drops the log before it, once enough was applied since the last one.
+// compactLog takes a snapshot and truncates the log once SnapshotEvery entries or maxBytesBetweenSnapshots bytes were
+// applied since the previous snapshot.
 func (n *Node) compactLog() error {
-	if n.appliedIndex-n.snapshotIndex < n.cfg.SnapshotEvery && n.appliedBytes < snapshotBytes {
+	if n.appliedIndex-n.snapshotIndex < n.cfg.SnapshotEvery && n.appliedBytes < maxBytesBetweenSnapshots {
 		return nil
 	}
 	data, err := n.state.Snapshot()
@@ -93,8 +96,8 @@
 	}
 	n.unsavedSnapshot = proto.CloneOf(snapshot)
 	keep := n.cfg.KeepEntries
-	if n.appliedBytes >= snapshotBytes {
-		keep = 0 // a lagging peer gets the snapshot, rather than that many bytes being kept in memory here
+	if n.appliedBytes >= maxBytesBetweenSnapshots {
+		keep = 0 // entries this large are not kept in memory for lagging peers, which receive the snapshot instead
 	}
 	n.snapshotIndex = n.appliedIndex
 	n.appliedBytes = 0
--- a/internal/consensus/catalog_proposer.go
+++ b/internal/consensus/catalog_proposer.go
@@ -11,7 +11,8 @@
 )
 
 // CatalogProposer serves the federation's meshes while its Node leads: it replicates their publications, detects lost
-// meshes, and proposes the merged catalog as a version. It is pure, and runs beside a LeaseServer on the same node:
+// meshes, and proposes the merged catalog as a version. It performs no I/O and reads no clock. It shares its node with a
+// LeaseServer:
 //
 //	ids, err := proposer.Publish(now, publication)   // as publications arrive
 //	proposer.HandleOutcome(now, outcome)             // the outcome of LeaseServer.Run
@@ -23,43 +24,44 @@
 	state      fleetconfig.ReplicatedState
 	publishers PublisherTracker
 
-	term           uint64 // in which publishers was last told that it leads; 0: it does not lead
+	term           uint64 // term in which this replica leads, as last reported to publishers; 0: it does not lead
 	inFlight       map[ProposalID]federation.Change
-	checkDue       bool   // changes may be due
-	upToDate       bool   // the state has not changed since nextVersion looked at it
-	lastProposalID string // of the latest version that Step returned in this term
+	checkDue       bool   // the next Step asks publishers for due changes
+	stateEvaluated bool   // nextVersion has examined the current state
+	lastProposalID string // ID of the latest version that Step returned in this term
 	blockedReason  string // why the merged catalog cannot become active; empty: it can
 }
 
 // PublisherTracker is a federation.LeaderTracker that also assigns times to the operators' changes.
 type PublisherTracker interface {
 	federation.LeaderTracker
-	// AssignTime returns the change with its place in agreed time.
+	// AssignTime returns the change with At set to the current agreed time.
 	AssignTime(now time.Duration, c federation.Change) federation.Change
-	// AgreedTime is the replicas' agreed time at now.
+	// AgreedTime returns the replicas' agreed time at the local time now.
 	AgreedTime(now time.Duration) time.Duration
-	// BatchComplete reports whether no more changes of the latest agreed time can follow, so that the merged catalog is
-	// complete.
+	// BatchComplete reports whether the merged catalog is final because no change in flight can still take effect at the
+	// latest agreed time.
 	BatchComplete() bool
 }
 
 var _ PublisherTracker = (*federation.PublisherTracker)(nil)
 
-// CatalogAuthor is the ProposedBy of versions that a CatalogProposer proposes.
+// CatalogAuthor is the value of Propose.ProposedBy in versions that a CatalogProposer proposes.
 const CatalogAuthor = "catalog"
 
-// shortDigestChars is how many characters of a catalog's digest the ID and the Reason of its version have.
+// shortDigestChars is the length of the digest prefix in the ID and the Reason of a catalog's version.
 const shortDigestChars = 16
 
-// NewCatalogProposer returns a proposer beside a node.
+// NewCatalogProposer returns a CatalogProposer that proposes through node.
 func NewCatalogProposer(node *Node, state fleetconfig.ReplicatedState, publishers PublisherTracker) *CatalogProposer {
 	return &CatalogProposer{node: node, state: state, publishers: publishers, inFlight: map[ProposalID]federation.Change{}}
 }
 
-// followLeadership starts and stops the publisher tracker with the node's leadership.
+// followLeadership starts the publisher tracker when the node becomes a ready leader, and stops it when the node no longer
+// is one or its term has changed.
 func (p *CatalogProposer) followLeadership(now time.Duration) {
-	settled := p.node.LeaderReady()
-	if settled && p.term == p.node.Term() {
+	ready := p.node.LeaderReady()
+	if ready && p.term == p.node.Term() {
 		return
 	}
 	if p.term != 0 {
@@ -67,18 +69,19 @@
 		p.publishers.StepDown()
 		clear(p.inFlight)
 	}
-	if settled {
+	if ready {
 		p.term = p.node.Term()
 		p.checkDue = true
-		p.upToDate = false
+		p.stateEvaluated = false
 		p.lastProposalID = ""
 		p.blockedReason = ""
 		p.publishers.BecomeLeader(now)
 	}
 }
 
-// Publish takes a mesh's publication. It is in effect once all returned proposals are applied, or already where none is
-// returned. It fails with NotLeading or as Node.Propose.
+// Publish proposes the changes that a mesh's publication requires and returns their proposal IDs. The publication takes
+// effect once all of them are applied; without any it is already in effect. Errors are NotLeading and those of
+// Node.Propose.
 func (p *CatalogProposer) Publish(now time.Duration, publication catalog.Publication) ([]ProposalID, error) {
 	if p.followLeadership(now); p.term == 0 {
 		return nil, p.node.notLeading()
@@ -94,7 +97,7 @@
 	return ids, lastErr
 }
 
-// SubmitChange proposes an operator's change of the federation. It fails with NotLeading or as Node.Propose.
+// SubmitChange proposes an operator's change to the federation. Errors are NotLeading and those of Node.Propose.
 func (p *CatalogProposer) SubmitChange(now time.Duration, change federation.Change) (ProposalID, error) {
 	if p.followLeadership(now); p.term == 0 {
 		return ProposalID{}, p.node.notLeading()
@@ -102,6 +105,7 @@
 	return p.proposeChange(p.publishers.AssignTime(now, change))
 }
 
+// proposeChange proposes a change and tracks it until it is applied or fails.
 func (p *CatalogProposer) proposeChange(change federation.Change) (ProposalID, error) {
 	id, err := p.node.Propose(fleetconfig.Command{MeshChange: &change})
 	if err != nil {
@@ -112,30 +116,30 @@
 	return id, nil
 }
 
-// Tick makes the next Step look for changes that time has made due, and try again what could not be proposed.
+// Tick makes the next Step check for changes that have become due, and retry a version that could not be proposed.
 func (p *CatalogProposer) Tick() {
 	p.checkDue = true
-	p.upToDate = p.upToDate && p.lastProposalID != ""
+	p.stateEvaluated = p.stateEvaluated && p.lastProposalID != ""
 }
 
-// HandleOutcome handles the outcome of the node's work.
+// HandleOutcome updates the proposer with an outcome of the node.
 func (p *CatalogProposer) HandleOutcome(now time.Duration, outcome Outcome) {
 	for _, applied := range outcome.Applied {
 		p.changeDone(applied.ProposalID)
 		if applied.Command.AddMember == nil && applied.Command.RemoveMember == nil {
-			p.upToDate = false
+			p.stateEvaluated = false
 		}
 	}
 	for _, failure := range outcome.Failed {
 		p.changeDone(failure.ProposalID)
 	}
 	if outcome.Restored {
-		p.upToDate = false
+		p.stateEvaluated = false
 	}
 	p.followLeadership(now)
 }
 
-// changeDone tells the publisher tracker that a change was applied or has failed.
+// changeDone notifies the publisher tracker that a change was applied or has failed.
 func (p *CatalogProposer) changeDone(id ProposalID) {
 	if change, ok := p.inFlight[id]; ok {
 		delete(p.inFlight, id)
@@ -143,24 +147,25 @@
 	}
 }
 
-// Step proposes the due changes. It returns the version that the merged catalog calls for, each one once in a term: the
-// caller validates it and passes it to Propose. nil: none.
+// Step proposes the due changes. If the merged catalog requires a new version, Step returns it for the caller to validate
+// and pass to Propose; otherwise it returns nil. It returns each version once per term.
 func (p *CatalogProposer) Step(now time.Duration) *fleetconfig.Propose {
 	p.followLeadership(now)
 	if p.checkDue {
 		p.checkDue = false
-		for _, change := range p.publishers.DueChanges(now) { // a replica that does not lead only follows agreed time
-			_, _ = p.proposeChange(change) // it is found due again
+		for _, change := range p.publishers.DueChanges(now) { // on a follower DueChanges returns none and only tracks agreed time
+			_, _ = p.proposeChange(change) // DueChanges returns a failed change again
 		}
 	}
-	if p.term == 0 || p.upToDate {
+	if p.term == 0 || p.stateEvaluated {
 		return nil
 	}
 	return p.nextVersion()
 }
 
-// nextVersion returns the version with the merged catalog, unless it is active, was withdrawn, or cannot be proposed now.
-// The texts of its ID and Reason are stored: later leaders find the versions of a catalog by them.
+// nextVersion returns a version with the merged catalog. It returns nil if that catalog is already active, its version was
+// withdrawn, no version is active yet, or another one is pending. The ID and Reason are stored in the log, and later leaders use them to
+// recognize earlier versions of the same catalog, so their format must not change.
 func (p *CatalogProposer) nextVersion() *fleetconfig.Propose {
 	active, hasActive := p.state.Active()
 	_, hasProposed := p.state.Proposed()
@@ -168,7 +173,7 @@
 		return nil
 	}
 	text, cause := p.publishers.CatalogUpdate(active.Body.Catalog)
-	p.upToDate = p.publishers.BatchComplete()
+	p.stateEvaluated = p.publishers.BatchComplete()
 	if text == nil {
 		p.blockedReason = ""
 		return nil
@@ -177,7 +182,7 @@
 	shortDigest := digest[:shortDigestChars]
 	marker := "catalog " + shortDigest + ": "
 	latest, withdrawn := p.versionsSince(active.Number, marker)
-	if withdrawn != nil { // by nodes or an operator: the next try needs another catalog or other terms
+	if withdrawn != nil { // by nodes or an operator: a new attempt requires a different catalog or different terms
 		p.blockedReason = fmt.Sprintf("version %d with it was withdrawn: %s", withdrawn.Number, withdrawn.Reason)
 		return nil
 	}
@@ -197,8 +202,8 @@
 	}
 }
 
-// versionsSince looks through the history after the active version. It returns the latest number, and the withdrawal of
-// the first version whose reason has the marker, or nil.
+// versionsSince searches the history after the active version. It returns the latest version number, and the withdrawal of
+// the first version whose reason starts with marker, or nil if there is none.
 func (p *CatalogProposer) versionsSince(active uint64, marker string) (uint64, *fleetconfig.HistoryEntry) {
 	latest := active
 	marked := map[uint64]bool{}
@@ -215,28 +220,30 @@
 	return latest, nil
 }
 
-// Propose proposes a validated version, where it is still the latest one and made on the active version.
+// Propose proposes a version that Step returned and the caller has validated. It does nothing if the replica no longer
+// leads, the active version has changed, or Step has returned a later version.
 func (p *CatalogProposer) Propose(now time.Duration, proposal fleetconfig.Propose) error {
 	active, _ := p.state.Active()
 	if p.followLeadership(now); p.term == 0 || active.Number != proposal.Base || p.lastProposalID != proposal.ID {
 		return nil
 	}
 	_, err := p.node.Propose(fleetconfig.Command{Propose: &proposal})
-	if err != nil { // the node is busy: Tick lets the version be tried again
+	if err != nil { // the node is busy; the version is retried after the next Tick
 		p.RecordValidationFailure(err)
 		p.lastProposalID = ""
 	}
 	return err
 }
 
-// RecordValidationFailure notes why a version of Step's was not proposed, most often that it failed its validation.
+// RecordValidationFailure records why a version from Step was not proposed, usually because validation failed.
+// BlockedReason then returns it.
 func (p *CatalogProposer) RecordValidationFailure(err error) { p.blockedReason = err.Error() }
 
-// BlockedReason is why the merged catalog cannot become active without an operator; empty where it can.
+// BlockedReason returns why the merged catalog cannot become active without an operator's action, or "" if it can.
 func (p *CatalogProposer) BlockedReason() string { return p.blockedReason }
 
-// WithCatalog completes an operator's body that has no catalog with the merged one, or with the active one while changes
-// of the latest agreed time may follow.
+// WithCatalog returns an operator's body with the merged catalog filled in if the body has none. While the merged catalog
+// is not final, it fills in the active version's catalog instead.
 func (p *CatalogProposer) WithCatalog(body fleetconfig.Body) fleetconfig.Body {
 	if len(body.Catalog) > 0 {
 		return body
@@ -249,7 +256,7 @@
 	return body
 }
 
-// AgreedTime is the replicas' agreed time by this replica's clock.
+// AgreedTime returns the replicas' agreed time at the local time now.
 func (p *CatalogProposer) AgreedTime(now time.Duration) time.Duration {
 	return p.publishers.AgreedTime(now)
 }
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -66,7 +66,7 @@
 	ids          []uint64
 	replicas     map[uint64]*replica
 	step         int
-	inTransit    []transitMessage
+	inTransit    []messageInTransit
 	disconnected map[link]bool
 	lossPercent  int // of messages lost; as many are duplicated
 	maxDelay     int // of a message, in steps
@@ -80,8 +80,8 @@
 // link is one direction between two replicas.
 type link struct{ from, to uint64 }
 
-// transitMessage is a message that has been sent and not delivered.
-type transitMessage struct {
+// messageInTransit is a message that has been sent and not delivered.
+type messageInTransit struct {
 	arrival int // step
 	from    uint64
 	message Message
@@ -178,13 +178,13 @@
 	}
 	for range copies {
 		if !c.disconnected[connection] && c.random.IntN(100) >= c.lossPercent {
-			c.inTransit = append(c.inTransit, transitMessage{c.step + 1 + c.random.IntN(c.maxDelay), from, m})
+			c.inTransit = append(c.inTransit, messageInTransit{c.step + 1 + c.random.IntN(c.maxDelay), from, m})
 		}
 	}
 }
 
-// settle has a replica do its work, and checks the outcome against those of all others.
-func (c *cluster) settle(id uint64) {
+// processWork has a replica do its work, and checks the outcome against those of all others.
+func (c *cluster) processWork(id uint64) {
 	c.t.Helper()
 	r := c.replicas[id]
 	if r.node == nil {
@@ -282,7 +282,7 @@
 func (c *cluster) tick() {
 	c.t.Helper()
 	c.step++
-	due, later := []transitMessage(nil), []transitMessage(nil)
+	due, later := []messageInTransit(nil), []messageInTransit(nil)
 	for _, m := range c.inTransit {
 		if m.arrival <= c.step {
 			due = append(due, m)
@@ -295,13 +295,13 @@
 	for _, m := range due {
 		if r := c.replicas[m.message.To]; r.node != nil {
 			c.require(r.node.Step(m.message.Bytes))
-			c.settle(m.message.To)
+			c.processWork(m.message.To)
 		}
 	}
 	for _, id := range c.ids {
 		if r := c.replicas[id]; r.node != nil {
 			c.require(r.node.Tick())
-			c.settle(id)
+			c.processWork(id)
 		}
 	}
 }
@@ -344,7 +344,7 @@
 	if err == nil {
 		r.proposed[proposalID] = command
 	}
-	c.settle(id)
+	c.processWork(id)
 	return proposalID, err
 }
 
@@ -429,7 +429,7 @@
 		if confirmation, err := r.node.Confirm(); err == nil {
 			r.reads[confirmation] = slices.Sorted(maps.Keys(c.acknowledged))
 		}
-		c.settle(id)
+		c.processWork(id)
 	}
 }
 
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Defaults of Config.
+// Default values of Config fields.
 const (
 	defaultElectionTicks  = 10
 	defaultHeartbeatTicks = 1
@@ -17,28 +17,29 @@
 type Config struct {
 	ID    uint64   // not 0
 	Peers []uint64 // all replicas, including this one
-	// Seed determines the random election timeouts.
+	// Seed seeds the random election timeouts.
 	Seed uint64
-	// Incarnation counts the starts of this replica. It keeps the ProposalIDs of its processes apart.
+	// Incarnation counts the starts of this replica, so that each of its processes has distinct ProposalIDs.
 	Incarnation uint64
-	// ElectionTicks is the number of ticks without a message of the leader before an election; 0: 10.
+	// ElectionTicks is the minimum number of ticks without a message from the leader before an election; 0: 10.
 	ElectionTicks int
 	// HeartbeatTicks is the number of ticks between a leader's heartbeats; 0: 1.
 	HeartbeatTicks int
-	// SnapshotEvery is the number of applied entries between snapshots, which cut the log; 0: 1,024.
+	// SnapshotEvery is the number of applied entries between snapshots, which truncate the log; 0: 1,024.
 	SnapshotEvery uint64
-	// KeepEntries is the number of entries before a snapshot that stay in memory, so that a peer that lags a little needs
-	// no snapshot; 0: 256.
+	// KeepEntries is the number of entries before a snapshot that stay in memory, so that a peer that lags by fewer
+	// entries does not need the snapshot; 0: 256.
 	KeepEntries uint64
-	// Rejoin is for a replica that has lost its stored data. It must not vote at first, since it may have voted in a term
-	// and acknowledged entries that it no longer knows of. It takes part again once all others have answered, and a leader
-	// that they elected after that has sent all that is committed. A new fleet, whose logs are all empty, starts without.
+	// Rejoin starts a replica that has lost its stored data. It must not vote at first because it may have voted in a term
+	// and acknowledged entries that it no longer knows of. It votes again once all other replicas have reported their
+	// terms, and a leader elected after that has sent it all committed entries. Leave Rejoin unset in a new fleet, where
+	// all logs are empty.
 	Rejoin bool
-	// Log receives raft's log lines; nil: they are dropped.
+	// Log receives the log lines of the raft library; nil: they are dropped.
 	Log func(level LogLevel, text string)
 }
 
-// fillDefaults fills unset fields, sorts the peers and validates the result. It fails with BadConfig.
+// fillDefaults sets unset fields to their defaults, sorts Peers and validates the result. It returns BadConfig errors.
 func (c *Config) fillDefaults() error {
 	if c.ElectionTicks == 0 {
 		c.ElectionTicks = defaultElectionTicks
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -113,8 +113,8 @@
 	return node, state
 }
 
-// work returns what a node wants saved and sent.
-func work(t *testing.T, node *Node) *Work {
+// pendingWork returns what a node wants saved and sent.
+func pendingWork(t *testing.T, node *Node) *Work {
 	t.Helper()
 	todo, err := node.Work()
 	if err != nil {
@@ -153,7 +153,7 @@
 
 	question, answer := testkit.GoldenFile(t, "inquiry_question.cbor"), testkit.GoldenFile(t, "inquiry_answer.cbor")
 	rejoining, _ := goldenNode(t, Config{ID: 1, Incarnation: 300, Rejoin: true}, Stored{})
-	requests := work(t, rejoining).Messages
+	requests := pendingWork(t, rejoining).Messages
 	if len(requests) != 2 || requests[0].To != 2 || requests[1].To != 3 {
 		t.Fatalf("the rejoining node sends %+v", requests)
 	}
@@ -162,7 +162,7 @@
 	if err := other.Step(question); err != nil {
 		t.Fatal(err)
 	}
-	answers := work(t, other).Messages
+	answers := pendingWork(t, other).Messages
 	if len(answers) != 1 || answers[0].To != 1 {
 		t.Fatalf("the other node sends %+v", answers)
 	}
@@ -202,7 +202,7 @@
 				for _, m := range sent {
 					busy = true
 					if id == 1 {
-						run.note(t, m)
+						run.recordMessage(t, m)
 					}
 					if to := nodes[m.To]; to == nil {
 						continue
@@ -253,8 +253,8 @@
 	return run
 }
 
-// note keeps the first message of each kind that carries commands or a snapshot.
-func (run *goldenRun) note(t *testing.T, message Message) {
+// recordMessage keeps the first message of each kind that carries commands or a snapshot.
+func (run *goldenRun) recordMessage(t *testing.T, message Message) {
 	t.Helper()
 	m := &pb.Message{}
 	if err := proto.Unmarshal(message.Bytes, m); err != nil {
@@ -390,19 +390,19 @@
 		if node.voteBarrier != tc.voteBarrier || node.Rejoining() != tc.rejoining {
 			t.Errorf("%s: vote barrier %d, rejoining %t", tc.name, node.voteBarrier, node.Rejoining())
 		}
-		testkit.RequireBytes(t, tc.name+" decoded and encoded again", golden, savedState(t, node))
+		testkit.RequireBytes(t, tc.name+" decoded and encoded again", golden, saveHardState(t, node))
 
 		built, _ := goldenNode(t, Config{ID: 1, Incarnation: 6}, goldenStored(t))
 		built.voteBarrier = tc.voteBarrier
-		testkit.RequireBytes(t, tc.name, golden, savedState(t, built))
+		testkit.RequireBytes(t, tc.name, golden, saveHardState(t, built))
 	}
 }
 
-// savedState is the hard state as a node saves it when its prefix has changed.
-func savedState(t *testing.T, node *Node) []byte {
+// saveHardState is the hard state as a node saves it when its prefix has changed.
+func saveHardState(t *testing.T, node *Node) []byte {
 	t.Helper()
 	node.voteBarrierUnsaved = true
-	todo := work(t, node)
+	todo := pendingWork(t, node)
 	if todo.Save == nil {
 		t.Fatal("the node saves nothing")
 	}
@@ -416,7 +416,7 @@
 		rejoin bool
 	}{{"new", false}, {"new_rejoining", true}} {
 		node, _ := goldenNode(t, Config{ID: 1, Incarnation: 1, Rejoin: tc.rejoin}, Stored{})
-		save := work(t, node).Save
+		save := pendingWork(t, node).Save
 		snapshot, state := testkit.GoldenFile(t, tc.name+"_snapshot.pb"), testkit.GoldenFile(t, tc.name+"_state.bin")
 		testkit.RequireBytes(t, tc.name+" snapshot", snapshot, save.Snapshot)
 		testkit.RequireBytes(t, tc.name+" state", state, save.State)
--- a/internal/consensus/leadership.go
+++ b/internal/consensus/leadership.go
@@ -2,13 +2,14 @@
 
 import "go.etcd.io/raft/v3"
 
-// raftRole is a replica's part in a term.
+// raftRole is a replica's role in a term.
 type raftRole struct {
 	leading bool
 	term    uint64
 	vote    uint64
 }
 
+// role returns the current role according to raft.
 func (n *Node) role() raftRole {
 	status := n.raft.BasicStatus()
 	return raftRole{
@@ -18,7 +19,7 @@
 	}
 }
 
-// updateRole notes a change of the role. Where leadership is lost, all pending proposals and reads fail.
+// updateRole records a change of the role. When leadership is lost, all pending proposals and reads fail.
 func (n *Node) updateRole() {
 	role := n.role()
 	if role == n.lastRole {
@@ -26,13 +27,13 @@
 	}
 	n.resetElectionTimer()
 	if n.lastRole.leading && (!role.leading || role.term != n.lastRole.term) {
-		n.outcome.Failed = append(n.outcome.Failed, abandon(n, Uncertain, n.pendingProposals)...)
-		n.outcome.Failed = append(n.outcome.Failed, abandon(n, NotLeading, n.pendingReads)...)
+		n.outcome.Failed = append(n.outcome.Failed, failPending(n, Uncertain, n.pendingProposals)...)
+		n.outcome.Failed = append(n.outcome.Failed, failPending(n, NotLeading, n.pendingReads)...)
 	}
 	n.lastRole = role
 }
 
-// resetElectionTimer starts the wait for the leader anew and draws the next election timeout.
+// resetElectionTimer restarts the election timer with a new random timeout.
 func (n *Node) resetElectionTimer() {
 	n.ticksSinceLeader = 0
 	n.electionTicks = n.cfg.ElectionTicks + n.random.IntN(n.cfg.ElectionTicks)
@@ -46,6 +47,7 @@
 	})
 }
 
+// campaign starts an election, unless the replica must not vote.
 func (n *Node) campaign() error {
 	n.resetElectionTimer()
 	if n.voteBarrier == noVotes {
@@ -54,8 +56,8 @@
 	return n.raft.Campaign()
 }
 
-// TransferLeadership transfers leadership to the most up-to-date peer, before this replica stops. It returns false where
-// the replica does not lead or no peer is reachable. Leading turns false once another replica leads, if the transfer works.
+// TransferLeadership starts a transfer of leadership to the most up-to-date peer, for use before this replica stops. It
+// returns false if the replica does not lead or no peer is reachable. Once the transfer succeeds, Leading returns false.
 func (n *Node) TransferLeadership() bool {
 	transferred := false
 	err := n.guard(func() error {
@@ -72,7 +74,7 @@
 	return transferred && err == nil
 }
 
-// mostUpToDatePeer is the recently active peer with the longest log; 0: there is none.
+// mostUpToDatePeer returns the recently active peer with the longest log, or 0 if there is none.
 func (n *Node) mostUpToDatePeer() uint64 {
 	best, longest := uint64(0), uint64(0)
 	status := n.raft.Status()
@@ -85,23 +87,25 @@
 	return best
 }
 
-// Leader is the replica that this one takes for the leader; 0: none is known.
+// Leader returns the ID of the leader that this replica knows, or 0 if it knows none.
 func (n *Node) Leader() uint64 { return n.raft.BasicStatus().Lead }
 
-// Term is the present term.
+// Term returns the current term.
 func (n *Node) Term() uint64 { return n.lastRole.term }
 
-// Leading reports whether this replica takes itself for the leader. Only Confirm makes sure.
+// Leading reports whether this replica considers itself the leader. Another replica may already lead in a later term; use
+// Confirm to be sure.
 func (n *Node) Leading() bool { return n.lastRole.leading }
 
-// LeaderReady reports whether this replica leads and has applied all that earlier leaders committed, which it has once an
-// entry of its own term is applied.
+// LeaderReady reports whether this replica leads and has applied every entry that earlier leaders committed. That is the
+// case once it has applied an entry of its own term.
 func (n *Node) LeaderReady() bool { return n.lastRole.leading && n.appliedTerm == n.lastRole.term }
 
-// AppliedIndex is the index of the last applied entry.
+// AppliedIndex returns the index of the last applied entry.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// MatchIndexes returns, on the leader, up to which index each replica is known to have the log, by ID; nil elsewhere.
+// MatchIndexes returns the index of the last entry that each replica is known to have stored, by replica ID. It returns
+// nil if this replica does not lead.
 func (n *Node) MatchIndexes() map[uint64]uint64 {
 	if !n.lastRole.leading {
 		return nil
--- a/internal/consensus/lease_server.go
+++ b/internal/consensus/lease_server.go
@@ -7,34 +7,35 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// maxPendingRenewals bounds the renewals that wait for an answer.
+// maxPendingRenewals is the maximum number of renewals without a reply.
 const maxPendingRenewals = 8192
 
-// LeaseServer answers proxies' renewals while its Node leads. It has a quorum confirm all renewals of a batch with one
-// round, answers them, and proposes the commands that the LeaseService finds due. It is pure as the Node is:
+// LeaseServer answers proxies' lease renewals while its Node leads. It confirms its leadership with the quorum once per
+// batch of renewals, answers the batch, and proposes the commands that the LeaseService returns. Like the Node, it performs
+// no I/O and reads no clock:
 //
 //	err := server.Renew(now, id, renewal)                   // as renewals arrive
 //	replies, outcome, err := server.Run(now, storage, send) // after each batch of events
 //
-// No lease is granted while a command that activates a version or removes a member is in flight. It was decided by the
-// time since the members' leases, and a lease granted in between would let a node rely on what the decision does not
-// reckon with. The LeaseService would reject such a node, so it waits for the outcome instead. Commands that add members
-// and others are never in flight together: an activation is decided when all added members are known. What the
-// LeaseService finds due is proposed in its term or dropped.
+// The server grants no lease while a command that activates a version or removes a member is in flight. Such a command is
+// decided by the time that has passed since the members' leases, and a lease granted before it is applied would
+// invalidate that decision. The LeaseService would reject the renewing node, so its renewal waits for the command's
+// outcome instead. Commands that add members are never in flight together with other commands, so an activation is
+// decided only when all added members are known. A due command is proposed in the term in which it became due, or dropped.
 type LeaseServer struct {
 	node   *Node
 	leases fleetconfig.LeaseService
 
-	term         uint64 // in which leases was last told that it leads; 0: it does not lead
-	queued       []pendingRenewal
-	confirmation ProposalID // in progress; zero: none
-	confirming   []pendingRenewal
-	confirmed    []pendingRenewal // wait until no command in flight pauses leases
-	inFlight     map[ProposalID]inFlightCommand
-	additions    []fleetconfig.Command          // AddMember commands to be proposed
-	adding       map[fleetconfig.AddMember]bool // those to be proposed and those in flight; the value is always true
-	checkDue     bool                           // the LeaseService may find commands due
-	replies      []Reply
+	term             uint64           // term in which this replica leads, as last reported to leases; 0: it does not lead
+	queued           []pendingRenewal // waiting for the next confirmation
+	confirmation     ProposalID       // the confirmation in progress; zero: none
+	confirming       []pendingRenewal // waiting for the confirmation in progress
+	confirmed        []pendingRenewal // answered once no command in flight pauses leases
+	inFlight         map[ProposalID]inFlightCommand
+	queuedAdditions  []fleetconfig.Command          // AddMember commands not proposed yet
+	pendingAdditions map[fleetconfig.AddMember]bool // additions that are queued or in flight; the value is always true
+	checkDue         bool                           // the next Step asks the LeaseService for due commands
+	replies          []Reply
 }
 
 // inFlightCommand is a proposed command without an outcome yet.
@@ -45,28 +46,28 @@
 
 // pendingRenewal is a renewal without a reply.
 type pendingRenewal struct {
-	id      uint64 // that the caller gave it
+	id      uint64 // the caller's ID, returned in Reply.ID
 	renewal fleetconfig.Renewal
 }
 
-// Reply answers the renewal with that ID.
+// Reply is the answer to the renewal with the same ID.
 type Reply struct {
 	ID    uint64
 	Lease fleetconfig.Lease
 	Err   *apperror.Error // UnknownNode or NotLeading; nil: Lease is granted
 }
 
-// NewLeaseServer returns a server beside a node. It tells the LeaseService of each term that the node leads.
+// NewLeaseServer returns a LeaseServer for a node. It notifies leases of each term in which the node leads.
 func NewLeaseServer(node *Node, leases fleetconfig.LeaseService) *LeaseServer {
 	return &LeaseServer{
-		node:     node,
-		leases:   leases,
-		inFlight: map[ProposalID]inFlightCommand{},
-		adding:   map[fleetconfig.AddMember]bool{},
+		node:             node,
+		leases:           leases,
+		inFlight:         map[ProposalID]inFlightCommand{},
+		pendingAdditions: map[fleetconfig.AddMember]bool{},
 	}
 }
 
-// Renew takes a renewal. A later Step or Run returns a Reply with the ID. It fails with NotLeading or Busy.
+// Renew queues a renewal. A later Step or Run returns a Reply with its ID. Errors are NotLeading and Busy.
 func (s *LeaseServer) Renew(now time.Duration, id uint64, r fleetconfig.Renewal) error {
 	s.followLeadership(now)
 	switch {
@@ -78,41 +79,41 @@
 	for _, command := range s.leases.HandleRenewal(now, r) {
 		if command.AddMember == nil {
 			s.checkDue = true // DueCommands returns it again
-		} else if !s.adding[*command.AddMember] {
-			s.adding[*command.AddMember] = true
-			s.additions = append(s.additions, command)
+		} else if !s.pendingAdditions[*command.AddMember] {
+			s.pendingAdditions[*command.AddMember] = true
+			s.queuedAdditions = append(s.queuedAdditions, command)
 		}
 	}
 	s.queued = append(s.queued, pendingRenewal{id, r})
 	return nil
 }
 
-// PendingRenewals is the number of renewals without a reply.
+// PendingRenewals returns the number of renewals without a reply.
 func (s *LeaseServer) PendingRenewals() int {
 	return len(s.queued) + len(s.confirming) + len(s.confirmed)
 }
 
-// Tick makes the next Step look for commands that time has made due.
+// Tick makes the next Step check for commands that have become due.
 func (s *LeaseServer) Tick() { s.checkDue = true }
 
-// followLeadership starts and stops the LeaseService with the node's leadership. Where leadership is lost, all pending
-// renewals fail.
+// followLeadership starts the LeaseService when the node becomes a ready leader, and stops it when the node no longer is
+// one or its term has changed. When leadership is lost, all pending renewals fail.
 func (s *LeaseServer) followLeadership(now time.Duration) {
-	settled := s.node.LeaderReady()
-	if settled && s.term == s.node.Term() {
+	ready := s.node.LeaderReady()
+	if ready && s.term == s.node.Term() {
 		return
 	}
 	if s.term != 0 {
 		s.stepDown()
 	}
-	if settled {
+	if ready {
 		s.term = s.node.Term()
 		s.leases.BecomeLeader(now, s.term)
 		s.checkDue = true
 	}
 }
 
-// stepDown ends the service of a term: all pending renewals fail, and what was due is dropped.
+// stepDown stops the LeaseService, fails all pending renewals and drops the queued commands.
 func (s *LeaseServer) stepDown() {
 	s.term = 0
 	s.leases.StepDown()
@@ -125,23 +126,23 @@
 	s.confirming = nil
 	s.queued = nil
 	s.confirmation = ProposalID{}
-	s.additions = nil
+	s.queuedAdditions = nil
 	s.checkDue = false
 	clear(s.inFlight)
-	clear(s.adding)
+	clear(s.pendingAdditions)
 }
 
-// HandleOutcome handles the outcome of the node's work.
+// HandleOutcome updates the server with an outcome of the node.
 func (s *LeaseServer) HandleOutcome(now time.Duration, outcome Outcome) {
 	for _, applied := range outcome.Applied {
-		if applied.Answer.Err == nil { // a rejected command would be due again at once: it waits for the next tick
+		if applied.Answer.Err == nil { // a rejected command would be due again at once, so it is retried after the next Tick
 			s.checkDue = true
 		}
 		s.commandDone(applied.ProposalID)
 	}
 	for _, failure := range outcome.Failed {
 		s.commandDone(failure.ProposalID)
-		if failure.ProposalID == s.confirmation { // leadership is lost, which followLeadership finds
+		if failure.ProposalID == s.confirmation { // leadership is lost; followLeadership handles it
 			s.confirmation = ProposalID{}
 		}
 	}
@@ -155,7 +156,7 @@
 	s.followLeadership(now)
 }
 
-// commandDone forgets a command that was applied or has failed.
+// commandDone removes a command that was applied or has failed from those in flight.
 func (s *LeaseServer) commandDone(id ProposalID) {
 	done, ok := s.inFlight[id]
 	if !ok {
@@ -163,17 +164,17 @@
 	}
 	delete(s.inFlight, id)
 	if done.command.AddMember != nil {
-		delete(s.adding, *done.command.AddMember)
+		delete(s.pendingAdditions, *done.command.AddMember)
 	}
 }
 
-// Step proposes what is due, answers confirmed renewals, and starts a confirmation of the queued ones. It returns the
-// replies that are ready. The node may have work afterwards.
+// Step proposes the due commands, answers confirmed renewals, and starts a confirmation for the queued ones. It returns
+// the replies that are ready. The node may have work afterwards.
 func (s *LeaseServer) Step(now time.Duration) []Reply {
 	s.followLeadership(now)
 	if s.term != 0 {
-		s.propose(now)
-		s.answer(now)
+		s.proposeDue(now)
+		s.replyToConfirmed(now)
 		s.startConfirmation()
 	}
 	replies := s.replies
@@ -181,7 +182,8 @@
 	return replies
 }
 
-// Run does all pending work of the node and what follows from it. An error must end this replica's process.
+// Run alternates between the node's pending work and Step until neither has work left. After an error the caller must end
+// this replica's process.
 func (s *LeaseServer) Run(now time.Duration, storage Saver, send func(Message)) ([]Reply, Outcome, error) {
 	var replies []Reply
 	var all Outcome
@@ -199,22 +201,23 @@
 	}
 }
 
-// propose proposes member additions, or else the due commands, once all earlier commands have an outcome.
-func (s *LeaseServer) propose(now time.Duration) {
+// proposeDue proposes the queued member additions, or the due commands if there are none. It does nothing while earlier
+// commands are in flight.
+func (s *LeaseServer) proposeDue(now time.Duration) {
 	if len(s.inFlight) > 0 {
 		return
 	}
-	due := s.additions
-	s.additions = nil
+	due := s.queuedAdditions
+	s.queuedAdditions = nil
 	if len(due) == 0 && s.checkDue {
 		s.checkDue = false
 		due = s.leases.DueCommands(now)
 	}
 	for _, command := range due {
 		id, err := s.node.Propose(command)
-		if err != nil { // it is found due again
+		if err != nil { // the command becomes due again
 			if command.AddMember != nil {
-				delete(s.adding, *command.AddMember)
+				delete(s.pendingAdditions, *command.AddMember)
 			}
 			s.checkDue = true
 			continue
@@ -226,8 +229,8 @@
 	}
 }
 
-// answer replies to the confirmed renewals, unless a command in flight pauses leases.
-func (s *LeaseServer) answer(now time.Duration) {
+// replyToConfirmed answers the confirmed renewals, unless a command in flight pauses leases.
+func (s *LeaseServer) replyToConfirmed(now time.Duration) {
 	for _, command := range s.inFlight {
 		if command.pausesLeases {
 			return
@@ -247,14 +250,15 @@
 	s.confirmed = nil
 }
 
-// startConfirmation has a quorum confirm the queued renewals, once no confirmation and no member addition is in progress.
+// startConfirmation starts a leadership confirmation for the queued renewals, unless a confirmation or a member addition
+// is in progress.
 func (s *LeaseServer) startConfirmation() {
-	if !s.confirmation.IsZero() || len(s.queued) == 0 || len(s.adding) > 0 {
+	if !s.confirmation.IsZero() || len(s.queued) == 0 || len(s.pendingAdditions) > 0 {
 		return
 	}
 	id, err := s.node.Confirm()
 	if err != nil {
-		return // leadership is lost, which followLeadership finds
+		return // leadership is lost; followLeadership handles it
 	}
 	s.confirmation = id
 	s.confirming = s.queued
--- a/internal/consensus/lease_server_test.go
+++ b/internal/consensus/lease_server_test.go
@@ -44,7 +44,7 @@
 		r.leases = NewLeaseServer(r.node, services[id])
 	}
 	leader := cluster.leader()
-	cluster.settle(leader)
+	cluster.processWork(leader)
 	return cluster, cluster.replicas[leader], services[leader]
 }
 
@@ -62,7 +62,7 @@
 		leader.renew(t, i, fmt.Sprint("n", i%100)) // each node renews twice, and is added once
 	}
 	replies, _, err := leader.leases.Run(0, leader.disk, func(m Message) {
-		cluster.inTransit = append(cluster.inTransit, transitMessage{cluster.step + 1, leader.node.cfg.ID, m})
+		cluster.inTransit = append(cluster.inTransit, messageInTransit{cluster.step + 1, leader.node.cfg.ID, m})
 	})
 	cluster.require(err)
 	if len(replies) > 0 {
@@ -98,7 +98,7 @@
 	}
 	service.due = []fleetconfig.Command{activateCommand(1)}
 	leader.leases.Tick()
-	cluster.settle(leader.node.cfg.ID)
+	cluster.processWork(leader.node.cfg.ID)
 	service.due = nil
 	leader.renew(t, 2, "n")
 	cluster.tick()
@@ -131,7 +131,7 @@
 		leader.renew(t, i, "n")
 	}
 	cluster.until("the leader steps down", func() bool { return !leader.node.Leading() })
-	cluster.settle(leader.node.cfg.ID)
+	cluster.processWork(leader.node.cfg.ID)
 	if len(leader.replies) != 3 || leader.leases.PendingRenewals() != 0 {
 		t.Fatalf("%d replies, %d renewals wait", len(leader.replies), leader.leases.PendingRenewals())
 	}
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -9,14 +9,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Message goes from one replica to another. It may be lost, duplicated or reordered.
+// Message is an encoded message to another replica. Messages may be lost, duplicated or reordered.
 type Message struct {
 	To       uint64
 	Bytes    []byte
-	Snapshot bool // the sender must report its delivery with Node.ReportSnapshot
+	Snapshot bool // the sender must report the delivery with Node.ReportSnapshot
 }
 
-// acceptedTypes are the types of raft messages that other replicas send.
+// acceptedTypes lists the types of raft messages that replicas send to one another.
 var acceptedTypes = []pb.MessageType{
 	pb.MessageType_MsgApp,
 	pb.MessageType_MsgAppResp,
@@ -30,17 +30,18 @@
 	pb.MessageType_MsgPreVoteResp,
 }
 
-// Step handles a message of another replica. Where it fails with BadMessage the node is unchanged.
+// Step handles a message from another replica. A BadMessage error leaves the node unchanged.
 func (n *Node) Step(message []byte) error {
 	return n.guard(func() error {
 		defer n.updateRole()
-		if len(message) > 0 && message[0] == termQueryMark {
+		if len(message) > 0 && message[0] == termQueryPrefix {
 			return n.handleTermQuery(message[1:])
 		}
 		return n.stepRaft(message)
 	})
 }
 
+// stepRaft decodes and validates a raft message, and passes it to the raft library.
 func (n *Node) stepRaft(encoded []byte) error {
 	message := &pb.Message{}
 	if err := proto.Unmarshal(encoded, message); err != nil {
@@ -49,7 +50,7 @@
 	if err := n.checkMessage(message); err != nil {
 		return err
 	}
-	if n.ignores(message) {
+	if n.mustIgnore(message) {
 		return nil
 	}
 	if err := n.detectDataLoss(message); err != nil {
@@ -59,7 +60,7 @@
 		return BadMessage.Wrap(messagePlace(message), err)
 	}
 	switch message.GetType() {
-	case pb.MessageType_MsgApp, pb.MessageType_MsgHeartbeat, pb.MessageType_MsgSnap: // what only a leader sends
+	case pb.MessageType_MsgApp, pb.MessageType_MsgHeartbeat, pb.MessageType_MsgSnap: // only a leader sends these
 		if n.Leader() == message.GetFrom() && n.Term() == message.GetTerm() {
 			n.resetElectionTimer()
 		}
@@ -67,10 +68,10 @@
 	return nil
 }
 
-// messagePlace names a raft message in errors.
+// messagePlace describes a raft message in errors.
 func messagePlace(m *pb.Message) string { return fmt.Sprintf("message from replica %d", m.GetFrom()) }
 
-// checkMessage fails with BadMessage on what no replica of this group sends.
+// checkMessage returns a BadMessage error for a message that no replica of this group sends.
 func (n *Node) checkMessage(m *pb.Message) error {
 	place := messagePlace(m)
 	snapshot := m.GetSnapshot().GetMetadata()
@@ -95,7 +96,8 @@
 	return nil
 }
 
-// ReportSnapshot reports whether a snapshot message reached its peer. Until then no other entries are sent to that peer.
+// ReportSnapshot notifies the node whether a snapshot message reached its peer. Until then the node sends no entries to
+// that peer.
 func (n *Node) ReportSnapshot(to uint64, ok bool) error {
 	status := raft.SnapshotFinish
 	if !ok {
@@ -107,7 +109,8 @@
 	})
 }
 
-// ReportUnreachable reports that messages to a peer are lost, so that entries are not sent ahead of its answers.
+// ReportUnreachable notifies the node that messages to a peer are lost. The node then stops sending entries ahead of the
+// peer's answers.
 func (n *Node) ReportUnreachable(to uint64) error {
 	return n.guard(func() error {
 		n.raft.ReportUnreachable(to)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -10,58 +10,58 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Limits of the raft library.
+// Limits passed to the raft library.
 const (
-	maxUncommittedBytes = 2 * MaxCommandBytes // of commands that wait for a quorum
-	maxMessageBytes     = 1 << 20             // of entries in one message, where there is more than one
-	maxInFlightMessages = 64                  // to one peer that has not answered
+	maxUncommittedBytes = 2 * MaxCommandBytes // total size of commands waiting for a quorum
+	maxMessageBytes     = 1 << 20             // size of the entries in a message; a single larger entry is still sent
+	maxInFlightMessages = 64                  // unanswered messages to one peer
 )
 
-// Node is one replica's part in the group. It is not safe for concurrent use.
+// Node is one replica of the raft group. It is not safe for concurrent use.
 type Node struct {
 	cfg    Config
 	state  fleetconfig.ReplicatedState
 	raft   *raft.RawNode
 	log    *raft.MemoryStorage
 	random *rand.Rand
-	fatal  *apperror.Error // the node has stopped for this
+	fatal  *apperror.Error // the error that stopped the node; nil: it runs
 
 	// Leadership and elections.
 	lastRole         raftRole // as of the latest updateRole
-	ticksSinceLeader int      // ticks since the last message of the leader, or since the last campaign
-	electionTicks    int      // how many of them start an election; drawn anew each time
+	ticksSinceLeader int      // ticks since the leader's last message or the last campaign
+	electionTicks    int      // value of ticksSinceLeader that starts an election; drawn by resetElectionTimer
 
 	// Proposals and reads of this process.
 	lastSeq          uint64
 	pendingProposals map[uint64]bool   // by Seq; the value is always true
-	pendingReads     map[uint64]uint64 // by Seq: the index that must be applied first; 0: not confirmed yet
+	pendingReads     map[uint64]uint64 // by Seq: the index that must be applied before the read is confirmed; 0: unknown yet
 
 	// The replicated state.
 	appliedIndex  uint64
 	appliedTerm   uint64
-	snapshotIndex uint64 // of the latest snapshot
-	appliedBytes  int    // of commands applied after it
+	snapshotIndex uint64 // index of the latest snapshot
+	appliedBytes  int    // size of the commands applied after it
 
 	// Rejoining; see rejoin.go.
-	voteBarrier  uint64          // the replica votes in later terms only; noVotes: in none, until it has caught up
-	knownTerms   map[uint64]bool // by ID: the peers that have answered a term query; nil: no answer is missing
-	highestTerm  uint64          // among their answers
+	voteBarrier  uint64          // the replica votes only in later terms; noVotes: in no term until it has caught up
+	knownTerms   map[uint64]bool // IDs of the peers that have answered a term query; nil: no query is in progress
+	highestTerm  uint64          // highest term in their answers
 	termMessages []Message       // term queries and answers to be sent
 
-	// Changes that are not saved yet.
+	// Changes not saved yet.
 	voteBarrierUnsaved bool
 	unsavedState       *pb.HardState
-	unsavedSnapshot    *pb.Snapshot // made here, not received
+	unsavedSnapshot    *pb.Snapshot // taken by this node; received snapshots are in ready
 
 	// Work in progress.
 	ready          *raft.Ready
 	outcome        Outcome
 	workInProgress bool // Work was called and Done was not
-	saveInProgress bool // and the Work has a Save
+	saveInProgress bool // that Work contains a Save
 }
 
-// New starts a node from the stored data; a zero Stored starts a new log. state must be empty. It fails with BadConfig,
-// BadStore or PeersChanged.
+// New starts a node from the stored data; a zero Stored starts a new log. state must be empty. Errors are BadConfig,
+// BadStore and PeersChanged.
 func New(cfg Config, state fleetconfig.ReplicatedState, stored Stored) (*Node, error) {
 	if err := cfg.fillDefaults(); err != nil {
 		return nil, err
@@ -86,6 +86,7 @@
 	return n, nil
 }
 
+// startRaft creates the raft library's node on the loaded log.
 func (n *Node) startRaft() error {
 	var err error
 	n.raft, err = raft.NewRawNode(&raft.Config{
@@ -106,14 +107,14 @@
 	return err
 }
 
-// place names this replica in errors that are sent to clients, which know a replica by this older name.
+// place describes this replica in errors that are sent to clients, which expect the older name "keeper".
 func (n *Node) place() string { return fmt.Sprintf("keeper %d", n.cfg.ID) }
 
-// storePlace names the stored data in errors, which come at the start alone and are not sent.
+// storePlace describes the stored data in errors. They occur only at the start and are not sent to clients.
 func (n *Node) storePlace() string { return fmt.Sprintf("stored data of replica %d", n.cfg.ID) }
 
-// guard runs a step of the node. A panic of the library, which it has for states that cannot be, becomes an error that
-// stops the node.
+// guard runs step unless the node has stopped. The raft library panics on inconsistent state; guard turns such a panic into
+// a Broken error that stops the node.
 func (n *Node) guard(step func() error) (err error) {
 	if n.fatal != nil {
 		return n.fatal
@@ -127,13 +128,13 @@
 	return step()
 }
 
-// fail stops the node.
+// fail stops the node with a Broken error.
 func (n *Node) fail(err error) error {
 	n.fatal = Broken.Wrap(n.place(), err)
 	return n.fatal
 }
 
-// Tick advances the node's clock by one tick.
+// Tick advances the node's clock by one tick. A leader may send heartbeats; another replica may start an election.
 func (n *Node) Tick() error {
 	return n.guard(func() error {
 		defer n.updateRole()
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -76,7 +76,7 @@
 	cluster.replicas[leader].reads[read] = []string{"before"}
 	from := cluster.step
 	cluster.until("the leader steps down", func() bool { return !cluster.replicas[leader].node.Leading() })
-	cluster.settle(leader)
+	cluster.processWork(leader)
 	ticks := cluster.step - from
 	proposals, reads := len(cluster.replicas[leader].proposed), len(cluster.replicas[leader].reads)
 	if ticks > 21 || proposals != 0 || reads != 0 {
@@ -102,7 +102,7 @@
 	if !cluster.replicas[leader].node.TransferLeadership() {
 		t.Fatal("the leader does not transfer leadership")
 	}
-	cluster.settle(leader)
+	cluster.processWork(leader)
 	cluster.until("another leader", func() bool { return cluster.leader() != leader })
 	if ticks := cluster.step - from; ticks > 8 {
 		t.Fatalf("the transfer took %d ticks, as long as an election", ticks)
--- a/internal/consensus/persistence.go
+++ b/internal/consensus/persistence.go
@@ -12,7 +12,7 @@
 // voteBarrierBytes is the size of the vote barrier, which precedes raft's hard state in Stored.State.
 const voteBarrierBytes = 8
 
-// load fills the log and the replicated state from the stored data, or starts a new log.
+// load restores the log and the replicated state from the stored data, or starts a new log.
 func (n *Node) load(stored Stored) error {
 	snapshot, state, err := n.decodeStored(stored)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	meta := snapshot.GetMetadata()
 	if voters := meta.GetConfState().GetVoters(); !slices.Equal(voters, n.cfg.Peers) {
-		return PeersChanged.New(n.storePlace(), "it is of the group %d, and the configuration names the group %d", voters, n.cfg.Peers)
+		return PeersChanged.New(n.storePlace(), "it belongs to the group %d, but the configuration names the group %d", voters, n.cfg.Peers)
 	}
 	entries, err := n.decodeEntries(stored.Entries, meta)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// checkState fails with BadStore where the hard state contradicts the log: its commit index must lie in the log, and its
-// term must not be below that of the last entry.
+// checkState returns a BadStore error if the hard state contradicts the log: its commit index must lie in the log, and its
+// term must not be lower than that of the last entry.
 func (n *Node) checkState(state *pb.HardState, snapshot *pb.SnapshotMetadata, entries []*pb.Entry) error {
 	last, term := snapshot.GetIndex(), snapshot.GetTerm()
 	if len(entries) > 0 {
@@ -62,19 +62,20 @@
 	return nil
 }
 
+// badStore returns a BadStore error about the stored data.
 func (n *Node) badStore(format string, args ...any) error {
 	return BadStore.New(n.storePlace(), format, args...)
 }
 
-// resetApplied notes that the replicated state is that of a snapshot.
+// resetApplied sets the applied position to that of a snapshot.
 func (n *Node) resetApplied(meta *pb.SnapshotMetadata) {
 	n.snapshotIndex = meta.GetIndex()
 	n.appliedIndex = meta.GetIndex()
 	n.appliedTerm = meta.GetTerm()
 }
 
-// decodeStored decodes the snapshot and the state, with the vote barrier. Without stored data it returns those of a new
-// log, to be saved.
+// decodeStored decodes the snapshot, the hard state and the vote barrier. Without stored data it starts a new log, whose
+// snapshot and hard state the first Work saves.
 func (n *Node) decodeStored(stored Stored) (*pb.Snapshot, *pb.HardState, error) {
 	if stored.Snapshot == nil {
 		if len(stored.Entries) > 0 || stored.State != nil {
@@ -97,7 +98,7 @@
 	return snapshot, state, nil
 }
 
-// newLog starts a log with an empty snapshot that names the peers.
+// newLog starts a log with an empty snapshot that contains only the peers.
 func (n *Node) newLog() (*pb.Snapshot, *pb.HardState) {
 	const firstIndex, firstTerm = 1, 1
 	n.unsavedSnapshot = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{
@@ -112,7 +113,7 @@
 	return n.unsavedSnapshot, n.unsavedState
 }
 
-// decodeEntries decodes the entries after the snapshot. It fails with BadStore where they do not follow one another.
+// decodeEntries decodes the entries after the snapshot. It returns a BadStore error if they are not consecutive.
 func (n *Node) decodeEntries(stored []Entry, snapshot *pb.SnapshotMetadata) ([]*pb.Entry, error) {
 	entries := make([]*pb.Entry, 0, len(stored))
 	last, term := snapshot.GetIndex(), snapshot.GetTerm()
@@ -135,8 +136,8 @@
 	return entries, nil
 }
 
-// save returns what must be saved for the work in progress; nil: nothing. A change of the commit index alone waits for the
-// next save, since raft finds it again.
+// save returns the changes to save for the work in progress, or nil if there are none. A change of only the commit index
+// waits for the next save, because raft can recover it after a restart.
 func (n *Node) save() (*Save, error) {
 	received := n.ready != nil && hasSnapshot(n.ready.Snapshot)
 	mustSync := n.ready != nil && n.ready.MustSync
@@ -146,7 +147,7 @@
 	save := &Save{}
 	var err error
 	switch {
-	case received: // it replaces the whole log
+	case received: // a received snapshot replaces the whole log
 		save.DropThrough = math.MaxUint64
 		save.Snapshot, err = proto.Marshal(n.ready.Snapshot)
 	case n.unsavedSnapshot != nil:
@@ -165,6 +166,7 @@
 	return save, err
 }
 
+// encodeEntries encodes raft entries for a Save.
 func encodeEntries(entries []*pb.Entry) ([]Entry, error) {
 	var encoded []Entry
 	for _, entry := range entries {
@@ -177,7 +179,7 @@
 	return encoded, nil
 }
 
-// encodeState encodes the vote barrier and raft's hard state; nil: neither has changed.
+// encodeState encodes the vote barrier and raft's hard state. It returns nil if neither has changed.
 func (n *Node) encodeState() ([]byte, error) {
 	if n.unsavedState == nil && n.voteBarrierUnsaved {
 		n.unsavedState = n.raft.BasicStatus().HardState
@@ -192,7 +194,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, n.voteBarrier), encoded...), nil
 }
 
-// hasSnapshot reports whether a snapshot is one, and not raft's empty value for none.
+// hasSnapshot reports whether snapshot is a real snapshot; raft represents none by nil or an empty value.
 func hasSnapshot(snapshot *pb.Snapshot) bool {
 	return snapshot != nil && snapshot.GetMetadata().GetIndex() > 0
 }
--- a/internal/consensus/raft_logger.go
+++ b/internal/consensus/raft_logger.go
@@ -6,10 +6,10 @@
 	"go.etcd.io/raft/v3"
 )
 
-// LogLevel is the level of a log line of the raft library.
+// LogLevel is the severity of a log line from the raft library.
 type LogLevel int
 
-// The levels, from the least important on.
+// Log levels, in increasing order of severity.
 const (
 	LogDebug LogLevel = iota
 	LogInfo
@@ -17,7 +17,8 @@
 	LogError
 )
 
-// raftLogger passes raft's log lines to Config.Log. Fatal and Panic must not return: they panic, which Node.guard recovers.
+// raftLogger passes the raft library's log lines to Config.Log. Fatal and Panic must not return, so they panic; Node.guard
+// recovers from that.
 type raftLogger struct {
 	write func(level LogLevel, text string) // nil: lines are dropped
 }
--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -9,22 +9,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A replica that lost its data may have voted in a term, and acknowledged entries, that it no longer knows of. An entry
-// that was committed with its acknowledgment is on one replica fewer than a majority of the others. So the next leader
-// must be elected by a majority of the others alone, and after the loss. Therefore such a replica ignores raft's messages
-// until each of the others has answered a term query of this process. It then enters a term above all of theirs, in which
-// no replica has campaigned, and gives no vote until a leader of such a term has sent all that was committed before its
-// first entry. Messages to its earlier processes, however late, belong to earlier terms by then.
+// Rejoining lets a replica that lost its stored data take part again without losing committed entries.
+//
+// Such a replica may have voted in a term, and acknowledged entries, that it no longer knows of. An entry that was
+// committed with its acknowledgment may now be stored on one replica fewer than a majority. Its vote could elect a leader
+// without that entry, so the next leader must be elected after the loss and by a majority that does not include it.
+//
+// The replica therefore ignores raft messages until all other replicas have answered a term query from this process. It
+// then enters a term higher than all of theirs, in which no replica has campaigned yet. It does not vote until a leader of
+// that term or a later one has sent it everything committed before that leader's first entry. Delayed messages to its
+// earlier processes then belong to earlier terms and have no effect.
 
 const (
-	noVotes       = math.MaxUint64 // a vote barrier that no term is above
-	termQueryMark = 0xff           // the first byte of a term query; no raft message starts with it
+	noVotes         = math.MaxUint64 // a vote barrier that no term exceeds
+	termQueryPrefix = 0xff           // first byte of an encoded termQuery; no raft message starts with it
 
-	// maxPeerTerm is the highest term that a peer can be in: the one after it must be below noVotes.
+	// maxPeerTerm is the highest term accepted from a peer, because the following term must be lower than noVotes.
 	maxPeerTerm = noVotes - 2
 )
 
-// termQuery asks a replica for its term, or answers such a request.
+// termQuery is a request for a replica's term, or the answer to one.
 type termQuery struct {
 	From        uint64 `cbor:"1,keyasint"`
 	To          uint64 `cbor:"2,keyasint"`
@@ -36,30 +40,31 @@
 // Rejoining reports whether this replica lost its data and has not caught up yet.
 func (n *Node) Rejoining() bool { return n.voteBarrier == noVotes }
 
-// queueTermQuery queues a query or an answer, in this replica's name, for the next Work.
+// queueTermQuery sets the sender of a query or an answer to this replica and queues it for the next Work.
 func (n *Node) queueTermQuery(query termQuery) error {
 	query.From = n.cfg.ID
 	encoded, err := cbor.Marshal(query)
 	if err != nil {
 		return err
 	}
-	n.termMessages = append(n.termMessages, Message{To: query.To, Bytes: append([]byte{termQueryMark}, encoded...)})
+	n.termMessages = append(n.termMessages, Message{To: query.To, Bytes: append([]byte{termQueryPrefix}, encoded...)})
 	return nil
 }
 
-// queryTerms requests the terms that are still missing, once per ElectionTicks.
+// queryTerms sends a term query to each peer that has not answered, once per ElectionTicks.
 func (n *Node) queryTerms() {
 	if n.knownTerms == nil || n.ticksSinceLeader%n.cfg.ElectionTicks != 0 {
 		return
 	}
 	for _, id := range n.cfg.Peers {
 		if id != n.cfg.ID && !n.knownTerms[id] {
-			_ = n.queueTermQuery(termQuery{To: id, Request: true, Incarnation: n.cfg.Incarnation}) // numbers always encode
+			_ = n.queueTermQuery(termQuery{To: id, Request: true, Incarnation: n.cfg.Incarnation}) // cannot fail: the query contains only numbers and a bool
 		}
 	}
 }
 
-// handleTermQuery answers a request, unless this replica's own term is unknown, or takes an answer.
+// handleTermQuery answers a request, unless this replica is waiting for answers itself, or records an answer. After the
+// last answer it enters the next term.
 func (n *Node) handleTermQuery(message []byte) error {
 	var query termQuery
 	if err := cbor.Unmarshal(message, &query); err != nil {
@@ -71,11 +76,11 @@
 	}
 	switch {
 	case query.Request && n.knownTerms != nil:
-		return nil // its own stored term is lost, so an answer could be too low
+		return nil // this replica lost its own term, so its answer could be too low
 	case query.Request:
 		return n.queueTermQuery(termQuery{To: query.From, Incarnation: query.Incarnation, Term: n.Term()})
 	case n.knownTerms == nil || query.Incarnation != n.cfg.Incarnation || query.Term > maxPeerTerm:
-		return nil // too late, to an earlier process, or impossible
+		return nil // a late answer, one to an earlier process, or one with an invalid term
 	}
 	n.knownTerms[query.From] = true
 	n.highestTerm = max(n.highestTerm, query.Term)
@@ -86,8 +91,8 @@
 	return n.enterTerm(max(n.highestTerm, n.Term())+1, query.From)
 }
 
-// enterTerm makes raft enter a later term, as it does with any message of that term. This one, which comes from a peer, has
-// no other effect.
+// enterTerm makes raft enter a later term by passing it a message of that term. A rejected append response from a peer has
+// no other effect on a follower.
 func (n *Node) enterTerm(term, peer uint64) error {
 	return n.raft.Step(&pb.Message{
 		Type:   pb.MessageType_MsgAppResp.Enum(),
@@ -98,8 +103,8 @@
 	})
 }
 
-// ignores reports whether a rejoining replica must ignore a message.
-func (n *Node) ignores(m *pb.Message) bool {
+// mustIgnore reports whether a message must be ignored because this replica is rejoining.
+func (n *Node) mustIgnore(m *pb.Message) bool {
 	switch m.GetType() {
 	case pb.MessageType_MsgVote, pb.MessageType_MsgPreVote:
 		return n.knownTerms != nil || m.GetTerm() <= n.voteBarrier
@@ -109,7 +114,8 @@
 	return n.knownTerms != nil
 }
 
-// finishRejoin lets the replica vote in later terms once it has caught up with the leader.
+// finishRejoin ends the rejoining once the replica has caught up with the leader: it may vote in terms after the current
+// one.
 func (n *Node) finishRejoin() {
 	caughtUp := n.knownTerms == nil && n.Leader() != 0 && n.appliedTerm == n.Term()
 	if n.voteBarrier == noVotes && caughtUp {
@@ -118,8 +124,8 @@
 	}
 }
 
-// detectDataLoss stops a replica that lost its data and was not started with Rejoin: a leader knows of entries that it
-// acknowledged and does not have. Raft would panic.
+// detectDataLoss stops a replica that lost its data and was not started with Rejoin. A heartbeat reveals the loss when its
+// commit index, which never exceeds what this replica acknowledged, is beyond the end of the log. Raft would panic.
 func (n *Node) detectDataLoss(m *pb.Message) error {
 	if m.GetType() != pb.MessageType_MsgHeartbeat || m.GetTerm() < n.Term() {
 		return nil
--- a/internal/consensus/rejoin_test.go
+++ b/internal/consensus/rejoin_test.go
@@ -106,7 +106,7 @@
 			}
 		}
 		cluster.require(cluster.replicas[leader].node.Tick())
-		cluster.settle(leader)
+		cluster.processWork(leader)
 	}
 	if !LostData.Of(err) {
 		t.Fatalf("%v", err)
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -2,40 +2,41 @@
 
 import "slices"
 
-// Saver stores what must outlast the process. Save is atomic, and durable when it returns.
+// Saver stores data that must survive the process. Save is atomic, and its data is durable when it returns.
 type Saver interface {
 	Save(Save) error
 }
 
-// Storage is a Saver whose contents can be read, as they are when a replica starts.
+// Storage is a Saver whose data can be loaded when a replica starts.
 type Storage interface {
 	Saver
 	Load() (Stored, error)
 }
 
-// Save is a change of the stored data, made in this order: a snapshot, which makes the entries up to Drop obsolete;
-// entries, which replace all from the first one's index on; and the state. The bytes are opaque and never modified.
+// Save is a change to the stored data. Its parts apply in this order: the snapshot, which makes the entries through
+// DropThrough obsolete; the entries, which replace all stored entries from the first one's index on; and the state. The
+// bytes are opaque and must not be modified.
 type Save struct {
 	Snapshot    []byte // nil: unchanged
-	DropThrough uint64 // 0: no entry
+	DropThrough uint64 // index of the last entry to delete; 0: none
 	Entries     []Entry
 	State       []byte // nil: unchanged
 }
 
-// Entry is an encoded log entry.
+// Entry is an encoded log entry with its index.
 type Entry struct {
 	Index uint64
 	Bytes []byte
 }
 
-// Stored is the data of a Storage; zero at first.
+// Stored is the data in a Storage. It is zero before the first Save.
 type Stored struct {
 	Snapshot []byte
 	Entries  []Entry // sorted by index
 	State    []byte
 }
 
-// MemoryStore is a Storage for simulations. Its contents outlast a Node, not the process.
+// MemoryStore is a Storage for simulations. Its contents survive a Node but not the process.
 type MemoryStore struct{ contents Stored }
 
 // Save implements Saver. It never fails.
--- a/internal/consensus/work.go
+++ b/internal/consensus/work.go
@@ -7,36 +7,36 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Work is what to do next: Save first, durably, then send the Messages, then call Done.
+// Work is the caller's next work for a node: store Save durably, then send Messages, then call Done.
 type Work struct {
 	Save     *Save // nil: nothing to save
 	Messages []Message
 }
 
-// Outcome is the result of work done.
+// Outcome is the result of completed work.
 type Outcome struct {
 	Applied   []Applied    // in log order, the same on all replicas
-	Confirmed []ProposalID // this replica led after the Confirm, and all that was committed by then is applied
+	Confirmed []ProposalID // this replica led after Confirm was called, and has applied all entries committed by then
 	Failed    []Failure
-	Restored  bool // a snapshot replaced the replicated state; the commands in it are not in Applied
+	Restored  bool // a snapshot replaced the replicated state; Applied omits the commands that it covers
 }
 
 // Applied is a committed command that was applied.
 type Applied struct {
 	Index      uint64
 	ProposalID ProposalID
-	Local      bool // this process proposed it and waits for the answer
+	Local      bool // this process proposed the command and has not reported it as failed
 	Command    fleetconfig.Command
 	Answer     fleetconfig.Answer
 }
 
-// Failure ends a proposal with Uncertain, or a confirmation with NotLeading.
+// Failure is a proposal that ended with Uncertain, or a confirmation that ended with NotLeading.
 type Failure struct {
 	ProposalID ProposalID
 	Err        *apperror.Error
 }
 
-// add appends a later outcome.
+// add appends a later outcome to o.
 func (o *Outcome) add(later Outcome) {
 	o.Applied = append(o.Applied, later.Applied...)
 	o.Confirmed = append(o.Confirmed, later.Confirmed...)
@@ -44,17 +44,17 @@
 	o.Restored = o.Restored || later.Restored
 }
 
-// HasWork reports whether Work would return any.
+// HasWork reports whether Work would return a non-nil Work.
 func (n *Node) HasWork() bool {
 	return n.fatal == nil && (n.workInProgress || n.hasOwnWork() || n.raft.HasReady())
 }
 
-// hasOwnWork reports whether there is work beside raft's.
+// hasOwnWork reports whether the node has work besides that of the raft library.
 func (n *Node) hasOwnWork() bool {
 	return n.unsavedSnapshot != nil || n.voteBarrierUnsaved || len(n.outcome.Failed) > 0 || len(n.termMessages) > 0
 }
 
-// Work returns what to do next; nil: nothing until the next event. It returns the same work until Done is called.
+// Work returns the next work, or nil if there is none until the next event. It returns the same work until Done is called.
 func (n *Node) Work() (*Work, error) {
 	var work *Work
 	err := n.guard(func() error {
@@ -84,7 +84,7 @@
 	return work, err
 }
 
-// encodeMessages returns the term queries and raft's messages to be sent.
+// encodeMessages returns the messages to send: the queued term queries and answers, and those of the raft library.
 func (n *Node) encodeMessages() ([]Message, error) {
 	messages := n.termMessages
 	if n.ready == nil {
@@ -104,7 +104,8 @@
 	return messages, nil
 }
 
-// Done reports that the work is done: saved, and the messages sent or lost. It applies what is committed.
+// Done notifies the node that the work is done: its data is saved, and its messages are sent or lost. It applies the
+// committed entries and returns the outcome.
 func (n *Node) Done() (Outcome, error) {
 	if !n.workInProgress {
 		return Outcome{}, nil
@@ -128,7 +129,7 @@
 			n.updateRole()
 			n.finishRejoin()
 		}
-		n.releaseReads()
+		n.completeReads()
 		outcome = n.outcome
 		n.outcome = Outcome{}
 		return nil
@@ -136,8 +137,8 @@
 	return outcome, err
 }
 
-// ProcessWork does all pending work: it saves, sends and returns the outcome. An error of Save ends it: the messages must not be
-// sent then, and the process must end.
+// ProcessWork does all pending work with storage and send, and returns the combined outcome. If storage.Save fails, it
+// returns the error without sending the messages, and the caller must end the process.
 func (n *Node) ProcessWork(storage Saver, send func(Message)) (Outcome, error) {
 	var all Outcome
 	for {
--- a/internal/federation/federation_test.go
+++ b/internal/federation/federation_test.go
@@ -106,7 +106,7 @@
 }
 
 // Publications with the same agreed time give the same catalog in any order, and when they are repeated.
-func TestBatchIsASet(t *testing.T) {
+func TestBatchOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a, b := stateWithTerms(t), stateWithTerms(t)
 		for batch := range rapid.IntRange(1, 4).Draw(rt, "moments") {
@@ -177,7 +177,7 @@
 }
 
 // A change of leaders loses no mesh; a mesh that publishes nothing is lost once, and returns when it publishes again.
-func TestPublisherTrackerLosesMeshes(t *testing.T) {
+func TestPublisherTrackerMarksSilentMeshesLost(t *testing.T) {
 	s := stateWithTerms(t)
 	tracker := NewPublisherTracker(s)
 	now := time.Hour
--- a/internal/federation/losses.go
+++ b/internal/federation/losses.go
@@ -8,13 +8,13 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// findLoss returns the position of a mesh's loss in s.lost, or where it would be inserted.
+// findLoss returns the index of a mesh's loss in s.lost, or the index at which to insert it.
 func (s *State) findLoss(mesh string) (index int, found bool) {
 	return slices.BinarySearchFunc(s.lost, mesh, func(l catalog.Loss, mesh string) int { return cmp.Compare(l.Mesh, mesh) })
 }
 
-// markLost notes that a mesh is lost from the agreed time on, and reports whether it was not lost before. It fails with
-// UnknownMesh, as does markReturned.
+// markLost records that a mesh is lost since the current agreed time, and reports whether it was not lost before. It
+// returns an UnknownMesh error if the terms do not list the mesh.
 func (s *State) markLost(mesh string) (changed bool, err *apperror.Error) {
 	if !s.hasMesh(mesh) {
 		return false, unknownMesh(mesh)
@@ -26,7 +26,8 @@
 	return !found, nil
 }
 
-// markReturned ends the loss of a mesh, and reports whether it was lost.
+// markReturned removes the loss of a mesh, and reports whether it was lost. It returns an UnknownMesh error if the terms do
+// not list the mesh.
 func (s *State) markReturned(mesh string) (changed bool, err *apperror.Error) {
 	if !s.hasMesh(mesh) {
 		return false, unknownMesh(mesh)
--- a/internal/federation/publications.go
+++ b/internal/federation/publications.go
@@ -10,26 +10,25 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// Limits of publications, so that no mesh can grow a replica's memory without bound, and all publications fit into a
-// version's body.
+// Limits on publications. They bound a replica's memory, and ensure that all publications fit into a version's body.
 const (
-	// MaxPublicationBytes is the size limit of one publication, in bytes of JSON.
+	// MaxPublicationBytes is the maximum size of one publication, in bytes of JSON.
 	MaxPublicationBytes = 2 << 20
-	// maxAllPublications is the size limit of all publications together, in bytes of JSON.
+	// maxAllPublications is the maximum size of all publications together, in bytes of JSON.
 	maxAllPublications = 24 << 20
-	// maxContradictions is how many different contents of a mesh under one number are kept. From two on the catalog
-	// accepts none of them.
+	// maxContradictions is the maximum number of publications that are kept for one mesh, epoch and sequence number with
+	// different contents. Two are enough, because the catalog accepts none of them if there are several.
 	maxContradictions = 2
 )
 
-// publication is the latest publication of a mesh, or one of several with different contents under the same number.
+// publication is the latest publication of a mesh, or one of several with the same number and different contents.
 type publication struct {
 	catalog.Publication
 	digest string
 	size   int // bytes of JSON
 }
 
-// publicationRange returns the half-open range of a mesh's entries in s.publications.
+// publicationRange returns the half-open index range of a mesh's publications in s.publications.
 func (s *State) publicationRange(mesh string) (from, to int) {
 	from, _ = slices.BinarySearchFunc(s.publications, mesh, func(p publication, mesh string) int { return cmp.Compare(p.Mesh, mesh) })
 	for to = from; to < len(s.publications) && s.publications[to].Mesh == mesh; to++ {
@@ -37,8 +36,8 @@
 	return from, to
 }
 
-// publish stores a publication, and reports whether it was not stored already. It fails with UnknownMesh, OutdatedPublication or
-// Contradiction of internal/catalog, or with TooLarge.
+// publish stores a publication, and reports whether it was not stored already. Errors are UnknownMesh,
+// OutdatedPublication and Contradiction of internal/catalog, and TooLarge.
 func (s *State) publish(p catalog.Publication) (changed bool, err *apperror.Error) {
 	if !s.hasMesh(p.Mesh) {
 		return false, unknownMesh(p.Mesh)
@@ -46,7 +45,7 @@
 	place := fmt.Sprintf("publication %d.%d of mesh %.140q", p.Epoch, p.Seq, p.Mesh)
 	from, to := s.publicationRange(p.Mesh)
 	added := publication{Publication: p, digest: p.Digest()}
-	kept := s.publications[from:to] // those of the same number
+	kept := s.publications[from:to] // publications with the same number
 	if len(kept) > 0 {
 		latest := kept[0]
 		switch order := cmp.Or(cmp.Compare(p.Epoch, latest.Epoch), cmp.Compare(p.Seq, latest.Seq)); {
@@ -70,8 +69,8 @@
 	return true, nil
 }
 
-// checkSize returns the size of a publication, in bytes of JSON, that takes the place of those in the range from from to below
-// to. It fails with TooLarge where it or all publications together exceed their limit.
+// checkSize returns the size, in bytes of JSON, of a publication that replaces s.publications[from:to]. It returns a
+// TooLarge error if the publication, or all publications together, exceed their limit.
 func (s *State) checkSize(place string, p catalog.Publication, from, to int) (size int, err *apperror.Error) {
 	text, encodeErr := json.Marshal(p)
 	if encodeErr != nil {
@@ -93,8 +92,8 @@
 	return size, nil
 }
 
-// acceptedBeforeBatch reports whether a publication's number was accepted in an earlier batch: other contents that arrive
-// under it later do not belong to that batch.
+// acceptedBeforeBatch reports whether a publication with the same number was accepted in an earlier batch. Different
+// contents that arrive later under that number are rejected, because they cannot join the earlier batch.
 func (s *State) acceptedBeforeBatch(p catalog.Publication) bool {
 	return s.beforeBatch != nil && slices.ContainsFunc(s.beforeBatch.Meshes, func(a catalog.AcceptedPublication) bool {
 		return a.Mesh == p.Mesh && a.Digest != "" && a.Epoch == p.Epoch && a.Seq == p.Seq
--- a/internal/federation/snapshot.go
+++ b/internal/federation/snapshot.go
@@ -9,7 +9,7 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// snapshot is the encoded form of a State. The catalog is left out, since it follows from BeforeBatch and the inputs.
+// snapshot is the encoded form of a State. It omits the catalog, which Restore merges again from BeforeBatch and the inputs.
 type snapshot struct {
 	AgreedTime   time.Duration         `json:"at"`
 	Terms        Terms                 `json:"terms"`
@@ -18,7 +18,7 @@
 	BeforeBatch  json.RawMessage       `json:"before,omitempty"`
 }
 
-// Snapshot encodes the state. Two states that have applied the same changes encode to the same bytes.
+// Snapshot encodes the state. States that have applied the same changes encode to the same bytes.
 func (s *State) Snapshot() ([]byte, error) {
 	encoded := snapshot{AgreedTime: s.agreedTime, Terms: s.terms, Publications: s.Inputs().Publications, Lost: s.lost}
 	if s.beforeBatch != nil {
@@ -35,7 +35,7 @@
 	return text, nil
 }
 
-// Restore replaces the state by that of a snapshot. It fails with BrokenSnapshot and leaves the state as it was.
+// Restore replaces the state with that of a snapshot. On a BrokenSnapshot error it leaves the state unchanged.
 func (s *State) Restore(text []byte) error {
 	const place = "federation"
 	var decoded snapshot
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// inOrder reports whether publications and losses are sorted, on which lookups rely.
+// inOrder reports whether publications and losses are sorted, as the binary searches require.
 func (s *State) inOrder() bool {
 	return slices.IsSortedFunc(s.publications, func(a, b publication) int {
 		return cmp.Or(cmp.Compare(a.Mesh, b.Mesh), cmp.Compare(a.digest, b.digest))
--- a/internal/federation/state.go
+++ b/internal/federation/state.go
@@ -9,66 +9,68 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// ReplicatedState is the interface of State to the replicated state machine. The same changes give the same state to the
-// byte.
+// ReplicatedState is the interface of State for the replicated state machine. The same changes result in byte-identical
+// snapshots.
 type ReplicatedState interface {
-	// Apply applies a committed change. Its errors have a kind and a resolution: an unknown mesh, stale terms, a
-	// publication that is outdated or too large. What the catalog's rules reject of a publication is no error but one of
-	// Findings.
+	// Apply applies a committed change. It returns an error with a kind and a resolution for a malformed change, an
+	// unknown mesh, stale terms, terms or a publication that are too large, and a publication that is outdated or
+	// contradicts an accepted one. Parts of a publication that the catalog's rules reject are reported in Findings
+	// instead.
 	Apply(c Change) error
-	// AgreedTime is the time of the latest change. It never goes back.
+	// AgreedTime returns the agreed time of the latest change. It never decreases.
 	AgreedTime() time.Duration
-	// Catalog is the merged catalog; nil where the federation has no meshes.
+	// Catalog returns the merged catalog, or nil if the federation has no meshes.
 	Catalog() *catalog.State
-	// Findings are what the catalog's rules have found wrong with the current inputs.
+	// Findings returns the problems that the catalog's rules found in the current inputs.
 	Findings() []catalog.Finding
-	// Terms are the active terms, with their own number as Base.
+	// Terms returns the active terms, with their own number as Base.
 	Terms() Terms
-	// Inputs are everything that the catalog follows from.
+	// Inputs returns the inputs from which the catalog is merged.
 	Inputs() catalog.Inputs
-	// NextDue is the agreed time at which the catalog next changes by the passage of time alone, such as when a tombstone
-	// ends; 0: it does not.
+	// NextDue returns the next agreed time at which the catalog changes without a change of its inputs, such as the end of
+	// a tombstone, or 0 if there is none.
 	NextDue() time.Duration
-	// EncodedCatalog is the catalog as it is encoded into a version, and its digest; nil where there is none. It depends on the
-	// catalog's meaning alone, not on when that was last confirmed.
+	// EncodedCatalog returns the catalog as it is encoded into a version, and its digest. It returns nil and "" if there is
+	// no catalog. The encoding depends only on the catalog's meaning, not on the time at which the meaning was last
+	// confirmed.
 	EncodedCatalog() (text json.RawMessage, digest string)
 	// Snapshot encodes the state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by that of a snapshot. On an error the state is left as it was.
+	// Restore replaces the state with that of a snapshot. On an error it leaves the state unchanged.
 	Restore(snapshot []byte) error
 }
 
-// State is the replicated state of a federation. NewState makes one; the zero value is not usable.
+// State is the replicated state of a federation. Use NewState to create one; the zero value is not usable.
 //
-// Changes with the same agreed time form one batch: the catalog is merged from the state before the batch and all inputs
-// known at its end. The order of changes within a batch therefore does not matter, which would otherwise decide who owns a
-// name that two meshes publish at once.
+// Changes with the same agreed time form a batch: the catalog is merged from the catalog before the batch and all inputs
+// at the end of the batch. The order of changes within a batch therefore does not matter. Otherwise it would decide which
+// mesh owns a name that two meshes publish at the same time.
 type State struct {
-	// Merger merges the publications. Tests replace it.
+	// Merger merges the inputs into a catalog. Tests replace it.
 	Merger catalog.Merger
 
 	agreedTime   time.Duration
 	terms        Terms
-	publications []publication     // by mesh, then digest
-	lost         []catalog.Loss    // by mesh
-	beforeBatch  *catalog.State    // the catalog before the batch at agreedTime; nil: there was none
+	publications []publication     // sorted by mesh, then digest
+	lost         []catalog.Loss    // sorted by mesh
+	beforeBatch  *catalog.State    // the catalog before the current batch, whose time is agreedTime; nil: there was none
 	catalog      *catalog.State    // nil: the federation has no meshes
 	findings     []catalog.Finding // of the latest merge
-	text         json.RawMessage   // of catalog; nil until Text is called
-	digest       string            // of text
+	text         json.RawMessage   // catalog, encoded; nil until EncodedCatalog is called
+	digest       string            // SHA-256 of text, in hexadecimal
 }
 
 var _ ReplicatedState = (*State)(nil)
 
-// NewState makes the State of a federation without meshes.
+// NewState returns the State of a federation without meshes.
 func NewState() *State { return &State{Merger: catalog.Rules{}} }
 
-// Apply applies a committed change. One that is rejected changes nothing, agreed time included.
+// Apply applies a committed change. A rejected change leaves the state unchanged, including its agreed time.
 func (s *State) Apply(c Change) error {
 	if variants := c.variants(); variants != 1 {
 		return BadChange.New("change", "it has %d members beside its time, not one", variants)
 	}
-	next := *s // changes replace slices and never write into them
+	next := *s // a shallow copy suffices: changes replace slices and never modify them
 	next.agreedTime = max(s.agreedTime, c.At)
 	beginsBatch := next.agreedTime > s.agreedTime
 	if beginsBatch {
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// applyVariant applies the one part of a change that is set, and reports whether the catalog's inputs may have changed.
+// applyVariant applies the field of a change that is set, and reports whether the catalog's inputs may have changed.
 func (s *State) applyVariant(c *Change) (changed bool, err *apperror.Error) {
 	switch {
 	case c.Publish != nil:
@@ -100,7 +102,7 @@
 	return true, nil // a Tick
 }
 
-// merge makes the catalog of the current batch. Its text is kept where its meaning is the same.
+// merge merges the catalog of the current batch. It keeps the encoded text if the catalog's meaning is unchanged.
 func (s *State) merge() {
 	if len(s.terms.Meshes) == 0 && s.beforeBatch == nil {
 		s.catalog = nil
@@ -111,29 +113,29 @@
 	}
 	next, findings := s.Merger.Merge(s.beforeBatch, s.Inputs(), s.agreedTime)
 	if s.beforeBatch != nil && next.Number == s.beforeBatch.Number {
-		next = s.beforeBatch // they are equal, so one copy is enough
+		next = s.beforeBatch // the two are equal, so one copy is enough
 	}
 	if s.catalog != next && !s.catalog.SameMeaning(next) {
-		s.text = nil // encoded by Text
+		s.text = nil // EncodedCatalog encodes it again
 		s.digest = ""
 	}
 	s.catalog = next
 	s.findings = findings
 }
 
-// AgreedTime returns the time of the latest change.
+// AgreedTime returns the agreed time of the latest change.
 func (s *State) AgreedTime() time.Duration { return s.agreedTime }
 
-// Catalog returns the merged catalog; nil where the federation has no meshes. It must not be changed.
+// Catalog returns the merged catalog, or nil if the federation has no meshes. The caller must not modify it.
 func (s *State) Catalog() *catalog.State { return s.catalog }
 
-// Findings returns the findings of the latest merge. They must not be changed.
+// Findings returns the findings of the latest merge. The caller must not modify them.
 func (s *State) Findings() []catalog.Finding { return s.findings }
 
-// Terms returns the active terms, with their own number as Base. They must not be changed.
+// Terms returns the active terms, with their own number as Base. The caller must not modify them.
 func (s *State) Terms() Terms { return s.terms }
 
-// Inputs returns everything that the catalog follows from. They must not be changed.
+// Inputs returns the inputs from which the catalog is merged. The caller must not modify them.
 func (s *State) Inputs() catalog.Inputs {
 	inputs := catalog.Inputs{Meshes: s.terms.Meshes, Overrides: s.terms.Overrides, Lost: s.lost}
 	for i := range s.publications {
@@ -142,13 +144,13 @@
 	return inputs
 }
 
-// NextDue returns the agreed time at which the catalog next changes by the passage of time alone; 0: it does not.
+// NextDue returns the next agreed time at which the catalog changes without a change of its inputs, or 0 if there is none.
 func (s *State) NextDue() time.Duration {
 	if s.catalog == nil {
 		return 0
 	}
 	var due time.Duration
-	consider := func(at time.Duration) { // keeps the earliest time that is still to come
+	consider := func(at time.Duration) { // keeps the earliest time after agreedTime
 		if at > s.agreedTime && (due == 0 || at < due) {
 			due = at
 		}
@@ -168,7 +170,7 @@
 	return due
 }
 
-// hasMesh reports whether the terms name a mesh.
+// hasMesh reports whether the terms list a mesh.
 func (s *State) hasMesh(mesh string) bool {
 	return slices.ContainsFunc(s.terms.Meshes, func(m catalog.Mesh) bool { return m.Name == mesh })
 }
--- a/internal/federation/summary.go
+++ b/internal/federation/summary.go
@@ -7,37 +7,38 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// maxSummaryNames is how many names a summary lists; of further ones it gives the number.
+// maxSummaryNames is the maximum number of names that a summary lists; it only counts further ones.
 const maxSummaryNames = 8
 
-// changeSummary collects the clauses of a summary.
+// changeSummary builds the text of summarizeChanges.
 type changeSummary struct {
 	clauses []string
-	count   int // of all changes, listed or not
+	count   int // number of all changes, listed or not
 }
 
-// add counts a change, and lists it where maxSummaryNames are not listed yet.
-func (s *changeSummary) add(format string, args ...any) {
+// addClause counts a change, and lists it unless maxSummaryNames changes are already listed.
+func (s *changeSummary) addClause(format string, args ...any) {
 	s.count++
 	if s.count <= maxSummaryNames {
 		s.clauses = append(s.clauses, fmt.Sprintf(format, args...))
 	}
 }
 
-// addEntry adds what differs between two entries of one name, if anything does.
+// addEntry adds the difference between two entries with the same name, if any.
 func (s *changeSummary) addEntry(old, current *catalog.Entry) {
 	switch {
 	case old.Owner != current.Owner || old.Alias != current.Alias:
-		s.add("%s was %s's and is %s's", old.Name, old.Owner+old.Alias, current.Owner+current.Alias)
+		s.addClause("%s was %s's and is %s's", old.Name, old.Owner+old.Alias, current.Owner+current.Alias)
 	case old.Status != current.Status:
-		s.add("%s was %s and is %s", old.Name, old.Status, current.Status)
+		s.addClause("%s was %s and is %s", old.Name, old.Status, current.Status)
 	case !old.Equal(current):
-		s.add("%s has changed", old.Name)
+		s.addClause("%s has changed", old.Name)
 	}
 }
 
-// summarizeChanges lists the names whose meaning or status differs between two catalogs; a nil previous is an empty one. Where
-// none does, the catalogs differ in what meshes import. The text becomes the reason of a version, which is replicated.
+// summarizeChanges describes the names whose meaning or status differs between two catalogs; a nil previous is an empty
+// catalog. If no name differs, the catalogs differ in what meshes import. The text becomes the reason of a version, which
+// is stored in the replicated log.
 func summarizeChanges(previous, current *catalog.State) string {
 	if previous == nil {
 		previous = &catalog.State{}
@@ -47,10 +48,10 @@
 	for i < len(previous.Entries) || j < len(current.Entries) {
 		switch {
 		case j == len(current.Entries) || i < len(previous.Entries) && previous.Entries[i].Name < current.Entries[j].Name:
-			summary.add("%s is gone", previous.Entries[i].Name)
+			summary.addClause("%s is gone", previous.Entries[i].Name)
 			i++
 		case i == len(previous.Entries) || current.Entries[j].Name < previous.Entries[i].Name:
-			summary.add("%s is new", current.Entries[j].Name)
+			summary.addClause("%s is new", current.Entries[j].Name)
 			j++
 		default:
 			summary.addEntry(&previous.Entries[i], &current.Entries[j])
--- a/internal/federation/terms.go
+++ b/internal/federation/terms.go
@@ -8,15 +8,15 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// Limits of the terms, so that they cannot grow a replica's memory without bound.
+// Limits on terms, which bound a replica's memory.
 const (
 	maxMeshes     = 64
 	maxOverrides  = 4096
-	maxTermsBytes = 1 << 20 // of terms as JSON
+	maxTermsBytes = 1 << 20 // size of the terms as JSON
 )
 
-// setTerms replaces the terms. The publications of a mesh that they no longer name are dropped; its names go through their
-// tombstone and quarantine. It fails with StaleTerms or TooLarge.
+// setTerms replaces the terms. It deletes the publications and losses of meshes that the new terms no longer list; the
+// names of such a mesh go through tombstone and quarantine. Errors are StaleTerms and TooLarge.
 func (s *State) setTerms(terms Terms) *apperror.Error {
 	const place = "terms"
 	if terms.Base != s.terms.Base {
--- a/internal/federation/text.go
+++ b/internal/federation/text.go
@@ -8,7 +8,7 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// EncodedCatalog returns the catalog as it is encoded into a version, and its digest; nil where there is none.
+// EncodedCatalog returns the catalog as it is encoded into a version, and its digest, or nil and "" if there is no catalog.
 func (s *State) EncodedCatalog() (json.RawMessage, string) {
 	if s.text == nil && s.catalog != nil {
 		s.text, s.digest = encodeCatalog(s.catalog)
@@ -16,8 +16,9 @@
 	return s.text, s.digest
 }
 
-// encodeCatalog encodes the part of a catalog that proxies use: its entries, and what meshes import. The state's number and
-// time, the accepted publications and which meshes are lost can change without it and are left out.
+// encodeCatalog encodes the part of a catalog that proxies use: its entries, and what meshes import. It omits the
+// catalog's number and time, the accepted publications and the lost meshes, which can change while that part stays the
+// same.
 func encodeCatalog(c *catalog.State) (text json.RawMessage, digest string) {
 	encoded := catalog.State{Entries: c.Entries}
 	for _, mesh := range c.Meshes {
@@ -25,7 +26,7 @@
 	}
 	text, err := json.Marshal(encoded)
 	if err != nil {
-		return nil, "" // cannot happen: it holds strings and finite numbers only, which the catalog's validation ensures
+		return nil, "" // cannot happen: the catalog's validation admits only strings and finite numbers
 	}
 	sum := sha256.Sum256(text)
 	return text, hex.EncodeToString(sum[:])
--- a/internal/federation/tracker.go
+++ b/internal/federation/tracker.go
@@ -8,53 +8,54 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// DefaultMeshTimeout is how long a mesh may publish nothing, not even an unchanged publication, before it counts as lost.
+// DefaultMeshTimeout is the default of PublisherTracker.MeshTimeout.
 const DefaultMeshTimeout = 30 * time.Second
 
-// LeaderTracker is a leader's local view of when each mesh last published, by the replica's own monotonic clock. Nothing
-// that was received before the replica led counts, so a change of leaders loses no mesh.
+// LeaderTracker is a leader's local record of when each mesh last published, by the replica's monotonic clock. The record
+// starts when the replica becomes leader, so a change of leaders never makes a mesh time out early.
 type LeaderTracker interface {
-	// BecomeLeader is called when the replica leads and has applied everything that was committed before.
+	// BecomeLeader is called when the replica leads and has applied all previously committed entries.
 	BecomeLeader(now time.Duration)
 	// StepDown is called when the replica no longer leads.
 	StepDown()
-	// HandlePublication notes a publication, new or unchanged, and returns the changes to propose: the publication itself
-	// where it is new, and the mesh's return where it was lost.
+	// HandlePublication records that a mesh has published and returns the changes to propose: the publication if it is
+	// new, and the mesh's return if it was lost.
 	HandlePublication(now time.Duration, p catalog.Publication) []Change
-	// DueChanges returns the changes that are due by time: losses of meshes, and a Tick where State.NextDue has been
-	// reached. A change that is in flight is not returned again before ChangeDone.
+	// DueChanges returns the changes that have become due: losses of meshes that have timed out, and a Tick if
+	// State.NextDue has been reached. It does not return a change again before ChangeDone is called for it.
 	DueChanges(now time.Duration) []Change
-	// ChangeDone is called when a proposed change was applied, or will never be.
+	// ChangeDone is called when a proposed change was applied or has failed.
 	ChangeDone(c Change)
-	// CatalogUpdate returns the catalog text that the active version should have, and the reason for the change; nil
-	// where the active version has it. The leader then proposes a version with the active body and that text, unless
-	// another version is pending.
+	// CatalogUpdate returns the encoded catalog that should replace the active version's, and the reason for the change,
+	// or nil if the active version is up to date. The leader then proposes a version with the active body and that
+	// catalog, unless another version is pending.
 	CatalogUpdate(active json.RawMessage) (text json.RawMessage, reason string)
 }
 
-// PublisherTracker implements LeaderTracker. It also derives the current agreed time: the State's, advanced by the local
-// clock since the latest change was applied here. A replica that was paused measures too little time, so names are kept
-// longer, never shorter.
+// PublisherTracker implements LeaderTracker. It also computes the current agreed time: that of the State plus the local
+// time since the State's agreed time was last seen to change. A replica that was paused measures too little time, so names
+// are kept longer, never shorter.
 type PublisherTracker struct {
-	// MeshTimeout is how long a mesh may publish nothing before it counts as lost. NewPublisherTracker sets
-	// DefaultMeshTimeout.
+	// MeshTimeout is the time without any publication, even an unchanged one, after which a mesh counts as lost.
+	// NewPublisherTracker sets it to DefaultMeshTimeout.
 	MeshTimeout time.Duration
 
 	state ReplicatedState
 
-	// The State's agreed time when it last changed, and the local time at which that was seen; 0: it was not looked at yet.
-	stateTime   time.Duration
-	stateSeenAt time.Duration
+	// stateTime is the last observed agreed time of the State. stateObservedAt is the local time at which that value was
+	// first observed; 0: none was observed yet.
+	stateTime       time.Duration
+	stateObservedAt time.Duration
 
-	// The rest is set while the replica leads.
-	leading           bool
-	lastPoll          time.Duration            // latest call of BecomeLeader or DueChanges
-	lastPublished     map[string]time.Duration // local time by mesh
-	inFlight          map[inFlightChange]bool  // changes that must not be proposed twice
-	inFlightPerMoment map[time.Duration]int    // changes in flight by their agreed time
+	// The following fields are set while the replica leads.
+	leading        bool
+	lastPoll       time.Duration            // local time of the latest BecomeLeader or DueChanges
+	lastPublished  map[string]time.Duration // local time of the latest publication, by mesh
+	inFlight       map[inFlightChange]bool  // changes that must not be proposed twice
+	inFlightByTime map[time.Duration]int    // number of changes in flight, by agreed time
 }
 
-// inFlightChange identifies a proposed change that must not be proposed twice. The zero value is a Tick.
+// inFlightChange identifies a proposed loss, return or Tick. The zero value identifies a Tick.
 type inFlightChange struct {
 	markLost     string
 	markReturned string
@@ -62,57 +63,59 @@
 
 var _ LeaderTracker = (*PublisherTracker)(nil)
 
-// NewPublisherTracker makes a tracker that does not lead yet.
+// NewPublisherTracker returns a PublisherTracker of a replica that does not lead.
 func NewPublisherTracker(state ReplicatedState) *PublisherTracker {
 	return &PublisherTracker{MeshTimeout: DefaultMeshTimeout, state: state}
 }
 
-// BecomeLeader starts tracking: each mesh of the terms has a full timeout from now on.
+// BecomeLeader starts tracking. The timeout of each mesh in the terms starts now.
 func (t *PublisherTracker) BecomeLeader(now time.Duration) {
 	t.observeStateTime(now)
 	t.leading = true
 	t.lastPoll = now
 	t.lastPublished = map[string]time.Duration{}
 	t.inFlight = map[inFlightChange]bool{}
-	t.inFlightPerMoment = map[time.Duration]int{}
+	t.inFlightByTime = map[time.Duration]int{}
 	for _, mesh := range t.state.Terms().Meshes {
 		t.lastPublished[mesh.Name] = now
 	}
 }
 
-// StepDown ends tracking.
+// StepDown stops tracking.
 func (t *PublisherTracker) StepDown() {
 	t.leading = false
 	t.lastPublished = nil
 	t.inFlight = nil
-	t.inFlightPerMoment = nil
+	t.inFlightByTime = nil
 }
 
-// observeStateTime notes the State's agreed time where it has changed.
+// observeStateTime records the State's agreed time if it has changed.
 func (t *PublisherTracker) observeStateTime(now time.Duration) {
-	if at := t.state.AgreedTime(); at != t.stateTime || t.stateSeenAt == 0 {
+	if at := t.state.AgreedTime(); at != t.stateTime || t.stateObservedAt == 0 {
 		t.stateTime = at
-		t.stateSeenAt = now
+		t.stateObservedAt = now
 	}
 }
 
-// AgreedTime returns the current agreed time by the local clock, in whole microseconds. It is always later than the latest
-// change's, whose batch may have been used already and must not grow. It may be called on any replica.
+// AgreedTime returns the current agreed time according to the local clock, in whole microseconds. It is always later than
+// that of the latest change, because that change's batch may already be in use and must not grow. It may be called on any
+// replica.
 func (t *PublisherTracker) AgreedTime(now time.Duration) time.Duration {
 	t.observeStateTime(now)
-	return (t.stateTime + now - t.stateSeenAt).Truncate(time.Microsecond) + time.Microsecond
+	return (t.stateTime + now - t.stateObservedAt).Truncate(time.Microsecond) + time.Microsecond
 }
 
-// AssignTime returns a change with the current agreed time. On a leader the change is in flight until ChangeDone.
+// AssignTime returns c with At set to the current agreed time. On a leader the change then counts as in flight until
+// ChangeDone is called.
 func (t *PublisherTracker) AssignTime(now time.Duration, c Change) Change {
 	c.At = t.AgreedTime(now)
 	if t.leading {
-		t.inFlightPerMoment[c.At]++
+		t.inFlightByTime[c.At]++
 	}
 	return c
 }
 
-// HandlePublication implements LeaderTracker. A mesh that the terms do not name is not tracked, and the State refuses its
+// HandlePublication implements LeaderTracker. A mesh that the terms do not list is not tracked, and the State rejects its
 // publication.
 func (t *PublisherTracker) HandlePublication(now time.Duration, p catalog.Publication) (due []Change) {
 	if !t.leading {
@@ -132,7 +135,7 @@
 	return due
 }
 
-// isMember reports whether the terms name a mesh.
+// isMember reports whether the terms list a mesh.
 func (t *PublisherTracker) isMember(mesh string) bool {
 	for _, m := range t.state.Terms().Meshes {
 		if m.Name == mesh {
@@ -142,7 +145,7 @@
 	return false
 }
 
-// isLost reports whether the State has a mesh as lost.
+// isLost reports whether a mesh is lost according to the State.
 func (t *PublisherTracker) isLost(mesh string) bool {
 	for _, loss := range t.state.Inputs().Lost {
 		if loss.Mesh == mesh {
@@ -152,7 +155,7 @@
 	return false
 }
 
-// isCurrent reports whether the State has a publication of this number with these contents.
+// isCurrent reports whether the State already contains a publication with this number and these contents.
 func (t *PublisherTracker) isCurrent(p catalog.Publication) bool {
 	for _, q := range t.state.Inputs().Publications {
 		if q.Mesh == p.Mesh && q.Epoch == p.Epoch && q.Seq == p.Seq && q.Digest() == p.Digest() {
@@ -162,7 +165,8 @@
 	return false
 }
 
-// DueChanges implements LeaderTracker. A mesh without an accepted publication has nothing to lose.
+// DueChanges implements LeaderTracker. It does not report a mesh without an accepted publication as lost, because the
+// catalog contains no names of it.
 func (t *PublisherTracker) DueChanges(now time.Duration) (due []Change) {
 	t.observeStateTime(now)
 	if !t.leading {
@@ -178,7 +182,7 @@
 	}
 	for _, mesh := range t.state.Terms().Meshes {
 		publishedAt, known := t.lastPublished[mesh.Name]
-		if !known { // the terms name it since the last call
+		if !known { // the terms list the mesh only since the last call
 			t.lastPublished[mesh.Name] = now
 			continue
 		}
@@ -197,11 +201,11 @@
 	return due
 }
 
-// pauseDivisor is the part of the mesh timeout beyond which a time between two polls counts as a pause of the process.
+// pauseDivisor defines a pause of the process: a time between two polls that exceeds MeshTimeout/pauseDivisor.
 const pauseDivisor = 4
 
-// extendAfterPause gives meshes more time after a pause of the process: publications that arrived meanwhile may still be
-// queued behind this call.
+// extendAfterPause extends the timeouts of all meshes by the length of a pause of the process, because publications that
+// arrived during the pause may not be handled yet.
 func (t *PublisherTracker) extendAfterPause(now time.Duration) {
 	pause := now - t.lastPoll
 	if pause <= t.MeshTimeout/pauseDivisor {
@@ -217,19 +221,20 @@
 	if !t.leading {
 		return
 	}
-	t.inFlightPerMoment[c.At]--
-	if t.inFlightPerMoment[c.At] <= 0 {
-		delete(t.inFlightPerMoment, c.At)
+	t.inFlightByTime[c.At]--
+	if t.inFlightByTime[c.At] <= 0 {
+		delete(t.inFlightByTime, c.At)
 	}
 	if c.Publish == nil && c.Terms == nil {
 		delete(t.inFlight, inFlightChange{markLost: c.MarkLost, markReturned: c.MarkReturned})
 	}
 }
 
-// BatchComplete reports whether no change in flight can join the State's current batch any more, so that the batch's catalog is
-// final. An unfinished batch must not become active: what two meshes publish at the same agreed time counts as a set.
+// BatchComplete reports whether the catalog of the State's current batch is final because no change in flight can still
+// join the batch. An incomplete batch must not become active, because publications with the same agreed time count as an
+// unordered set.
 func (t *PublisherTracker) BatchComplete() bool {
-	for at := range t.inFlightPerMoment {
+	for at := range t.inFlightByTime {
 		if at <= t.state.AgreedTime() {
 			return false
 		}
@@ -247,7 +252,7 @@
 	if len(active) > 0 {
 		previous = &catalog.State{}
 		if err := json.Unmarshal(active, previous); err != nil {
-			// The text is proposed all the same, so that a readable catalog takes the place of this one.
+			// The text is still proposed, so that a readable catalog replaces the unreadable one.
 			return text, "the catalog in force cannot be read"
 		}
 	}
