--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -13,7 +13,7 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// recordingState is a replicated state that records the names of the applied commands.
+// recordingState is a replicated state that records the name of each applied command.
 type recordingState struct {
 	fleetconfig.ReplicatedState
 	IDs     []string
@@ -58,7 +58,7 @@
 	}
 }
 
-// cluster simulates replicas and the links between them. In each step every replica ticks once.
+// cluster simulates replicas and the links between them. Every replica ticks once per step.
 type cluster struct {
 	t            testing.TB
 	random       *rand.Rand
@@ -68,52 +68,52 @@
 	step         int
 	inTransit    []messageInTransit
 	disconnected map[link]bool
-	lossPercent  int // of messages lost; as many are duplicated
-	maxDelay     int // of a message, in steps
+	lossPercent  int // percentage of messages that are lost; the same percentage is duplicated
+	maxDelay     int // maximum delay of a message, in steps
 	configure    func(*Config)
 
-	applied      []string        // the longest sequence of commands that a replica has applied
-	acknowledged map[string]bool // commands whose proposer has their answer
-	traceHash    uint64          // of all messages sent
+	applied      []string        // the longest command sequence that any replica has applied
+	acknowledged map[string]bool // commands for which the proposer received the answer
+	traceHash    uint64          // hash of the sizes and destinations of all sent messages
 }
 
-// link is one direction between two replicas.
+// link is a one-way connection between two replicas.
 type link struct{ from, to uint64 }
 
-// messageInTransit is a message that has been sent and not delivered.
+// messageInTransit is a message that was sent but not delivered yet.
 type messageInTransit struct {
-	arrival int // step
+	arrival int // step in which it is delivered
 	from    uint64
 	message Message
 }
 
-// replica is a node with what outlasts its process.
+// replica is a node with the data that survives its process.
 type replica struct {
-	node        *Node        // nil: it is down
-	leases      *LeaseServer // nil: the cluster tracks the node's proposals itself
-	state       *recordingState
-	disk        *faultyStore
-	incarnation uint64
-	reads       map[ProposalID][]string // confirmations in progress, and what was acknowledged before each
-	proposed    map[ProposalID]string
-	restores    int
-	replies     []Reply
-}
-
-// faultyStore crashes its replica at a chosen save.
+	node             *Node        // nil: it is down
+	leases           *LeaseServer // nil: the cluster checks the outcomes of the node's proposals itself
+	state            *recordingState
+	store            *faultyStore
+	incarnation      uint64
+	pendingReads     map[ProposalID][]string // confirmations in progress, with the commands acknowledged before each request
+	pendingProposals map[ProposalID]string
+	restores         int
+	replies          []Reply
+}
+
+// faultyStore is a MemoryStore that fails a chosen save with errCrash, which crashes the replica.
 type faultyStore struct {
 	MemoryStore
-	failIn       int  // saves until the crash; 0: never
-	keepLastSave bool // the save that crashes is stored
+	savesUntilCrash int  // number of the save that fails, counted from now; 0: none
+	storeFailedSave bool // the failing save is stored before the crash
 }
 
 var errCrash = errors.New("the machine crashed")
 
 func (f *faultyStore) Save(s Save) error {
-	if f.failIn--; f.failIn != 0 {
+	if f.savesUntilCrash--; f.savesUntilCrash != 0 {
 		return f.MemoryStore.Save(s)
 	}
-	if f.keepLastSave {
+	if f.storeFailedSave {
 		if err := f.MemoryStore.Save(s); err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 	}
 	for id := uint64(1); id <= uint64(size); id++ {
 		c.ids = append(c.ids, id)
-		c.replicas[id] = &replica{disk: &faultyStore{}}
+		c.replicas[id] = &replica{store: &faultyStore{}}
 	}
 	for _, id := range c.ids {
 		c.start(id)
@@ -147,14 +147,14 @@
 	r := c.replicas[id]
 	r.incarnation++
 	r.state = &recordingState{}
-	r.reads = map[ProposalID][]string{}
-	r.proposed = map[ProposalID]string{}
-	r.disk.failIn = 0
+	r.pendingReads = map[ProposalID][]string{}
+	r.pendingProposals = map[ProposalID]string{}
+	r.store.savesUntilCrash = 0
 	cfg := Config{ID: id, Peers: c.ids, Seed: c.seed, Incarnation: r.incarnation}
 	if c.configure != nil {
 		c.configure(&cfg)
 	}
-	stored, err := r.disk.Load()
+	stored, err := r.store.Load()
 	c.require(err)
 	r.node, err = New(cfg, r.state, stored)
 	c.require(err)
@@ -165,7 +165,7 @@
 	c.replicas[id].leases = nil
 }
 
-// send puts a message of a replica in transit, or loses or duplicates it.
+// send puts a message of a replica in transit. It may lose or duplicate the message.
 func (c *cluster) send(from uint64, m Message) {
 	c.traceHash = c.traceHash*31 + uint64(len(m.Bytes))*7 + m.To
 	connection := link{from, m.To}
@@ -183,7 +183,7 @@
 	}
 }
 
-// processWork has a replica do its work, and checks the outcome against those of all others.
+// processWork makes a replica do its pending work, and checks the outcome against those of the other replicas.
 func (c *cluster) processWork(id uint64) {
 	c.t.Helper()
 	r := c.replicas[id]
@@ -195,10 +195,10 @@
 	var err error
 	if r.leases != nil {
 		var replies []Reply
-		replies, outcome, err = r.leases.Run(0, r.disk, send)
+		replies, outcome, err = r.leases.Run(0, r.store, send)
 		r.replies = append(r.replies, replies...)
 	} else {
-		outcome, err = r.node.ProcessWork(r.disk, send)
+		outcome, err = r.node.ProcessWork(r.store, send)
 	}
 	if errors.Is(err, errCrash) {
 		c.crash(id)
@@ -209,23 +209,23 @@
 		r.restores++
 	}
 	if r.leases != nil {
-		return // the proposals are the server's
+		return // the LeaseServer handles the outcomes of its own proposals
 	}
-	c.checkOrder(id)
+	c.checkSameOrder(id)
 	c.checkApplied(r, outcome.Applied)
 	c.checkFailed(r, outcome.Failed)
 	c.checkConfirmed(id, outcome.Confirmed)
 }
 
-// checkOrder checks that the applied sequences of all replicas are prefixes of one another.
-func (c *cluster) checkOrder(id uint64) {
+// checkSameOrder checks that a replica has applied the same commands in the same order as the others, up to a prefix.
+func (c *cluster) checkSameOrder(id uint64) {
 	c.t.Helper()
 	for i, command := range c.replicas[id].state.IDs {
 		if i == len(c.applied) {
 			c.applied = append(c.applied, command)
 		}
 		if c.applied[i] != command {
-			c.t.Fatalf("replica %d has %q at %d, where another one has %q", id, command, i, c.applied[i])
+			c.t.Fatalf("replica %d applied %q at position %d, another replica applied %q", id, command, i, c.applied[i])
 		}
 	}
 }
@@ -236,25 +236,25 @@
 		if !a.Local {
 			continue
 		}
-		if r.proposed[a.ProposalID] != commandName(a.Command) {
-			c.t.Fatalf("proposal %v of %q came back for %q", a.ProposalID, r.proposed[a.ProposalID], commandName(a.Command))
+		if r.pendingProposals[a.ProposalID] != commandName(a.Command) {
+			c.t.Fatalf("proposal %v of %q was reported applied as %q", a.ProposalID, r.pendingProposals[a.ProposalID], commandName(a.Command))
 		}
 		c.acknowledged[commandName(a.Command)] = true
-		delete(r.proposed, a.ProposalID)
+		delete(r.pendingProposals, a.ProposalID)
 	}
 }
 
 func (c *cluster) checkFailed(r *replica, failed []Failure) {
 	c.t.Helper()
 	for _, failure := range failed {
-		_, isRead := r.reads[failure.ProposalID]
-		_, isProposal := r.proposed[failure.ProposalID]
+		_, isRead := r.pendingReads[failure.ProposalID]
+		_, isProposal := r.pendingProposals[failure.ProposalID]
 		kind := map[bool]*apperror.Kind{true: NotLeading, false: Uncertain}[isRead]
 		if isRead == isProposal || !kind.Of(failure.Err) {
 			c.t.Fatalf("proposal %v failed with %v", failure.ProposalID, failure.Err)
 		}
-		delete(r.proposed, failure.ProposalID)
-		delete(r.reads, failure.ProposalID)
+		delete(r.pendingProposals, failure.ProposalID)
+		delete(r.pendingReads, failure.ProposalID)
 	}
 }
 
@@ -262,12 +262,12 @@
 	c.t.Helper()
 	r := c.replicas[id]
 	for _, confirmation := range confirmed {
-		for _, command := range r.reads[confirmation] {
+		for _, command := range r.pendingReads[confirmation] {
 			if !slices.Contains(r.state.IDs, command) {
-				c.t.Fatalf("replica %d confirmed without %q, which was acknowledged before the request", id, command)
+				c.t.Fatalf("replica %d confirmed a read but has not applied %q, which was acknowledged before the request", id, command)
 			}
 		}
-		delete(r.reads, confirmation)
+		delete(r.pendingReads, confirmation)
 	}
 }
 
@@ -278,7 +278,7 @@
 	}
 }
 
-// tick lets one tick pass for all replicas and delivers the messages that arrive.
+// tick advances all replicas by one tick and delivers the messages that arrive in this step.
 func (c *cluster) tick() {
 	c.t.Helper()
 	c.step++
@@ -306,8 +306,8 @@
 	}
 }
 
-// leader lets time pass until a replica leads and has applied all that was committed. It returns the one of the latest
-// term.
+// leader ticks until a replica leads and has applied all committed entries. If there are several, it returns the one with
+// the latest term.
 func (c *cluster) leader() uint64 {
 	c.t.Helper()
 	var leader uint64
@@ -324,7 +324,7 @@
 	return leader
 }
 
-// until lets time pass until a condition holds.
+// until ticks until a condition holds, and fails the test after maxTicks ticks.
 func (c *cluster) until(what string, condition func() bool) {
 	c.t.Helper()
 	const maxTicks = 2000
@@ -337,18 +337,18 @@
 	c.t.Fatalf("seed %d: not reached in %d ticks: %s", c.seed, maxTicks, what)
 }
 
-// propose has a replica propose a command. With an error nothing was submitted.
+// propose makes a replica propose a command. On an error nothing was submitted.
 func (c *cluster) propose(id uint64, command string) (ProposalID, error) {
 	r := c.replicas[id]
 	proposalID, err := r.node.Propose(proposeCommand(command))
 	if err == nil {
-		r.proposed[proposalID] = command
+		r.pendingProposals[proposalID] = command
 	}
 	c.processWork(id)
 	return proposalID, err
 }
 
-// commit has the leader propose a command and waits for the acknowledgment.
+// commit makes the leader propose a command and waits until it is acknowledged.
 func (c *cluster) commit(command string) {
 	c.t.Helper()
 	_, err := c.propose(c.leader(), command)
@@ -356,7 +356,7 @@
 	c.until(command, func() bool { return c.acknowledged[command] })
 }
 
-// partition cuts all links between the replicas of a side and the others.
+// partition disconnects the replicas of one side from all others.
 func (c *cluster) partition(side ...uint64) {
 	for _, a := range c.ids {
 		for _, b := range c.ids {
@@ -367,10 +367,10 @@
 	}
 }
 
-// loseData has a replica lose what it stored, and start again.
+// loseData deletes a replica's stored data and starts it again with Config.Rejoin set to rejoin.
 func (c *cluster) loseData(id uint64, rejoin bool) {
 	c.crash(id)
-	c.replicas[id].disk.MemoryStore = MemoryStore{}
+	c.replicas[id].store.MemoryStore = MemoryStore{}
 	configure := c.configure
 	c.configure = func(cfg *Config) {
 		cfg.Rejoin = rejoin
@@ -382,7 +382,7 @@
 	c.configure = configure
 }
 
-// runRandomFaults runs random faults and proposals, and then a time without faults, in which all replicas must agree.
+// runRandomFaults runs a cluster with random faults and proposals, then stops the faults and checks that all replicas agree.
 func runRandomFaults(t testing.TB, seed uint64, size, steps int) *cluster {
 	c := newCluster(t, seed, size, func(cfg *Config) {
 		cfg.SnapshotEvery = 8
@@ -400,7 +400,7 @@
 	return c
 }
 
-// injectFault draws a fault, a proposal, a confirmation or nothing for a random replica.
+// injectFault applies a random fault, proposal, confirmation or nothing to a random replica.
 func (c *cluster) injectFault(step int) {
 	id := c.randomID()
 	r := c.replicas[id]
@@ -412,8 +412,8 @@
 	case event == 0:
 		c.crash(id)
 	case event == 1:
-		r.disk.failIn = 1 + c.random.IntN(3)
-		r.disk.keepLastSave = c.random.IntN(2) == 0
+		r.store.savesUntilCrash = 1 + c.random.IntN(3)
+		r.store.storeFailedSave = c.random.IntN(2) == 0
 	case event == 2:
 		clear(c.disconnected)
 		c.partition(id, c.randomID())
@@ -424,10 +424,10 @@
 	case event == 8:
 		r.node.TransferLeadership()
 	case event < 24:
-		_, _ = c.propose(id, fmt.Sprintf("%d/%d", id, step)) // it may not lead
+		_, _ = c.propose(id, fmt.Sprintf("%d/%d", id, step)) // fails if the replica does not lead
 	case event < 36:
 		if confirmation, err := r.node.Confirm(); err == nil {
-			r.reads[confirmation] = slices.Sorted(maps.Keys(c.acknowledged))
+			r.pendingReads[confirmation] = slices.Sorted(maps.Keys(c.acknowledged))
 		}
 		c.processWork(id)
 	}
@@ -442,15 +442,15 @@
 		if c.replicas[id].node == nil {
 			c.start(id)
 		}
-		c.replicas[id].disk.failIn = 0
+		c.replicas[id].store.savesUntilCrash = 0
 	}
 }
 
-// awaitAgreement waits until a proposal is acknowledged, and all replicas have applied all commands.
+// awaitAgreement waits until a further proposal is acknowledged and all replicas have applied the same commands.
 func (c *cluster) awaitAgreement() {
 	c.t.Helper()
 	attempts, acknowledged := 0, len(c.acknowledged)
-	c.until("a last proposal", func() bool { // the first ones may be lost in a change of leaders
+	c.until("a last proposal", func() bool { // proposals may be lost in a change of leaders
 		if c.step%40 == 0 {
 			attempts++
 			_, _ = c.propose(c.leader(), fmt.Sprint("last ", attempts))
@@ -467,7 +467,7 @@
 	})
 }
 
-// checkAcknowledged checks that each acknowledged command was applied, and none twice.
+// checkAcknowledged checks that each acknowledged command was applied, and that no command was applied twice.
 func (c *cluster) checkAcknowledged() {
 	c.t.Helper()
 	applied := map[string]bool{}
@@ -479,7 +479,7 @@
 	}
 	for command := range c.acknowledged {
 		if !applied[command] {
-			c.t.Fatalf("seed %d: %q was acknowledged and is lost", c.seed, command)
+			c.t.Fatalf("seed %d: %q was acknowledged but not applied", c.seed, command)
 		}
 	}
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -21,10 +21,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The fixtures in testdata/golden were written by the program before its Go names were changed. They are never rewritten:
-// a test that fails here has found a change of the encoding that other replicas and stored data depend on.
+// The fixtures in testdata/golden pin the encodings of an earlier release and are never rewritten. A test that fails here
+// reports a change of an encoding on which other replicas and stored data depend.
 
-// goldenCommands are the variants of a command with all fields set; a mesh change of the program sets one member beside At.
+// goldenCommands returns the variants of a command with all fields set. A real mesh change sets only one field besides At.
 func goldenCommands() map[string]fleetconfig.Command {
 	body := fleetconfig.Body{
 		Settings:  json.RawMessage(`{"GiveUp":"3s"}`),
@@ -53,7 +53,7 @@
 	}
 }
 
-// emptyCommands are the variants with no field set.
+// emptyCommands returns the variants of a command with no field set.
 func emptyCommands() map[string]fleetconfig.Command {
 	return map[string]fleetconfig.Command{
 		"propose":  {Propose: &fleetconfig.Propose{}},
@@ -68,7 +68,7 @@
 
 var goldenProposalID = ProposalID{Node: 2, Incarnation: 5, Seq: 77}
 
-// TestGoldenRecord pins the CBOR of what an entry of the replicated log holds, for each variant of a command.
+// TestGoldenRecord pins the CBOR encoding of a logRecord for each variant of a command.
 func TestGoldenRecord(t *testing.T) {
 	var all []any
 	for _, command := range goldenCommands() {
@@ -101,7 +101,7 @@
 	}
 }
 
-// goldenNode is a replica of three, on an empty log or what was stored.
+// goldenNode returns a replica of a group of three, started from stored data or an empty log.
 func goldenNode(t *testing.T, cfg Config, stored Stored) (*Node, *fleetconfig.StateMachine) {
 	t.Helper()
 	cfg.Peers, cfg.Seed = []uint64{1, 2, 3}, 1
@@ -113,20 +113,21 @@
 	return node, state
 }
 
-// pendingWork returns what a node wants saved and sent.
+// pendingWork returns a node's next Work, and fails the test if there is none.
 func pendingWork(t *testing.T, node *Node) *Work {
 	t.Helper()
-	todo, err := node.Work()
+	work, err := node.Work()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if todo == nil {
-		t.Fatal("the node has nothing to do")
+	if work == nil {
+		t.Fatal("the node has no work")
 	}
-	return todo
+	return work
 }
 
-// TestGoldenTermQuery pins the term query and its answer, each with the mark that distinguishes them from raft's messages.
+// TestGoldenTermQuery pins the encodings of a term query and its answer, including the prefix that distinguishes them from
+// raft messages.
 func TestGoldenTermQuery(t *testing.T) {
 	full := termQuery{From: 1, To: 2, Request: true, Incarnation: 300, Term: 70000}
 	if unset := testkit.UnsetFields(full); len(unset) > 0 {
@@ -174,15 +175,15 @@
 	}
 }
 
-// goldenRun is what a scripted run gives: what the leader stored, and its messages that carry forms of this package, by
-// fixture.
+// goldenRun is the result of a scripted run: the leader's stored data, and its messages that contain encodings of this
+// package, by fixture name.
 type goldenRun struct {
 	stored   Stored
 	messages map[string][]byte
 }
 
-// runGolden drives two replicas, which a third one joins once the log has been cut. After each step they go on until
-// nothing is left to do.
+// runGolden runs two replicas, and starts a third one after the log was truncated, so that it receives a snapshot. After
+// each step it processes work and delivers messages until none are left.
 func runGolden(t *testing.T) goldenRun {
 	t.Helper()
 	run := goldenRun{messages: map[string][]byte{}}
@@ -191,7 +192,7 @@
 		nodes[id], _ = goldenNode(t, Config{ID: id, Incarnation: 4 + id, SnapshotEvery: 4, KeepEntries: 1}, Stored{})
 		stores[id] = &MemoryStore{}
 	}
-	settle := func() {
+	deliverAll := func() {
 		for busy := true; busy; {
 			busy = false
 			for _, id := range slices.Sorted(maps.Keys(nodes)) {
@@ -218,16 +219,16 @@
 			}
 		}
 	}
-	do := func(err error) {
+	requireSuccess := func(err error) {
 		if err != nil {
 			t.Fatal(err)
 		}
-		settle()
+		deliverAll()
 	}
 	start(1)
 	start(2)
-	settle()
-	do(nodes[1].Campaign())
+	deliverAll()
+	requireSuccess(nodes[1].Campaign())
 	body := fleetconfig.Body{Settings: json.RawMessage(`{"GiveUp":"3s"}`), ListFloor: 1}
 	for _, command := range []fleetconfig.Command{
 		{AddMember: &fleetconfig.AddMember{Node: "proxy-1", Incarnation: 4}},
@@ -238,12 +239,12 @@
 		{Withdraw: &fleetconfig.Withdraw{Number: 2, Reason: "a trial"}},
 	} {
 		_, err := nodes[1].Propose(command)
-		do(err)
+		requireSuccess(err)
 	}
 	start(3)
-	settle()
+	deliverAll()
 	for range 3 {
-		do(nodes[1].Tick())
+		requireSuccess(nodes[1].Tick())
 	}
 	stored, err := stores[1].Load()
 	if err != nil {
@@ -253,7 +254,7 @@
 	return run
 }
 
-// recordMessage keeps the first message of each kind that carries commands or a snapshot.
+// recordMessage records the first append message that contains a command, and the first snapshot message.
 func (run *goldenRun) recordMessage(t *testing.T, message Message) {
 	t.Helper()
 	m := &pb.Message{}
@@ -274,7 +275,7 @@
 
 var goldenMessages = []string{"message_append.pb", "message_snapshot.pb"}
 
-// TestGoldenMessages pins the raft messages that carry commands and a snapshot.
+// TestGoldenMessages pins the raft messages that contain commands or a snapshot.
 func TestGoldenMessages(t *testing.T) {
 	run := runGolden(t)
 	for _, name := range goldenMessages {
@@ -313,7 +314,7 @@
 	}
 }
 
-// goldenStored reads what a replica had stored: snapshot, entries and hard state.
+// goldenStored returns the fixtures of a replica's stored data: snapshot, entries and hard state.
 func goldenStored(t *testing.T) Stored {
 	t.Helper()
 	return Stored{
@@ -327,7 +328,7 @@
 	}
 }
 
-// TestGoldenStored pins what a replica saves, and starts one on it.
+// TestGoldenStored pins the data that a replica saves, and checks that a replica can start from it.
 func TestGoldenStored(t *testing.T) {
 	golden := goldenStored(t)
 	if got := runGolden(t).stored; !reflect.DeepEqual(got, golden) {
@@ -366,13 +367,14 @@
 	if _, err := node.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil {
 		t.Fatal(err)
 	}
-	// The last commit index is not saved by itself, so entry 8 waits for a leader.
+	// A commit index is not saved on its own, so entry 8 is applied only after a leader is known.
 	if active, ok := state.Active(); !ok || active.Number != 1 || node.AppliedIndex() != 7 || node.Term() != 2 {
 		t.Errorf("version %d is active after entry %d in term %d", active.Number, node.AppliedIndex(), node.Term())
 	}
 }
 
-// TestGoldenState pins the stored hard state with its prefix, the last term in which the replica must not vote.
+// TestGoldenState pins the stored hard state with its prefix, the vote barrier: the last term in which the replica must not
+// vote.
 func TestGoldenState(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -390,16 +392,16 @@
 		if node.voteBarrier != tc.voteBarrier || node.Rejoining() != tc.rejoining {
 			t.Errorf("%s: vote barrier %d, rejoining %t", tc.name, node.voteBarrier, node.Rejoining())
 		}
-		testkit.RequireBytes(t, tc.name+" decoded and encoded again", golden, saveHardState(t, node))
+		testkit.RequireBytes(t, tc.name+" decoded and encoded again", golden, savedHardState(t, node))
 
 		built, _ := goldenNode(t, Config{ID: 1, Incarnation: 6}, goldenStored(t))
 		built.voteBarrier = tc.voteBarrier
-		testkit.RequireBytes(t, tc.name, golden, saveHardState(t, built))
+		testkit.RequireBytes(t, tc.name, golden, savedHardState(t, built))
 	}
 }
 
-// saveHardState is the hard state as a node saves it when its prefix has changed.
-func saveHardState(t *testing.T, node *Node) []byte {
+// savedHardState returns the hard state that a node saves after a change of its vote barrier.
+func savedHardState(t *testing.T, node *Node) []byte {
 	t.Helper()
 	node.voteBarrierUnsaved = true
 	todo := pendingWork(t, node)
@@ -409,7 +411,7 @@
 	return todo.Save.State
 }
 
-// TestGoldenNewLog pins what a replica saves first, new or rejoining with nothing stored.
+// TestGoldenNewLog pins the first save of a replica that starts without stored data, both new and rejoining.
 func TestGoldenNewLog(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -421,17 +423,17 @@
 		testkit.RequireBytes(t, tc.name+" snapshot", snapshot, save.Snapshot)
 		testkit.RequireBytes(t, tc.name+" state", state, save.State)
 		if save.DropThrough != 1 || len(save.Entries) != 0 {
-			t.Errorf("%s drops entries up to %d and saves %d", tc.name, save.DropThrough, len(save.Entries))
+			t.Errorf("%s deletes entries through %d and saves %d", tc.name, save.DropThrough, len(save.Entries))
 		}
 		node, _ = goldenNode(t, Config{ID: 1, Incarnation: 2}, Stored{Snapshot: snapshot, State: state})
 		if node.Rejoining() != tc.rejoin || node.Term() != 1 {
-			t.Errorf("%s: started again in term %d, rejoining %t", tc.name, node.Term(), node.Rejoining())
+			t.Errorf("%s: restarted in term %d, rejoining %t", tc.name, node.Term(), node.Rejoining())
 		}
 	}
 }
 
-// TestGoldenCatalogProposal pins the texts of a version that is proposed for the catalog: they are stored in the log, and
-// the leader finds its own proposals by them.
+// TestGoldenCatalogProposal pins the ID, author and reason of a catalog's version. They are stored in the log, and leaders
+// recognize earlier versions of the same catalog by them.
 func TestGoldenCatalogProposal(t *testing.T) {
 	state, store := fleetconfig.NewStateMachine(), &MemoryStore{}
 	node, err := New(Config{ID: 1, Peers: []uint64{1}, Incarnation: 1}, state, Stored{})
@@ -439,7 +441,7 @@
 		t.Fatal(err)
 	}
 	proposer := NewCatalogProposer(node, state, federation.NewPublisherTracker(state.Federation()))
-	settle := func(err error) {
+	processWork := func(err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
@@ -450,19 +452,19 @@
 		}
 		proposer.HandleOutcome(time.Second, out)
 	}
-	settle(node.Campaign())
+	processWork(node.Campaign())
 	_, err = node.Propose(fleetconfig.Command{Propose: &fleetconfig.Propose{ID: "change-1",
 		Body: &fleetconfig.Body{Settings: json.RawMessage(`{}`)}}})
-	settle(err)
+	processWork(err)
 	terms := samples.FederationTerms()
 	terms.Base = 0
 	_, err = proposer.SubmitChange(time.Second, federation.Change{Terms: &terms})
-	settle(err)
+	processWork(err)
 	_, err = proposer.Publish(time.Second, samples.Publication())
-	settle(err)
+	processWork(err)
 	proposal := proposer.Step(time.Minute)
 	if proposal == nil {
-		t.Fatal("nothing is proposed")
+		t.Fatal("no version is proposed")
 	}
 	if proposal.ID != "catalog 104ad14827681aa0 on 1 after 1" || proposal.ProposedBy != "catalog" ||
 		!strings.HasPrefix(proposal.Reason, "catalog 104ad14827681aa0: ") {
--- a/internal/consensus/lease_server_test.go
+++ b/internal/consensus/lease_server_test.go
@@ -10,7 +10,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// fakeLeaseService records its terms, and finds due what the test sets.
+// fakeLeaseService records the terms in which it leads, and returns the due commands that the test sets.
 type fakeLeaseService struct {
 	fleetconfig.LeaseService
 	terms     []uint64
@@ -34,7 +34,7 @@
 }
 func (f *fakeLeaseService) DueCommands(time.Duration) []fleetconfig.Command { return f.due }
 
-// newLeaseServers returns a cluster with a LeaseServer on each replica, its leader, and the leader's lease service.
+// newLeaseServers returns a cluster with a LeaseServer on each replica, its leader, and the leader's LeaseService.
 func newLeaseServers(t *testing.T) (*cluster, *replica, *fakeLeaseService) {
 	cluster := newCluster(t, 21, 3, nil)
 	services := map[uint64]*fakeLeaseService{}
@@ -59,14 +59,14 @@
 	cluster, leader, service := newLeaseServers(t)
 	testkit.Equal(t, "terms", []uint64{leader.node.Term()}, service.terms)
 	for i := range uint64(200) {
-		leader.renew(t, i, fmt.Sprint("n", i%100)) // each node renews twice, and is added once
+		leader.renew(t, i, fmt.Sprint("n", i%100)) // each node renews twice and is added once
 	}
-	replies, _, err := leader.leases.Run(0, leader.disk, func(m Message) {
+	replies, _, err := leader.leases.Run(0, leader.store, func(m Message) {
 		cluster.inTransit = append(cluster.inTransit, messageInTransit{cluster.step + 1, leader.node.cfg.ID, m})
 	})
 	cluster.require(err)
 	if len(replies) > 0 {
-		t.Fatal("a lease is granted before the members were committed")
+		t.Fatal("a lease was granted before the members were committed")
 	}
 	cluster.until("leases", func() bool { return len(leader.replies) == 200 })
 	for i, r := range leader.replies {
@@ -84,7 +84,7 @@
 	}
 	cluster.until("leases", func() bool { return len(leader.replies) == 200 })
 	if rounds := leader.node.lastSeq - before; rounds != 1 {
-		t.Fatalf("%d confirmations for one batch", rounds)
+		t.Fatalf("%d confirmations for one batch, want 1", rounds)
 	}
 }
 
@@ -93,7 +93,7 @@
 	leader.renew(t, 1, "n")
 	cluster.until("the first lease", func() bool { return len(leader.replies) == 1 })
 	leader.replies = nil
-	for id := range cluster.replicas { // commits stop, and confirmations with them
+	for id := range cluster.replicas { // the leader can neither commit nor confirm
 		cluster.disconnected[link{id, leader.node.cfg.ID}] = true
 	}
 	service.due = []fleetconfig.Command{activateCommand(1)}
@@ -105,7 +105,7 @@
 	clear(cluster.disconnected)
 	cluster.until("the next lease", func() bool {
 		if len(leader.replies) > 0 && !slices.Contains(leader.state.IDs, "activate 1") {
-			t.Fatal("a lease is granted between the decision and its commit")
+			t.Fatal("a lease was granted between the decision and its commit")
 		}
 		return len(leader.replies) > 0
 	})
@@ -120,7 +120,7 @@
 		cluster.tick()
 	}
 	if n := len(leader.state.IDs); n != 1 {
-		t.Fatalf("%d commands without a tick of the server", n)
+		t.Fatalf("%d commands were applied without a Tick of the server, want 1", n)
 	}
 }
 
@@ -133,7 +133,7 @@
 	cluster.until("the leader steps down", func() bool { return !leader.node.Leading() })
 	cluster.processWork(leader.node.cfg.ID)
 	if len(leader.replies) != 3 || leader.leases.PendingRenewals() != 0 {
-		t.Fatalf("%d replies, %d renewals wait", len(leader.replies), leader.leases.PendingRenewals())
+		t.Fatalf("%d replies and %d pending renewals, want 3 and 0", len(leader.replies), leader.leases.PendingRenewals())
 	}
 	for _, r := range leader.replies {
 		if !NotLeading.Of(r.Err) {
@@ -141,13 +141,13 @@
 		}
 	}
 	if service.stepDowns != 1 {
-		t.Fatalf("the lease service stepped down %d times", service.stepDowns)
+		t.Fatalf("the LeaseService stepped down %d times, want once", service.stepDowns)
 	}
 	if err := leader.leases.Renew(0, 9, fleetconfig.Renewal{Node: "n"}); !NotLeading.Of(err) {
 		t.Fatal(err)
 	}
 	clear(cluster.disconnected)
 	if newLeader := cluster.leader(); cluster.replicas[newLeader] == leader && len(service.terms) != 2 {
-		t.Fatalf("it leads again, and its lease service has the terms %d", service.terms)
+		t.Fatalf("the replica leads again, but its LeaseService has led in the terms %d", service.terms)
 	}
 }
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -19,7 +19,7 @@
 		size := rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(r, "replicas")
 		cluster := runRandomFaults(t, rapid.Uint64().Draw(r, "seed"), size, 300)
 		if len(cluster.acknowledged) < 10 && size > 2 {
-			r.Logf("only %d proposals of 300 steps were acknowledged", len(cluster.acknowledged))
+			r.Logf("only %d proposals were acknowledged in 300 steps", len(cluster.acknowledged))
 		}
 	})
 }
@@ -33,12 +33,12 @@
 	}
 	first := run(7)
 	for range 3 {
-		if again := run(7); again != first {
-			t.Fatalf("two runs of one seed have the hashes %x and %x", first, again)
+		if repeated := run(7); repeated != first {
+			t.Fatalf("two runs with the same seed have the hashes %x and %x", first, repeated)
 		}
 	}
 	if run(8) == first {
-		t.Fatal("two seeds gave the same run")
+		t.Fatal("two seeds resulted in the same run")
 	}
 }
 
@@ -53,13 +53,13 @@
 	clear(cluster.disconnected)
 	cluster.until("the lagging replica caught up", func() bool { return len(cluster.replicas[lagging].state.IDs) == 40 })
 	if cluster.replicas[lagging].restores == 0 {
-		t.Fatal("it caught up without a snapshot, though the log was compacted")
+		t.Fatal("the replica caught up without a snapshot, although the log was compacted")
 	}
 	cluster.crash(lagging)
 	cluster.start(lagging) // from the stored snapshot and the entries after it
 	cluster.until("the replica caught up", func() bool { return len(cluster.replicas[lagging].state.IDs) == 40 })
-	if n := len(cluster.replicas[lagging].disk.contents.Entries); n > 16 {
-		t.Fatalf("%d entries are stored, though the log is compacted every 8", n)
+	if n := len(cluster.replicas[lagging].store.contents.Entries); n > 16 {
+		t.Fatalf("%d entries are stored, although the log is compacted every 8 entries", n)
 	}
 }
 
@@ -69,16 +69,16 @@
 	cluster.commit("before")
 	cluster.partition(leader)
 	if _, err := cluster.propose(leader, "uncommitted"); err != nil {
-		t.Fatal(err) // it does not know yet that it is isolated
+		t.Fatal(err) // the leader has not noticed the partition yet
 	}
 	read, err := cluster.replicas[leader].node.Confirm()
 	cluster.require(err)
-	cluster.replicas[leader].reads[read] = []string{"before"}
+	cluster.replicas[leader].pendingReads[read] = []string{"before"}
 	from := cluster.step
 	cluster.until("the leader steps down", func() bool { return !cluster.replicas[leader].node.Leading() })
 	cluster.processWork(leader)
 	ticks := cluster.step - from
-	proposals, reads := len(cluster.replicas[leader].proposed), len(cluster.replicas[leader].reads)
+	proposals, reads := len(cluster.replicas[leader].pendingProposals), len(cluster.replicas[leader].pendingReads)
 	if ticks > 21 || proposals != 0 || reads != 0 {
 		t.Fatalf("after %d ticks %d proposals and %d confirmations are pending", ticks, proposals, reads)
 	}
@@ -86,7 +86,7 @@
 		t.Fatalf("a replica without a majority accepted a proposal: %v", err)
 	}
 	if _, err := cluster.replicas[leader].node.Confirm(); !NotLeading.Of(err) {
-		t.Fatalf("a replica without a majority confirms: %v", err)
+		t.Fatalf("a replica without a majority accepted a confirmation: %v", err)
 	}
 	cluster.commit("meanwhile")
 	clear(cluster.disconnected)
@@ -100,7 +100,7 @@
 	cluster.commit("one")
 	from := cluster.step
 	if !cluster.replicas[leader].node.TransferLeadership() {
-		t.Fatal("the leader does not transfer leadership")
+		t.Fatal("the leader did not start a transfer of leadership")
 	}
 	cluster.processWork(leader)
 	cluster.until("another leader", func() bool { return cluster.leader() != leader })
@@ -115,7 +115,7 @@
 		cluster.commit(fmt.Sprint(i))
 	}
 	leader := cluster.leader()
-	valid, _ := cluster.replicas[leader].disk.Load()
+	valid, _ := cluster.replicas[leader].store.Load()
 	if len(valid.Entries) < 3 {
 		t.Fatalf("only %d entries are stored", len(valid.Entries))
 	}
@@ -148,7 +148,7 @@
 		if c.kind == nil {
 			cluster.require(err)
 			if _, err := n.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil || len(state.IDs) < 6 {
-				t.Fatalf("a valid state gave %q, %v", state.IDs, err)
+				t.Fatalf("valid stored data resulted in %q, error %v", state.IDs, err)
 			}
 		} else if !c.kind.Of(err) || len(apperror.Resolutions(err)) == 0 {
 			t.Errorf("%s: got %v, want %s", c.name, err, c.kind.Name)
@@ -203,10 +203,10 @@
 	if after := node.raft.BasicStatus().String(); after != before {
 		t.Fatalf("rejected messages changed %s to %s", before, after)
 	}
-	// Raft panics on a commit index beyond the log: the replica stops with an error instead.
+	// The raft library panics on a commit index beyond the log. The replica must stop with an error instead.
 	err := node.Step(heartbeat(func(m *pb.Message) { m.Commit = proto.Uint64(1 << 40) }))
 	if _, again := node.Work(); !LostData.Of(err) || !LostData.Of(again) || !LostData.Of(node.Tick()) {
-		t.Fatalf("an impossible commit index gave %v, then %v", err, again)
+		t.Fatalf("a commit index beyond the log resulted in %v, then %v", err, again)
 	}
 }
 
--- a/internal/consensus/rejoin_test.go
+++ b/internal/consensus/rejoin_test.go
@@ -18,7 +18,7 @@
 		commit := func(n int) {
 			for i := range n {
 				acknowledged, next := len(cluster.acknowledged), cluster.step
-				cluster.until("a proposal", func() bool { // the first ones may be lost in a change of leaders
+				cluster.until("a proposal", func() bool { // proposals may be lost in a change of leaders
 					if cluster.step >= next {
 						_, _ = cluster.propose(cluster.leader(), fmt.Sprint(i, "/", cluster.step))
 						next = cluster.step + 40
@@ -34,7 +34,7 @@
 			if rapid.Bool().Draw(r, "crash") {
 				cluster.tick()
 				cluster.crash(id)
-				cluster.start(id) // it still knows that it is rejoining
+				cluster.start(id) // the replica must still be rejoining
 			}
 			commit(rapid.IntRange(1, 6).Draw(r, "after"))
 			cluster.until("the replica caught up", func() bool {
@@ -48,7 +48,7 @@
 		}
 		for id := range cluster.acknowledged {
 			if !slices.Contains(cluster.applied, id) {
-				t.Fatalf("%q was acknowledged and is lost", id)
+				t.Fatalf("%q was acknowledged but not applied", id)
 			}
 		}
 	})
@@ -63,15 +63,15 @@
 		cluster.commit("on two replicas")
 		clear(cluster.disconnected)
 		cluster.partition(leader)
-		cluster.inTransit = nil // a message of the leader would reveal the data loss
+		cluster.inTransit = nil // a delayed message from the leader would reveal the data loss
 		cluster.loseData(lost, rejoin)
 		elected := false
 		for range 200 {
 			cluster.tick()
 			elected = elected || cluster.replicas[behind].node.LeaderReady() || cluster.replicas[lost].node.LeaderReady()
 		}
-		if elected == rejoin { // without Rejoin the acknowledged command is lost, so the case is a real one
-			t.Fatalf("rejoin %v: the other two elected a leader: %v", rejoin, elected)
+		if elected == rejoin { // without Rejoin the election succeeds and the acknowledged command is lost, which shows that the test sets up the fault
+			t.Fatalf("with rejoin %v, the other two replicas elected a leader: %v", rejoin, elected)
 		}
 		if !rejoin {
 			continue
@@ -109,6 +109,6 @@
 		cluster.processWork(leader)
 	}
 	if !LostData.Of(err) {
-		t.Fatalf("%v", err)
+		t.Fatalf("the data loss was not detected: %v", err)
 	}
 }
--- a/internal/federation/federation_test.go
+++ b/internal/federation/federation_test.go
@@ -27,7 +27,7 @@
 	return digest
 }
 
-// stateWithTerms has terms that name the three meshes.
+// stateWithTerms returns a State whose terms list the three meshes.
 func stateWithTerms(t testing.TB) *State {
 	t.Helper()
 	s := NewState()
@@ -46,7 +46,7 @@
 	return text
 }
 
-// drawChange draws a change: some are outdated, stale, of an unknown mesh, or have a time before the state's.
+// drawChange draws a change. Some are outdated, stale, from an unknown mesh, or earlier than the state's agreed time.
 func drawChange(rt *rapid.T, at time.Duration, base uint64) Change {
 	c := Change{At: at + rapid.SampledFrom([]time.Duration{-time.Hour, 0, 1, time.Second, 11 * time.Minute}).Draw(rt, "later")}
 	mesh := rapid.SampledFrom([]string{"thies", "dakar", "caroni", "nobody"}).Draw(rt, "mesh")
@@ -68,8 +68,8 @@
 	return c
 }
 
-// The same changes give the same state, through snapshots too; time never goes back; a refused change changes nothing; the
-// text changes with the catalog's meaning alone.
+// TestApplyIsDeterministic checks that the same changes result in the same state, also through snapshots, that agreed time
+// never decreases, that a rejected change has no effect, and that the encoded catalog changes only with its meaning.
 func TestApplyIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a, b := stateWithTerms(t), stateWithTerms(t)
@@ -81,17 +81,17 @@
 			digest := digestOf(a)
 			err := a.Apply(c)
 			if other := b.Apply(c); (err == nil) != (other == nil) || err != nil && err.Error() != other.Error() {
-				rt.Fatalf("one state answers %v, the other %v", err, other)
+				rt.Fatalf("one state returned error %v, the other %v", err, other)
 			}
 			switch after := encodeSnapshot(t, a); {
 			case !bytes.Equal(after, encodeSnapshot(t, b)):
 				rt.Fatalf("the snapshots differ: %s", after)
 			case err != nil && !bytes.Equal(before, after):
-				rt.Fatalf("a refused change (%v) left %s", err, after)
+				rt.Fatalf("a rejected change (%v) changed the state to %s", err, after)
 			case a.AgreedTime() != max(agreedTime, a.AgreedTime()) || err == nil && a.AgreedTime() != max(agreedTime, c.At):
-				rt.Fatalf("agreed time went from %v to %v by %v", agreedTime, a.AgreedTime(), c.At)
+				rt.Fatalf("agreed time went from %v to %v by a change at %v", agreedTime, a.AgreedTime(), c.At)
 			case previous.SameMeaning(a.Catalog()) != (digest == digestOf(a)):
-				rt.Fatalf("the text does not change with the catalog's meaning")
+				rt.Fatalf("the encoded catalog and its meaning must change together")
 			}
 			if rapid.IntRange(0, 3).Draw(rt, "restore") == 0 {
 				restored := NewState()
@@ -105,7 +105,8 @@
 	})
 }
 
-// Publications with the same agreed time give the same catalog in any order, and when they are repeated.
+// TestBatchOrderDoesNotMatter checks that publications with the same agreed time result in the same catalog in any order,
+// and when they are repeated.
 func TestBatchOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a, b := stateWithTerms(t), stateWithTerms(t)
@@ -125,7 +126,7 @@
 				}
 			}
 			if digestOf(a) != digestOf(b) {
-				rt.Fatalf("%s and %s", a.digest, b.digest)
+				rt.Fatalf("two orders of a batch have the digests %s and %s", a.digest, b.digest)
 			}
 		}
 	})
@@ -137,7 +138,7 @@
 		}
 	}
 	if e, ok := s.Catalog().Resolve("mail"); !ok || e.Owner != "team-caroni" {
-		t.Errorf("mail is %+v", e)
+		t.Errorf("mail is %+v, want the owner team-caroni", e)
 	}
 }
 
@@ -172,11 +173,12 @@
 		testkit.Equal(t, test.name, test.want, apply(test.change))
 	}
 	if err := s.Apply(Change{Publish: &huge}); !TooLarge.Of(err) {
-		t.Errorf("a huge publication: %v", err)
+		t.Errorf("a too large publication: got %v", err)
 	}
 }
 
-// A change of leaders loses no mesh; a mesh that publishes nothing is lost once, and returns when it publishes again.
+// TestPublisherTrackerMarksSilentMeshesLost checks that a change of leaders or a pause of the process marks no mesh as lost,
+// and that a mesh that stops publishing is marked once and returns when it publishes again.
 func TestPublisherTrackerMarksSilentMeshesLost(t *testing.T) {
 	s := stateWithTerms(t)
 	tracker := NewPublisherTracker(s)
@@ -185,7 +187,7 @@
 		agreedTime := s.AgreedTime()
 		for _, c := range due {
 			if c.At <= agreedTime {
-				t.Errorf("%+v joins a batch that is closed", c)
+				t.Errorf("%+v joins a batch that is already complete", c)
 			}
 			if err := s.Apply(c); err != nil {
 				t.Fatal(err)
@@ -195,7 +197,7 @@
 		}
 		return applied
 	}
-	// advance lets time pass until changes are due, for a duration at most.
+	// advance advances the time until changes are due, by d at most.
 	advance := func(d time.Duration) (due []Change) {
 		for end := now + d; now < end && len(due) == 0; {
 			now = min(now+time.Second, end)
@@ -207,7 +209,7 @@
 	tracker.BecomeLeader(now)
 	testkit.Equal(t, "new publication", []string{"truefalse"}, apply(tracker.HandlePublication(now, p)))
 	testkit.Equal(t, "unchanged publication", 0, len(apply(tracker.HandlePublication(now, p))))
-	for range 20 { // leaders change, and the mesh publishes to none of them
+	for range 20 { // the leader changes repeatedly, and the mesh does not publish to any of them
 		testkit.Equal(t, "within the timeout", 0, len(apply(advance(DefaultMeshTimeout-time.Second))))
 		tracker.StepDown()
 		tracker.BecomeLeader(now)
@@ -216,7 +218,7 @@
 	testkit.Equal(t, "after a pause of the process", 0, len(tracker.DueChanges(now)))
 	due := advance(DefaultMeshTimeout + 1)
 	testkit.Equal(t, "in flight", 0, len(tracker.DueChanges(now)))
-	testkit.Equal(t, "batch closed", true, tracker.BatchComplete())
+	testkit.Equal(t, "batch complete", true, tracker.BatchComplete())
 	testkit.Equal(t, "lost", []string{"falsethiesfalse"}, apply(due))
 	testkit.Equal(t, "lost once", 0, len(apply(advance(time.Minute))))
 	lost, _ := s.Catalog().Resolve("mail")
@@ -227,9 +229,9 @@
 	_, reason := tracker.CatalogUpdate(nil)
 	testkit.Equal(t, "reason", "feed is new; mail is new", reason)
 	if text, _ := tracker.CatalogUpdate(slices.Clone(s.text)); text != nil {
-		t.Error("the active catalog is missing")
+		t.Error("an update is returned although the active version has the catalog")
 	}
-	// The mesh is lost for good: tombstone and quarantine of its names end by ticks alone.
+	// The mesh does not return: only Tick changes end the tombstone and the quarantine of its names.
 	apply(advance(DefaultMeshTimeout + 5*time.Second))
 	for range 2 {
 		apply(advance(catalog.Tombstone + 10*time.Second))
--- a/internal/federation/golden_test.go
+++ b/internal/federation/golden_test.go
@@ -12,7 +12,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// goldenPool has every field set, as do the other values here.
+// goldenPool returns a pool with every field set, as do the functions below for other types.
 func goldenPool(name string) routing.Pool {
 	return routing.Pool{Name: name, Precedence: 3, Was: []string{"post"}, MaxOpen: 400, MaxWaiting: 50,
 		Select: routing.Select{Zones: []string{"thies"}, MachineTypes: []string{"m2"}, Cells: []int{7},
@@ -58,7 +58,8 @@
 		Lost: []catalog.Loss{{Mesh: "dakar", Since: 95 * time.Second}}, BeforeBatch: before}
 }
 
-// Commands are stored in the replicated log: each variant, and one with every member, which no State takes, keeps its bytes.
+// TestGoldenChanges pins the encoding of changes, which are stored in the replicated log: each variant, and a change with
+// every field set, which a State would reject.
 func TestGoldenChanges(t *testing.T) {
 	publication, terms := goldenPublication(), goldenTerms()
 	all := Change{At: 100 * time.Second, Publish: &publication, Terms: &terms, MarkLost: "dakar", MarkReturned: "lagos", Tick: true}
@@ -75,7 +76,7 @@
 	}
 }
 
-// A snapshot keeps its bytes, as a struct and through a State that is restored from it.
+// TestGoldenSnapshot pins the encoding of a snapshot, both of the struct and of a State that was restored from it.
 func TestGoldenSnapshot(t *testing.T) {
 	built := goldenSnapshot(t)
 	testkit.CheckAllSet(t, "snapshot", reflect.ValueOf(built))
@@ -95,7 +96,7 @@
 	testkit.Equal(t, "its digest", "117869c60dde437039d08085dd6871e57b3ef00e3a62986013a4ccd378854988", digest)
 }
 
-// The text of a catalog goes into a version and keeps its bytes and digest.
+// TestGoldenCatalogText pins the encoded catalog, which is part of a version, and its digest.
 func TestGoldenCatalogText(t *testing.T) {
 	var decoded catalog.State
 	if err := json.Unmarshal(testkit.GoldenFile(t, "catalog.json"), &decoded); err != nil {
@@ -108,7 +109,7 @@
 	}
 }
 
-// Error kinds as they are sent.
+// TestGoldenKinds pins the names of error kinds, which are sent to clients.
 func TestGoldenKinds(t *testing.T) {
 	for name, kind := range map[string]*apperror.Kind{
 		"federation/stale-terms": StaleTerms, "federation/too-large": TooLarge, "federation/bad-change": BadChange,
