--- a/internal/consensus/proposals.go
+++ b/internal/consensus/proposals.go
@@ -12,7 +12,7 @@
 )
 
 // MaxCommandBytes is the maximum size of an encoded command: the largest body and 1 MiB for the fields around it.
-const MaxCommandBytes = fleetconfig.MaxBody + 1<<20
+const MaxCommandBytes = fleetconfig.MaxBodyBytes + 1<<20
 
 // ProposalID identifies a proposal or a confirmation. It is unique across all replicas and their restarts.
 type ProposalID struct {
