--- a/internal/consensus/catalog_proposer.go
+++ b/internal/consensus/catalog_proposer.go
@@ -57,8 +57,8 @@
 	return &CatalogProposer{node: node, state: state, publishers: publishers, inFlight: map[ProposalID]federation.Change{}}
 }
 
-// followLeadership starts the publisher tracker when the node becomes a ready leader, and stops it when the node no longer
-// is one or its term has changed.
+// followLeadership starts the publisher tracker once the node is ready to lead in a new term, and stops it when the node's
+// leadership in that term ends.
 func (p *CatalogProposer) followLeadership(now time.Duration) {
 	ready := p.node.LeaderReady()
 	if ready && p.term == p.node.Term() {
@@ -80,7 +80,7 @@
 }
 
 // Publish proposes the changes that a mesh's publication requires and returns their proposal IDs. The publication takes
-// effect once all of them are applied; without any it is already in effect. Errors are NotLeading and those of
+// effect once all of them are applied; if there are none, it is already in effect. Errors are NotLeading and those of
 // Node.Propose.
 func (p *CatalogProposer) Publish(now time.Duration, publication catalog.Publication) ([]ProposalID, error) {
 	if p.followLeadership(now); p.term == 0 {
@@ -153,7 +153,7 @@
 	p.followLeadership(now)
 	if p.checkDue {
 		p.checkDue = false
-		for _, change := range p.publishers.DueChanges(now) { // on a follower DueChanges returns none and only tracks agreed time
+		for _, change := range p.publishers.DueChanges(now) { // a follower has none, but must track agreed time
 			_, _ = p.proposeChange(change) // DueChanges returns a failed change again
 		}
 	}
@@ -164,8 +164,8 @@
 }
 
 // nextVersion returns a version with the merged catalog. It returns nil if that catalog is already active, its version was
-// withdrawn, no version is active yet, or another one is pending. The ID and Reason are stored in the log, and later leaders use them to
-// recognize earlier versions of the same catalog, so their format must not change.
+// withdrawn, no version is active yet, or another one is pending. The ID and Reason are stored in the log, and later
+// leaders use them to recognize earlier versions of the same catalog, so their format must not change.
 func (p *CatalogProposer) nextVersion() *fleetconfig.Propose {
 	active, hasActive := p.state.Active()
 	_, hasProposed := p.state.Proposed()
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -94,7 +94,7 @@
 	state            *recordingState
 	store            *faultyStore
 	incarnation      uint64
-	pendingReads     map[ProposalID][]string // confirmations in progress, with the commands acknowledged before each request
+	pendingReads     map[ProposalID][]string // confirmations in progress, with the commands acknowledged before
 	pendingProposals map[ProposalID]string
 	restores         int
 	replies          []Reply
@@ -217,7 +217,8 @@
 	c.checkConfirmed(id, outcome.Confirmed)
 }
 
-// checkSameOrder checks that a replica has applied the same commands in the same order as the others, up to a prefix.
+// checkSameOrder checks that the commands that a replica has applied are a prefix of the longest applied sequence, or
+// extend it.
 func (c *cluster) checkSameOrder(id uint64) {
 	c.t.Helper()
 	for i, command := range c.replicas[id].state.IDs {
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -30,7 +30,7 @@
 	// KeepEntries is the number of entries before a snapshot that stay in memory, so that a peer that lags by fewer
 	// entries does not need the snapshot; 0: 256.
 	KeepEntries uint64
-	// Rejoin starts a replica that has lost its stored data. It must not vote at first because it may have voted in a term
+	// Rejoin is set for a replica that lost its stored data. It must not vote at first because it may have voted in a term
 	// and acknowledged entries that it no longer knows of. It votes again once all other replicas have reported their
 	// terms, and a leader elected after that has sent it all committed entries. Leave Rejoin unset in a new fleet, where
 	// all logs are empty.
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -404,11 +404,11 @@
 func savedHardState(t *testing.T, node *Node) []byte {
 	t.Helper()
 	node.voteBarrierUnsaved = true
-	todo := pendingWork(t, node)
-	if todo.Save == nil {
+	work := pendingWork(t, node)
+	if work.Save == nil {
 		t.Fatal("the node saves nothing")
 	}
-	return todo.Save.State
+	return work.Save.State
 }
 
 // TestGoldenNewLog pins the first save of a replica that starts without stored data, both new and rejoining.
--- a/internal/consensus/lease_server.go
+++ b/internal/consensus/lease_server.go
@@ -96,8 +96,8 @@
 // Tick makes the next Step check for commands that have become due.
 func (s *LeaseServer) Tick() { s.checkDue = true }
 
-// followLeadership starts the LeaseService when the node becomes a ready leader, and stops it when the node no longer is
-// one or its term has changed. When leadership is lost, all pending renewals fail.
+// followLeadership starts the LeaseService once the node is ready to lead in a new term, and stops it when the node's
+// leadership in that term ends. All pending renewals then fail.
 func (s *LeaseServer) followLeadership(now time.Duration) {
 	ready := s.node.LeaderReady()
 	if ready && s.term == s.node.Term() {
@@ -135,7 +135,7 @@
 // HandleOutcome updates the server with an outcome of the node.
 func (s *LeaseServer) HandleOutcome(now time.Duration, outcome Outcome) {
 	for _, applied := range outcome.Applied {
-		if applied.Answer.Err == nil { // a rejected command would be due again at once, so it is retried after the next Tick
+		if applied.Answer.Err == nil { // a rejected command waits for the next Tick, or it would be retried at once
 			s.checkDue = true
 		}
 		s.commandDone(applied.ProposalID)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -51,7 +51,7 @@
 	// Changes not saved yet.
 	voteBarrierUnsaved bool
 	unsavedState       *pb.HardState
-	unsavedSnapshot    *pb.Snapshot // taken by this node; received snapshots are in ready
+	unsavedSnapshot    *pb.Snapshot // created by this node; a received snapshot is in ready
 
 	// Work in progress.
 	ready          *raft.Ready
--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -58,7 +58,7 @@
 	}
 	for _, id := range n.cfg.Peers {
 		if id != n.cfg.ID && !n.knownTerms[id] {
-			_ = n.queueTermQuery(termQuery{To: id, Request: true, Incarnation: n.cfg.Incarnation}) // cannot fail: the query contains only numbers and a bool
+			_ = n.queueTermQuery(termQuery{To: id, Request: true, Incarnation: n.cfg.Incarnation}) // always encodes
 		}
 	}
 }
--- a/internal/consensus/rejoin_test.go
+++ b/internal/consensus/rejoin_test.go
@@ -70,7 +70,7 @@
 			cluster.tick()
 			elected = elected || cluster.replicas[behind].node.LeaderReady() || cluster.replicas[lost].node.LeaderReady()
 		}
-		if elected == rejoin { // without Rejoin the election succeeds and the acknowledged command is lost, which shows that the test sets up the fault
+		if elected == rejoin { // without Rejoin the election must succeed and lose the command
 			t.Fatalf("with rejoin %v, the other two replicas elected a leader: %v", rejoin, elected)
 		}
 		if !rejoin {
