--- a/internal/federation/publications.go
+++ b/internal/federation/publications.go
@@ -14,8 +14,8 @@
 const (
 	// MaxPublicationBytes is the maximum size of one publication, in bytes of JSON.
 	MaxPublicationBytes = 2 << 20
-	// maxAllPublications is the maximum size of all publications together, in bytes of JSON.
-	maxAllPublications = 24 << 20
+	// maxAllPublicationsBytes is the maximum size of all publications together, in bytes of JSON.
+	maxAllPublicationsBytes = 24 << 20
 	// maxContradictions is the maximum number of publications that are kept for one mesh, epoch and sequence number with
 	// different contents. Two are enough, because the catalog accepts none of them if there are several.
 	maxContradictions = 2
@@ -86,8 +86,8 @@
 			total += s.publications[i].size
 		}
 	}
-	if total > maxAllPublications {
-		return 0, TooLarge.New(place, "the publications of all meshes have %d bytes with it, %d at most", total, maxAllPublications)
+	if total > maxAllPublicationsBytes {
+		return 0, TooLarge.New(place, "the publications of all meshes have %d bytes with it, %d at most", total, maxAllPublicationsBytes)
 	}
 	return size, nil
 }
