--- a/internal/federation/federation_test.go
+++ b/internal/federation/federation_test.go
@@ -234,7 +234,7 @@
 	// The mesh does not return: only Tick changes end the tombstone and the quarantine of its names.
 	apply(advance(DefaultMeshTimeout + 5*time.Second))
 	for range 2 {
-		apply(advance(catalog.Tombstone + 10*time.Second))
+		apply(advance(catalog.TombstoneDuration + 10*time.Second))
 	}
 	testkit.Equal(t, "names left", []catalog.Entry{}, s.Catalog().Entries)
 }
--- a/internal/federation/summary.go
+++ b/internal/federation/summary.go
@@ -27,8 +27,8 @@
 // addEntry adds the difference between two entries with the same name, if any.
 func (s *changeSummary) addEntry(old, current *catalog.Entry) {
 	switch {
-	case old.Owner != current.Owner || old.Alias != current.Alias:
-		s.addClause("%s was %s's and is %s's", old.Name, old.Owner+old.Alias, current.Owner+current.Alias)
+	case old.Owner != current.Owner || old.AliasOf != current.AliasOf:
+		s.addClause("%s was %s's and is %s's", old.Name, old.Owner+old.AliasOf, current.Owner+current.AliasOf)
 	case old.Status != current.Status:
 		s.addClause("%s was %s and is %s", old.Name, old.Status, current.Status)
 	case !old.Equal(current):
