--- a/internal/controlplane/catalog.go
+++ b/internal/controlplane/catalog.go
@@ -186,7 +186,7 @@
 type CatalogName struct {
 	Name             string             `json:"name"`
 	Owner            string             `json:"owner,omitempty"`
-	Alias            string             `json:"alias_of,omitempty"`
+	AliasOf          string             `json:"alias_of,omitempty"`
 	Providers        []string           `json:"homes,omitempty"` // names of meshes
 	AllProvidersLost bool               `json:"lost,omitempty"`
 	Status           string             `json:"standing"`
@@ -241,7 +241,7 @@
 	name := CatalogName{
 		Name:      entry.Name,
 		Owner:     entry.Owner,
-		Alias:     entry.AliasOf,
+		AliasOf:   entry.AliasOf,
 		Status:    entry.Status,
 		Cause:     entry.Cause,
 		Conflicts: entry.Conflicts,
