--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -78,7 +78,7 @@
 	addr := c.replicas[replica]
 	text, err := renewRequestText(addr, renewal)
 	if err != nil {
-		c.loop.After(0, func() { done(fleetconfig.Lease{}, 0, InvalidAnswer.Wrap(place(addr, renewPath), err)) })
+		c.loop.After(0, func() { done(fleetconfig.Lease{}, 0, InvalidResponse.Wrap(place(addr, renewPath), err)) })
 		return
 	}
 	handleAnswer := func(body []byte, sent time.Duration, err error) {
@@ -133,19 +133,19 @@
 func decodeLease(body []byte, renewal fleetconfig.Renewal, addr string) (fleetconfig.Lease, error) {
 	var lease fleetconfig.Lease
 	if err := json.Unmarshal(body, &lease); err != nil {
-		return lease, InvalidAnswer.Wrap(place(addr, renewPath), err)
+		return lease, InvalidResponse.Wrap(place(addr, renewPath), err)
 	}
 	if lease.Node != renewal.Node || lease.Incarnation != renewal.Incarnation || lease.Seq != renewal.Seq {
-		return lease, InvalidAnswer.New(place(addr, renewPath),
+		return lease, InvalidResponse.New(place(addr, renewPath),
 			"the answer is for renewal %d of node %q, incarnation %d, and not for renewal %d of node %q, incarnation %d",
 			lease.Seq, lease.Node, lease.Incarnation, renewal.Seq, renewal.Node, renewal.Incarnation)
 	}
 	return lease, nil
 }
 
-// Fetch requests a version, of at most maxBytes, from the replica that Renew would choose after as many failures. It replaces
+// FetchVersion requests a version, of at most maxBytes, from the replica that Renew would choose after as many failures. It replaces
 // a fetch in progress, whose callback is not called. The callback gets the version's JSON text.
-func (c *Client) Fetch(number uint64, failures int, maxBytes int64, done func(text []byte, err error)) {
+func (c *Client) FetchVersion(number uint64, failures int, maxBytes int64, done func(text []byte, err error)) {
 	addr := c.replicas[c.replicaAfter(failures)]
 	path := versionPath + strconv.FormatUint(number, 10)
 	if c.versionGet != nil {
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -128,7 +128,7 @@
 func (h *harness) fetch(maxBytes int64) {
 	h.t.Helper()
 	h.onLoop(func() {
-		h.client.Fetch(3, 0, maxBytes, func(text []byte, err error) { h.outcomes <- outcome{text: text, err: err} })
+		h.client.FetchVersion(3, 0, maxBytes, func(text []byte, err error) { h.outcomes <- outcome{text: text, err: err} })
 	})
 }
 
@@ -170,7 +170,7 @@
 	}
 	h.renew(9, 0, 50*time.Millisecond)
 	unanswered := fakes.Await(t, requests)
-	if out := fakes.Await(t, h.outcomes); !NoAnswer.Of(out.err) || !strings.Contains(out.err.Error(), addr) {
+	if out := fakes.Await(t, h.outcomes); !NoResponse.Of(out.err) || !strings.Contains(out.err.Error(), addr) {
 		t.Errorf("error %v", out.err)
 	}
 	if _, err := unanswered.conn.Read(make([]byte, 1)); err == nil {
@@ -202,7 +202,7 @@
 	h.renew(3, 0, testTimeout)
 	fakes.Await(t, requests).conn.Close()
 	fakes.Await(t, requests).conn.Close() // a new connection: that is the replica's failure
-	if out := fakes.Await(t, h.outcomes); !NoAnswer.Of(out.err) {
+	if out := fakes.Await(t, h.outcomes); !NoResponse.Of(out.err) {
 		t.Errorf("error %v", out.err)
 	}
 }
@@ -218,7 +218,7 @@
 	closedListener.Close()
 	h := newHarness(t, closedListener.Addr().String(), first, second)
 	h.renew(1, 0, testTimeout)
-	if out := fakes.Await(t, h.outcomes); !NoAnswer.Of(out.err) || len(apperror.Resolutions(out.err)) == 0 {
+	if out := fakes.Await(t, h.outcomes); !NoResponse.Of(out.err) || len(apperror.Resolutions(out.err)) == 0 {
 		t.Errorf("error %v", out.err)
 	}
 	h.renew(2, 2, testTimeout)
@@ -244,15 +244,15 @@
 		kind     *apperror.Kind
 		contains string
 	}{
-		"no HTTP":           {"SSH-2.0\r\n\r\n", InvalidAnswer, "status line"},
-		"no JSON":           {head + "3\r\n\r\n{{{", InvalidAnswer, "invalid"},
-		"another renewal":   {head + fmt.Sprint(len(leaseJSON(8))) + "\r\n\r\n" + leaseJSON(8), InvalidAnswer, "renewal 8"},
-		"another node":      {head + "29\r\n\r\n" + `{"node":"n1","incarnation":7}`, InvalidAnswer, `"n1"`},
-		"too long":          {head + "70000\r\n\r\n", TooLong, "70000"},
-		"too long a chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n", InvalidAnswer, "chunk"},
+		"no HTTP":           {"SSH-2.0\r\n\r\n", InvalidResponse, "status line"},
+		"no JSON":           {head + "3\r\n\r\n{{{", InvalidResponse, "invalid"},
+		"another renewal":   {head + fmt.Sprint(len(leaseJSON(8))) + "\r\n\r\n" + leaseJSON(8), InvalidResponse, "renewal 8"},
+		"another node":      {head + "29\r\n\r\n" + `{"node":"n1","incarnation":7}`, InvalidResponse, `"n1"`},
+		"too long":          {head + "70000\r\n\r\n", ResponseTooLarge, "70000"},
+		"too long a chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n", InvalidResponse, "chunk"},
 		"an error":          {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", Rejected, "503"},
 		"an error response": {"HTTP/1.1 503 x\r\nContent-Length: 63\r\n\r\n" + `{"kind":"q/none","place":"k2","cause":"nobody","remedy":"wait"}`, Rejected, "q/none: k2: nobody (wait)"},
-		"a long error":      {"HTTP/1.1 500 x\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000), TooLong, "too long"},
+		"a long error":      {"HTTP/1.1 500 x\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000), ResponseTooLarge, "too long"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, requests := startReplica(t)
@@ -306,7 +306,7 @@
 		}
 		h.fetch(int64(len(body)) - 1)
 		answer(fakes.Await(t, requests))
-		if out := fakes.Await(t, h.outcomes); !TooLong.Of(out.err) {
+		if out := fakes.Await(t, h.outcomes); !ResponseTooLarge.Of(out.err) {
 			t.Errorf("%s: one byte too many: error %v", name, out.err)
 		}
 	}
@@ -320,7 +320,7 @@
 	req := fakes.Await(t, requests)
 	req.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 	req.conn.Close()
-	if out := fakes.Await(t, h.outcomes); !NoAnswer.Of(out.err) {
+	if out := fakes.Await(t, h.outcomes); !NoResponse.Of(out.err) {
 		t.Errorf("half of it: error %v", out.err)
 	}
 }
--- a/internal/controlclient/connection.go
+++ b/internal/controlclient/connection.go
@@ -56,7 +56,7 @@
 	conn, err := c.client.loop.Dial(c.addr, c)
 	if err != nil {
 		// In a later turn, because the caller has not returned yet.
-		c.client.loop.After(0, func() { c.fail(NoAnswer.Wrap(place(c.addr, r.path), err)) })
+		c.client.loop.After(0, func() { c.fail(NoResponse.Wrap(place(c.addr, r.path), err)) })
 		return
 	}
 	c.conn = conn
@@ -72,7 +72,7 @@
 		remaining = min(remaining, r.idleTimeout)
 	}
 	c.timer = loop.After(remaining, func() {
-		c.fail(NoAnswer.New(place(c.addr, r.path), "no answer in time, %d bytes of it", len(r.body)))
+		c.fail(NoResponse.New(place(c.addr, r.path), "no answer in time, %d bytes of it", len(r.body)))
 	})
 }
 
@@ -122,9 +122,9 @@
 	}
 	r.received = true
 	if err := r.parser.Feed(b); err != nil {
-		kind := InvalidAnswer
+		kind := InvalidResponse
 		if errors.Is(err, httpresponse.ErrTooLong) {
-			kind = TooLong
+			kind = ResponseTooLarge
 		}
 		c.fail(kind.Wrap(place(c.addr, r.path), err))
 		return
@@ -205,6 +205,6 @@
 			c.client.renewals.send(r)
 		}
 	default:
-		c.fail(NoAnswer.Wrap(place(c.addr, r.path), err))
+		c.fail(NoResponse.Wrap(place(c.addr, r.path), err))
 	}
 }
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -107,10 +107,10 @@
 // TestGoldenKinds pins the kinds of errors, which a proxy tells in its log and telemetry.
 func TestGoldenKinds(t *testing.T) {
 	for name, kind := range map[string]*apperror.Kind{
-		"keeperlink/no-answer": NoAnswer,
+		"keeperlink/no-answer": NoResponse,
 		"keeperlink/refused":   Rejected,
-		"keeperlink/garbled":   InvalidAnswer,
-		"keeperlink/too-long":  TooLong,
+		"keeperlink/garbled":   InvalidResponse,
+		"keeperlink/too-long":  ResponseTooLarge,
 	} {
 		testkit.Equal(t, "kind", name, kind.Name)
 	}
--- a/internal/controlplane/discovery_client.go
+++ b/internal/controlplane/discovery_client.go
@@ -127,7 +127,7 @@
 	}}
 	decoder := json.NewDecoder(reader)
 	for {
-		var object endpointlist.Object
+		var object endpointlist.Update
 		if err := decoder.Decode(&object); errors.Is(err, io.EOF) {
 			return received, DiscoveryFailed.New(url, "the response ended")
 		} else if err != nil {
@@ -150,7 +150,7 @@
 
 // handleObject passes an object to the event loop. It rejects an older generation, which would restore removed endpoints,
 // unless the client requested the full list: discovery may have restarted its numbering.
-func (c *discoveryClient) handleObject(ctx context.Context, object endpointlist.Object) error {
+func (c *discoveryClient) handleObject(ctx context.Context, object endpointlist.Update) error {
 	previous := c.generation
 	c.generation = 0 // until the object is accepted
 	switch {
--- a/internal/controlplane/endpoint_list.go
+++ b/internal/controlplane/endpoint_list.go
@@ -118,7 +118,7 @@
 // publish publishes the committed list and the early entries to the watches.
 func (p *listPublisher) publish(loop *eventLoop) {
 	list := loop.state.EndpointList().View()
-	early := endpointlist.Object{Generation: list.Number()}
+	early := endpointlist.Update{Generation: list.Number()}
 	for _, id := range slices.Sorted(maps.Keys(p.earlyEntries)) {
 		early.Instances = append(early.Instances, p.earlyEntries[id])
 	}
@@ -130,12 +130,12 @@
 		earlyUpdate: early,
 		earlyCount:  p.earlyCount,
 		superseded:  make(chan struct{}),
-		fullText:    sync.OnceValue(func() []byte { return encodeObject(list.FullObject()) }),
+		fullText:    sync.OnceValue(func() []byte { return encodeObject(list.FullUpdate()) }),
 	})
 }
 
 // applyObject handles an object from service discovery. A rejected object changes nothing.
-func (p *listPublisher) applyObject(loop *eventLoop, source *discoveryClient, object endpointlist.Object) error {
+func (p *listPublisher) applyObject(loop *eventLoop, source *discoveryClient, object endpointlist.Update) error {
 	if p.client != source {
 		return Stopping.New("discovery "+source.addr, "it is no longer watched")
 	}
@@ -184,7 +184,7 @@
 		p.dropPending()
 		return
 	}
-	change = list.RepeatChange(change, slices.Collect(maps.Keys(p.earlyEntries)))
+	change = list.AddCommittedEntries(change, slices.Collect(maps.Keys(p.earlyEntries)))
 	if !changed && len(change.Entries) == 0 {
 		p.dropPending()
 		return
--- a/internal/controlplane/endpoint_list_test.go
+++ b/internal/controlplane/endpoint_list_test.go
@@ -132,7 +132,7 @@
 }
 
 // next reads one line; false: the watch has ended.
-func (r *watchReader) next() (object endpointlist.Object, ok bool) {
+func (r *watchReader) next() (object endpointlist.Update, ok bool) {
 	r.cluster.t.Helper()
 	select {
 	case text, ok := <-r.lines:
@@ -216,7 +216,7 @@
 	registry.Set(instance("s-3", endpointlist.Ready))
 	registry.Set(instance("s-1", endpointlist.Draining))
 	reader.awaitList("s-1 terminating", "s-2 in_service", "s-3 in_service")
-	var fullList endpointlist.Object
+	var fullList endpointlist.Update
 	if code, _ := cluster.get(cluster.replicas[first], endpointListPath, &fullList); code != 200 || !fullList.Reset ||
 		len(fullList.Instances) != 3 {
 		t.Errorf("the full list: %d %+v", code, fullList)
--- a/internal/controlplane/endpoint_watch.go
+++ b/internal/controlplane/endpoint_watch.go
@@ -25,7 +25,7 @@
 	// baseNumber is the number of the committed list at the start of the term. A watcher that has this list or an older one
 	// may have received early entries that were never committed, so it is sent the full list.
 	baseNumber  uint64
-	earlyUpdate endpointlist.Object // entries that are published before they are committed
+	earlyUpdate endpointlist.Update // entries that are published before they are committed
 	earlyCount  uint64              // number of additions to earlyUpdate
 	superseded  chan struct{}       // closed when a later snapshot is published
 	fullText    func() []byte       // the full list, encoded on first use
@@ -33,15 +33,15 @@
 
 // updatesSince returns the changes after the list with the given number. It returns the full list if full is set or the
 // changes are no longer retained.
-func (s *listSnapshot) updatesSince(number uint64, full bool) []endpointlist.Object {
+func (s *listSnapshot) updatesSince(number uint64, full bool) []endpointlist.Update {
 	if full {
-		return []endpointlist.Object{s.list.FullObject()}
+		return []endpointlist.Update{s.list.FullUpdate()}
 	}
 	return s.list.UpdatesSince(number)
 }
 
 // encodeObject encodes an object as one line of a watch.
-func encodeObject(object endpointlist.Object) []byte {
+func encodeObject(object endpointlist.Update) []byte {
 	if object.Instances == nil {
 		object.Instances = []json.RawMessage{}
 	}
@@ -141,7 +141,7 @@
 			}
 		}
 	case first: // the watcher is up to date: an object without entries confirms it
-		text = encodeObject(endpointlist.Object{Generation: s.sentNumber})
+		text = encodeObject(endpointlist.Update{Generation: s.sentNumber})
 	}
 	s.sentNumber = snapshot.list.Number()
 	if s.sentEarlyCount < snapshot.earlyCount && len(snapshot.earlyUpdate.Instances) > 0 {
--- a/internal/endpointlist/golden_test.go
+++ b/internal/endpointlist/golden_test.go
@@ -23,7 +23,7 @@
 func TestGoldenEncodings(t *testing.T) {
 	for file, check := range map[string]func(t *testing.T, file string){
 		"change.json": testkit.PinnedEncoding(goldenChange()),
-		"object.json": testkit.PinnedEncoding(Object{Generation: 3, Reset: true, Instances: []json.RawMessage{goldenEntry("s-1", Ready)}}),
+		"object.json": testkit.PinnedEncoding(Update{Generation: 3, Reset: true, Instances: []json.RawMessage{goldenEntry("s-1", Ready)}}),
 		"snapshot.json": testkit.PinnedEncoding(snapshot{Number: 3, Entries: []json.RawMessage{goldenEntry("s-1", Draining), goldenEntry("s-3", Ready)},
 			Changes: []appliedChange{{Number: 3, Entries: goldenChange().Entries}}}),
 	} {
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	testkit.Equal(t, "restored", string(testkit.GoldenFile(t, "snapshot.json")), string(again))
-	for file, served := range map[string]any{"whole.json": state.FullObject(), "since.json": state.UpdatesSince(2)} {
+	for file, served := range map[string]any{"whole.json": state.FullUpdate(), "since.json": state.UpdatesSince(2)} {
 		text, err := json.Marshal(served)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/endpointlist/object.go
+++ b/internal/endpointlist/object.go
@@ -10,9 +10,9 @@
 	Terminated = "terminated" // removed from the list; appears in changes only
 )
 
-// Object is one update that is sent to a reader of the list. It has the form of discovery's own answers, so that a proxy
+// Update is one update that is sent to a reader of the list. It has the form of discovery's own answers, so that a proxy
 // reads a control-plane replica as it reads discovery.
-type Object struct {
+type Update struct {
 	Generation uint64            `json:"generation"` // number of the list that the update leads to
 	Reset      bool              `json:"reset"`      // Instances are the whole list; false: those that have changed
 	Instances  []json.RawMessage `json:"instances"`
--- a/internal/endpointlist/selector.go
+++ b/internal/endpointlist/selector.go
@@ -93,8 +93,8 @@
 	s.listAvailable = false
 }
 
-// ObjectReceived notes that the current source has sent an Object.
-func (s *SourceSelector) ObjectReceived(now time.Duration) {
+// UpdateReceived notes that the current source sent an Update.
+func (s *SourceSelector) UpdateReceived(now time.Duration) {
 	s.start(now)
 	if s.current == Discovery {
 		return
@@ -172,11 +172,11 @@
 // Current returns the source to ask: the index of a replica, or Discovery.
 func (s *SourceSelector) Current() int { return s.current }
 
-// Paused reports whether nothing is to be asked until Due: all replicas have failed in a round.
+// Paused reports whether nothing is to be asked until NextTick: all replicas have failed in a round.
 func (s *SourceSelector) Paused() bool { return s.roundPauseEnds != 0 }
 
-// Due returns when the decision may change by time alone; 0: it does not. The caller calls Tick then, or later.
-func (s *SourceSelector) Due() time.Duration {
+// NextTick returns when the decision may change by time alone; 0: it does not. The caller calls Tick then, or later.
+func (s *SourceSelector) NextTick() time.Duration {
 	switch {
 	case s.current == Discovery && s.listAvailable && s.replicas > 0:
 		return s.returnAt
--- a/internal/endpointlist/selector_test.go
+++ b/internal/endpointlist/selector_test.go
@@ -17,8 +17,8 @@
 // describe is a selector's state as its caller sees it. Times are since startTime.
 func describe(s *SourceSelector) string {
 	due := time.Duration(0)
-	if s.Due() != 0 {
-		due = s.Due() - startTime
+	if s.NextTick() != 0 {
+		due = s.NextTick() - startTime
 	}
 	return fmt.Sprintf("%d paused=%v due=%v", s.Current(), s.Paused(), due)
 }
@@ -33,7 +33,7 @@
 		return func(s *SourceSelector, now time.Duration) { s.LeaseGranted(now, n) }
 	}
 	tick := (*SourceSelector).Tick
-	received := (*SourceSelector).ObjectReceived
+	received := (*SourceSelector).UpdateReceived
 	failed := (*SourceSelector).CallFailed
 	for name, steps := range map[string][]step{
 		"a replica serves, is lost, and the next one serves": {
@@ -82,12 +82,12 @@
 	for i := range uint64(200) {
 		s := NewSourceSelector(3, i*0x9e3779b97f4a7c15)
 		s.Tick(startTime)
-		failovers[s.Due().Truncate(50*ms)] = true
+		failovers[s.NextTick().Truncate(50*ms)] = true
 		s.Tick(startTime + FailoverTimeout)
 		testkit.Equal(t, "after the failover timeout", Discovery, s.Current())
 		s.LeaseGranted(startTime+FailoverTimeout, 1)
-		returns[s.Due().Truncate(100*ms)] = true
-		if d := s.Due() - startTime - FailoverTimeout; d < InitialBackoff || d >= 2*InitialBackoff {
+		returns[s.NextTick().Truncate(100*ms)] = true
+		if d := s.NextTick() - startTime - FailoverTimeout; d < InitialBackoff || d >= 2*InitialBackoff {
 			t.Errorf("the return is due %v later", d)
 		}
 	}
@@ -154,7 +154,7 @@
 
 func (s *simulation) nextEvent(until time.Duration) time.Duration {
 	next := min(until, s.nextLease)
-	for _, due := range []time.Duration{s.selector.Due(), s.callEnds} {
+	for _, due := range []time.Duration{s.selector.NextTick(), s.callEnds} {
 		if due != 0 {
 			next = min(next, max(due, s.now))
 		}
@@ -180,7 +180,7 @@
 	}
 	s.callEnds = 0
 	if s.replicas[s.current] == serving {
-		s.selector.ObjectReceived(s.now)
+		s.selector.UpdateReceived(s.now)
 		s.unservedSince = 0
 		return
 	}
--- a/internal/endpointlist/state.go
+++ b/internal/endpointlist/state.go
@@ -173,10 +173,10 @@
 	return removed
 }
 
-// RepeatChange extends a change by the agreed texts of further ids, and bases it on the current list. It is for removals that
+// AddCommittedEntries extends a change by the agreed texts of further ids, and bases it on the current list. It is for removals that
 // were sent to readers early (EarlyRemovals) and that discovery took back before they were committed: readers must receive the
 // agreed state again. A change that cannot be decoded is returned as it is; Apply rejects it.
-func (s *State) RepeatChange(c Change, ids []string) Change {
+func (s *State) AddCommittedEntries(c Change, ids []string) Change {
 	changed, err := decodeEndpoints(BadChange, "change", c.Entries, rejectDuplicates, s.decoded)
 	if err != nil {
 		return c
--- a/internal/endpointlist/state_test.go
+++ b/internal/endpointlist/state_test.go
@@ -24,7 +24,7 @@
 	list   map[string]string // texts by id
 }
 
-func (r *reader) apply(t *rapid.T, updates []Object) {
+func (r *reader) apply(t *rapid.T, updates []Update) {
 	t.Helper()
 	for _, o := range updates {
 		if o.Reset {
@@ -247,7 +247,7 @@
 	}
 	removals, _, _ := s.NextChange([]json.RawMessage{endpointText("b", Ready, 1)}, true)
 	testkit.Equal(t, "early", []string{"a", "c"}, slices.Sorted(maps.Keys(s.EarlyEntries(removals))))
-	repeated := s.RepeatChange(Change{}, []string{"a", "c", "x"})
+	repeated := s.AddCommittedEntries(Change{}, []string{"a", "c", "x"})
 	if err := s.Apply(repeated); err != nil || s.Number() != 2 {
 		t.Fatal(err)
 	}
--- a/internal/endpointlist/updates.go
+++ b/internal/endpointlist/updates.go
@@ -5,8 +5,8 @@
 // EarlyRemovals returns the part of a change that proxies act on before it is committed: its drains and removals, as an update
 // that keeps the agreed list's number. Additions take effect with the committed list only. ok is false where there are
 // none.
-func (s *State) EarlyRemovals(c Change) (o Object, ok bool) {
-	o = Object{Generation: s.number}
+func (s *State) EarlyRemovals(c Change) (o Update, ok bool) {
+	o = Update{Generation: s.number}
 	for _, e := range s.earlyRemovals(c) {
 		o.Instances = append(o.Instances, e.Text)
 	}
@@ -40,22 +40,22 @@
 
 // UpdatesSince brings a reader of the list of that number up to date: the changes since, in order, or the whole list where
 // those are not retained any more or the number is not one of this State's. There are none where the reader is up to date.
-func (s *State) UpdatesSince(number uint64) (updates []Object) {
+func (s *State) UpdatesSince(number uint64) (updates []Update) {
 	if number == s.number {
 		return nil
 	}
 	isOfThisState := number > 0 && number < s.number
 	if !isOfThisState || len(s.changes) == 0 || number+1 < s.changes[0].Number {
-		return []Object{s.FullObject()}
+		return []Update{s.FullUpdate()}
 	}
 	next := number + 1 - s.changes[0].Number
 	for _, c := range s.changes[next:] {
-		updates = append(updates, Object{Generation: c.Number, Instances: c.Entries})
+		updates = append(updates, Update{Generation: c.Number, Instances: c.Entries})
 	}
 	return updates
 }
 
-// FullObject returns the whole list as one update.
-func (s *State) FullObject() Object {
-	return Object{Generation: s.number, Reset: true, Instances: textsOf(s.endpoints)}
+// FullUpdate returns the whole list as one update.
+func (s *State) FullUpdate() Update {
+	return Update{Generation: s.number, Reset: true, Instances: textsOf(s.endpoints)}
 }
--- a/internal/fleetconfig/state_machine_endpoints_test.go
+++ b/internal/fleetconfig/state_machine_endpoints_test.go
@@ -40,7 +40,7 @@
 	}
 	fresh := NewStateMachine()
 	testkit.Equal(t, "restore", nil, fresh.Restore(snapshotOf(t, state)))
-	testkit.Equal(t, "restored endpoint list", state.EndpointList().FullObject(), fresh.EndpointList().FullObject())
+	testkit.Equal(t, "restored endpoint list", state.EndpointList().FullUpdate(), fresh.EndpointList().FullUpdate())
 	testkit.Equal(t, "list number of the lease", uint64(1), grantedNumber(fresh))
 	testkit.Equal(t, "restore of an earlier release's snapshot", nil, fresh.Restore(before))
 	testkit.Equal(t, "list number without a list", uint64(0), grantedNumber(fresh))
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -165,7 +165,7 @@
 func (l *endpointListSource) update() {
 	l.loop.Cancel(l.timer)
 	l.timer = nil
-	if due := l.selector.Due(); due != 0 {
+	if due := l.selector.NextTick(); due != 0 {
 		l.timer = l.loop.After(due-l.loop.Now(), func() {
 			l.selector.Tick(l.loop.Now())
 			l.update()
@@ -196,7 +196,7 @@
 func (l *endpointListSource) onList(list discovery.List, kind balancer.ListKind) {
 	if l.client.Contacted() {
 		l.callFailed = false
-		l.selector.ObjectReceived(l.loop.Now())
+		l.selector.UpdateReceived(l.loop.Now())
 		l.update()
 	}
 	l.host.onList(list, kind)
--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -118,7 +118,7 @@
 		}
 		l.startPreparation(version, text)
 	}
-	l.controlPlane.Fetch(version.Number, l.failedAttempts, l.maxTextBytes(), onText)
+	l.controlPlane.FetchVersion(version.Number, l.failedAttempts, l.maxTextBytes(), onText)
 }
 
 // startPreparation prepares a version in a goroutine that ends with the preparation.
@@ -153,12 +153,12 @@
 func (l *versionLoader) onFetchFailure(version fleetconfig.PrepareVersion, err error) {
 	l.counters.FetchFailures++
 	l.host.warn("fleet: version cannot be fetched yet", zap.Uint64("version", version.Number), zap.Error(err))
-	if controlclient.TooLong.Of(err) {
+	if controlclient.ResponseTooLarge.Of(err) {
 		l.tooLongAnswers++
 		if l.tooLongAnswers >= min(tooLongQuorum, l.controlPlane.ReplicaCount()) {
 			maxBytes := l.maxTextBytes()
 			l.rejectVersion(version, &fleetconfig.Rejection{
-				Kind:       controlclient.TooLong.Name,
+				Kind:       controlclient.ResponseTooLarge.Name,
 				LimitBytes: uint64(maxBytes),
 				Cause:      fmt.Sprintf("%v; this node accepts at most %d bytes of text", err, maxBytes),
 			})
