--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,9 +39,9 @@
 	Seed           uint64 // of the balancers' random numbers
 	MemoryMB       int    // memory limit of the process, in MiB; 0: none
 	MaxDescriptors int    // limit on open file descriptors; 0: that of the process
-	// KnownEndpoints is the endpoint list to begin with, before discovery answers.
-	KnownEndpoints discovery.List
-	Settings       balancer.Settings
+	// InitialEndpoints is the endpoint list to begin with, before discovery answers.
+	InitialEndpoints discovery.List
+	Settings         balancer.Settings
 	// LoadIsLatency says how to read an endpoint's load report: some sites report latency but no load, and there the
 	// number is the latency of a message in milliseconds.
 	LoadIsLatency bool
@@ -229,7 +229,7 @@
 	if len(known) == 0 {
 		known = jsoniter.RawMessage(emptyList)
 	}
-	if c.KnownEndpoints, err = discovery.ParseList(known); err != nil {
+	if c.InitialEndpoints, err = discovery.ParseList(known); err != nil {
 		return malformedMember.New(path, "known: %v", err)
 	}
 	if c.Settings, c.LoadIsLatency, err = DecodeSettings(parsed.Settings); err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -24,7 +24,7 @@
 	return &Config{
 		Name: "proxy", Listen: "127.0.0.1:11", Discovery: "127.0.0.1:12", AdminAddr: "127.0.0.1:13", Seed: 0xfedcba9876543210,
 		MemoryMB: 14, MaxDescriptors: 15,
-		KnownEndpoints: discovery.List{Generation: 16, Reset: true, Instances: []discovery.Entry{{
+		InitialEndpoints: discovery.List{Generation: 16, Reset: true, Instances: []discovery.Entry{{
 			ID: "s001", HostPort: "127.0.0.1:17", Zone: "east", MachineType: "large", Cell: 18, Lifecycle: "terminating",
 			Weight: 1.75, StartedAtMs: 19,
 		}}},
--- a/internal/configbundle/bundle.go
+++ b/internal/configbundle/bundle.go
@@ -24,8 +24,8 @@
 	catalogSection  = "catalog"
 )
 
-// Place is where the configuration is to be used: services are resolved for the proxies of a zone and a mesh.
-type Place struct {
+// Locality is where the configuration is to be used: services are resolved for the proxies of a zone and a mesh.
+type Locality struct {
 	Zone string
 	Mesh string // "": providers of all meshes are used
 }
@@ -39,7 +39,7 @@
 	Services      []Service      // those that the routes and policies name, sorted by name
 }
 
-// Service is a service that the routes name, as it was bound for the Place.
+// Service is a service that the routes name, as it was bound for the Locality.
 type Service struct {
 	Name        string
 	Pools       []string // by preference
@@ -49,7 +49,7 @@
 
 // Decode decodes a body and binds its services for a place. An error names the section of the body (settings, routing,
 // catalog) and has the kind of the package that decodes that section.
-func Decode(body fleetconfig.Body, place Place) (Bundle, error) {
+func Decode(body fleetconfig.Body, place Locality) (Bundle, error) {
 	bundle, err := decode(body)
 	if err != nil {
 		return Bundle{}, err
@@ -76,7 +76,7 @@
 
 // bind returns the bundle with its services bound to the pools that a place uses. It fails where a service that the routes
 // name cannot be resolved there.
-func (b Bundle) bind(place Place) (Bundle, error) {
+func (b Bundle) bind(place Locality) (Bundle, error) {
 	names := catalog.ServiceNames(&b.Routing)
 	if len(names) == 0 {
 		return b, nil
@@ -97,7 +97,7 @@
 }
 
 // resolve returns a service as it was bound for a place. BindFor has found an entry for it in the catalog.
-func (b *Bundle) resolve(name string, place Place) Service {
+func (b *Bundle) resolve(name string, place Locality) Service {
 	entry, providers := b.Catalog.ProvidersFor(place.Zone, place.Mesh, name)
 	service := Service{Name: name, Explanation: b.Catalog.Explain(name), Conflict: len(entry.Conflicts) > 0}
 	for _, provider := range providers {
--- a/internal/configbundle/bundle_test.go
+++ b/internal/configbundle/bundle_test.go
@@ -39,7 +39,7 @@
 
 func TestServicesAreBoundForThePlace(t *testing.T) {
 	body := newBody(settings, routesTo("service:album"), fmt.Sprintf(albumCatalog, ""))
-	for place, want := range map[Place][]string{
+	for place, want := range map[Locality][]string{
 		{}:                               {"album.dakar", "album.thies"},
 		{Zone: "a"}:                      {"album.thies", "album.dakar"},
 		{Zone: "b"}:                      {"album.dakar", "album.thies"},
@@ -60,7 +60,7 @@
 	bundle, err := decode(body)
 	testkit.Equal(t, "decoded", []any{nil, "service:album", 1}, []any{err, bundle.Routing.Routes[0].To[0].Pool, len(bundle.Settings.Classes)})
 	for name, state := range map[string]string{"absent": "", "null": "null"} {
-		bundle, err := Decode(newBody(settings, routesTo("x"), state), Place{Mesh: "dakar"})
+		bundle, err := Decode(newBody(settings, routesTo("x"), state), Locality{Mesh: "dakar"})
 		if err != nil || bundle.Catalog != nil || bundle.Services != nil {
 			t.Errorf("%s: %+v, %v", name, bundle.Catalog, err)
 		}
@@ -83,7 +83,7 @@
 		`routing: route r: service "album": mesh "lagos" imports none`: {body: newBody(settings, routesTo("service:album"), fmt.Sprintf(albumCatalog, lagosMesh)),
 			mesh: "lagos", kind: catalog.UnknownService},
 	} {
-		_, err := Decode(test.body, Place{Mesh: test.mesh})
+		_, err := Decode(test.body, Locality{Mesh: test.mesh})
 		if err == nil || !strings.HasPrefix(err.Error(), prefix) || test.kind != nil && !test.kind.Of(err) {
 			t.Errorf("%v does not begin with %q", err, prefix)
 		}
@@ -107,7 +107,7 @@
 		runtime.GC()
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		bundle, err := Decode(body, Place{})
+		bundle, err := Decode(body, Locality{})
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		if err != nil {
--- a/internal/configbundle/golden_test.go
+++ b/internal/configbundle/golden_test.go
@@ -108,7 +108,7 @@
 
 // Services are bound to their providers' pools, and the site's own pools stay.
 func TestGoldenBodyBound(t *testing.T) {
-	bundle, err := Decode(goldenBody(t), Place{Zone: "thies", Mesh: "thies"})
+	bundle, err := Decode(goldenBody(t), Locality{Zone: "thies", Mesh: "thies"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/validate.go
+++ b/internal/controlplane/validate.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	bundle, err := configbundle.Decode(body, configbundle.Place{})
+	bundle, err := configbundle.Decode(body, configbundle.Locality{})
 	if err != nil {
 		return InvalidProposal.Wrap("proposal", err)
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -19,7 +19,7 @@
 	requested         // the connection is up and the request was written
 	headersRead       // the response's headers have come
 	streaming         // a watch has brought an object or an empty line
-	stalled           // a watch that was streaming has brought no byte for WatchProbeAfter or more
+	stalled           // a watch that was streaming has brought no byte for StandbyAfter or more
 	closed
 )
 
@@ -101,7 +101,7 @@
 		return k.missingSince
 	case timedOut.Of(err):
 		return k.progressAt
-	case now-k.lastByteAt >= k.client.times().WatchProbeAfter:
+	case now-k.lastByteAt >= k.client.times().StandbyAfter:
 		return k.lastByteAt
 	}
 	return now
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -170,8 +170,8 @@
 	previous.onBytes()
 }
 
-// Contacted reports whether the discovery at Addr has brought a list since SetAddress.
-func (c *Client) Contacted() bool { return !c.awaitingNewAddress }
+// HasSynced reports whether the discovery at Addr has brought a list since SetAddress.
+func (c *Client) HasSynced() bool { return !c.awaitingNewAddress }
 
 func (c *Client) closePreviousWatch() {
 	if c.previousWatch != nil {
@@ -223,7 +223,7 @@
 	elapsed := now - lost.missedSince(err)
 	if c.awaitingNewAddress {
 		// The tighter bound after a change of the address counts until it can no longer be kept.
-		sinceChange := now - c.addressChangedAt + times.FreshnessBound - times.ReloadFreshnessBound
+		sinceChange := now - c.addressChangedAt + times.FreshnessBound - times.AddressChangeFreshnessBound
 		if sinceChange < times.latestCallStart() {
 			elapsed = max(elapsed, sinceChange)
 		}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -152,7 +152,7 @@
 }
 
 // standbySoonTimes starts a standby within milliseconds; all else takes longer than any test.
-var standbySoonTimes = Times{CallTimeout: time.Hour, WatchProbeAfter: time.Millisecond, Jitter: time.Millisecond, WatchTimeout: time.Hour}
+var standbySoonTimes = Times{CallTimeout: time.Hour, StandbyAfter: time.Millisecond, Jitter: time.Millisecond, WatchTimeout: time.Hour}
 
 const standbyNotice = "noted: discovery: the watch timed out (*/registry/instances?watch=1&from=1, object 2, 20 bytes of it); another one has taken its place"
 
@@ -250,7 +250,7 @@
 // TestLossAndCancel: without a standby the loss is reported at once, and Watch then starts a watch; a watch that is canceled makes
 // no further calls.
 func TestLossAndCancel(t *testing.T) {
-	a, old := newRigWithStalledWatch(t, Times{CallTimeout: time.Hour, WatchProbeAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Millisecond})
+	a, old := newRigWithStalledWatch(t, Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Millisecond})
 	a.expectReports("failed: discovery: the watch timed out (*from=1, object 2, 20 bytes of it)")
 	old.awaitClose()
 	a.runOnLoop(func() {
@@ -286,7 +286,7 @@
 // TestAddressChangeAndBack: after a change back the watch at the first discovery goes on without a call, from its latest list.
 func TestAddressChangeAndBack(t *testing.T) {
 	other := newRig(t, standbySoonTimes)
-	a := newRig(t, Times{CallTimeout: fakes.WaitTimeout, WatchProbeAfter: fakes.WaitTimeout, Jitter: time.Second, WatchTimeout: fakes.WaitTimeout})
+	a := newRig(t, Times{CallTimeout: fakes.WaitTimeout, StandbyAfter: fakes.WaitTimeout, Jitter: time.Second, WatchTimeout: fakes.WaitTimeout})
 	addr := a.Addr
 	a.runOnLoop(func() { a.Watch(true) })
 	watch := a.nextCall("watch=1&from=1")
@@ -299,10 +299,10 @@
 	there := other.nextCall("watch=1&from=0")
 	line(3)
 	a.expectReports("3 of kind 0")
-	a.runOnLoop(func() { testkit.Equal(t, "reached", false, a.Contacted()) })
+	a.runOnLoop(func() { testkit.Equal(t, "reached", false, a.HasSynced()) })
 	a.runOnLoop(func() { a.SetAddress(addr) })
 	there.awaitClose()
-	a.runOnLoop(func() { testkit.Equal(t, "from where", []any{true, int64(3)}, []any{a.Contacted(), a.Generation}) })
+	a.runOnLoop(func() { testkit.Equal(t, "from where", []any{true, int64(3)}, []any{a.HasSynced(), a.Generation}) })
 	line(4)
 	a.expectReports("4 of kind 0")
 	watch.expectOpen()
@@ -347,8 +347,8 @@
 func TestDefaultTimes(t *testing.T) {
 	const every, bound = 2 * time.Second, 6 * time.Second
 	u := DefaultTimes
-	if last := u.WatchProbeAfter + u.Jitter + 3*u.Jitter/8 + u.CallTimeout/2; u.WatchProbeAfter < every+every/4 || last > bound-every/4 || u.WatchTimeout >= bound {
-		t.Errorf("a second call is begun after %v to %v, its repeat by %v, and the watch is lost after %v", u.WatchProbeAfter, u.WatchProbeAfter+u.Jitter, last, u.WatchTimeout)
+	if last := u.StandbyAfter + u.Jitter + 3*u.Jitter/8 + u.CallTimeout/2; u.StandbyAfter < every+every/4 || last > bound-every/4 || u.WatchTimeout >= bound {
+		t.Errorf("a second call is begun after %v to %v, its repeat by %v, and the watch is lost after %v", u.StandbyAfter, u.StandbyAfter+u.Jitter, last, u.WatchTimeout)
 	}
 	loop, err := evloop.New()
 	if err != nil {
--- a/internal/discovery/times.go
+++ b/internal/discovery/times.go
@@ -12,24 +12,24 @@
 // An idle watch brings an empty line every 2 s. When one is overdue a standby watch is started beside it, and the old one is
 // given up only when the standby brings something: a late line costs one call.
 type Times struct {
-	CallTimeout          time.Duration // until the first object of a response
-	WatchProbeAfter      time.Duration // without a byte on a watch, until a standby is started
-	Jitter               time.Duration // span of the random delay of standbys; other random delays are parts of it
-	WatchTimeout         time.Duration // without an object or an empty line, until a watch is lost
-	FreshnessBound       time.Duration // 0: lost watches are not restarted; whoever gets the failure asks again
-	ReloadFreshnessBound time.Duration // the same bound after a change of the address
-	QueueAllowance       time.Duration // for a response that waits for its turn
+	CallTimeout                 time.Duration // until the first object of a response
+	StandbyAfter                time.Duration // without a byte on a watch, until a standby is started
+	Jitter                      time.Duration // span of the random delay of standbys; other random delays are parts of it
+	WatchTimeout                time.Duration // without an object or an empty line, until a watch is lost
+	FreshnessBound              time.Duration // 0: lost watches are not restarted; whoever gets the failure asks again
+	AddressChangeFreshnessBound time.Duration // the same bound after a change of the address
+	QueueAllowance              time.Duration // for a response that waits for its turn
 }
 
 // DefaultTimes are the times that follow from what discovery promises.
 var DefaultTimes = Times{
-	CallTimeout:          2500 * time.Millisecond,
-	WatchProbeAfter:      2500 * time.Millisecond,
-	Jitter:               time.Second,
-	WatchTimeout:         5500 * time.Millisecond,
-	FreshnessBound:       6 * time.Second,
-	ReloadFreshnessBound: 4 * time.Second,
-	QueueAllowance:       2 * time.Second,
+	CallTimeout:                 2500 * time.Millisecond,
+	StandbyAfter:                2500 * time.Millisecond,
+	Jitter:                      time.Second,
+	WatchTimeout:                5500 * time.Millisecond,
+	FreshnessBound:              6 * time.Second,
+	AddressChangeFreshnessBound: 4 * time.Second,
+	QueueAllowance:              2 * time.Second,
 }
 
 const (
@@ -74,8 +74,8 @@
 
 // probeDelay returns the time without a byte after which a standby is started. lineDelay is by how much lines came late before.
 func (t Times) probeDelay(lineDelay time.Duration, fraction float64) time.Duration {
-	from := t.WatchProbeAfter + lineDelay
-	to := max(t.WatchProbeAfter+t.Jitter, from+t.lineDelayStep())
+	from := t.StandbyAfter + lineDelay
+	to := max(t.StandbyAfter+t.Jitter, from+t.lineDelayStep())
 	return interpolate(from, to, fraction)
 }
 
--- a/internal/discovery/times_test.go
+++ b/internal/discovery/times_test.go
@@ -52,7 +52,7 @@
 	for _, late := range []time.Duration{0, u.Jitter / 4, u.Jitter / 2, 3 * u.Jitter / 4, u.Jitter} {
 		for _, fraction := range []float64{0, 0.5, most} {
 			first := u.probeDelay(late, fraction)
-			if first < u.WatchProbeAfter+late || first > u.latestCallStart() {
+			if first < u.StandbyAfter+late || first > u.latestCallStart() {
 				t.Errorf("lines %v late, chance %v: a second call is begun after %v", late, fraction, first)
 			}
 			if again := first + u.standbyRetryDelay(fraction) + u.QueueAllowance; again > u.FreshnessBound {
@@ -90,7 +90,7 @@
 			}
 		}
 		// A new address that refuses at first has a shorter bound, see scheduleRestart.
-		if again := u.restartDelay(every, u.FreshnessBound-u.ReloadFreshnessBound, 0, most); again+u.QueueAllowance+schedulingMargin > u.ReloadFreshnessBound {
+		if again := u.restartDelay(every, u.FreshnessBound-u.AddressChangeFreshnessBound, 0, most); again+u.QueueAllowance+schedulingMargin > u.AddressChangeFreshnessBound {
 			t.Errorf("every %v, another discovery: known after %v", every, again+u.QueueAllowance+schedulingMargin)
 		}
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,7 +11,7 @@
 )
 
 // restartSoonTimes make a client restart a lost watch within milliseconds.
-var restartSoonTimes = Times{CallTimeout: time.Hour, WatchProbeAfter: time.Hour, Jitter: time.Hour / 100, WatchTimeout: time.Hour, FreshnessBound: time.Hour, ReloadFreshnessBound: time.Hour, QueueAllowance: time.Millisecond}
+var restartSoonTimes = Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour / 100, WatchTimeout: time.Hour, FreshnessBound: time.Hour, AddressChangeFreshnessBound: time.Hour, QueueAllowance: time.Millisecond}
 
 // TestLostWatchIsRestarted: the client restarts a lost watch in its own time, whatever the poll interval; a call of Watch meanwhile
 // means that same watch.
@@ -47,7 +47,7 @@
 
 // TestFetchedListIsAhead: a fetched list may be ahead of the watch; older objects that the watch then brings are passed over.
 func TestFetchedListIsAhead(t *testing.T) {
-	a := newRig(t, Times{CallTimeout: time.Hour, WatchProbeAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour})
+	a := newRig(t, Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour})
 	a.runOnLoop(func() { a.Watch(true) })
 	watch := a.nextCall("watch=1&from=1")
 	watch.respond(fakes.List(2, false) + "\n")
@@ -66,7 +66,7 @@
 
 // TestAddressChangeBeforeAnyList: a watch that has brought lists is followed until another one brings a list.
 func TestAddressChangeBeforeAnyList(t *testing.T) {
-	times := Times{CallTimeout: time.Hour, WatchProbeAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour}
+	times := Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour}
 	third, second, a := newRig(t, times), newRig(t, times), newRig(t, times)
 	a.runOnLoop(func() { a.Watch(true) })
 	first := a.nextCall("watch=1&from=1")
@@ -91,7 +91,7 @@
 
 // TestAddressChangeDuringOwnFetch: the client's own fetch is not repeated at the new address.
 func TestAddressChangeDuringOwnFetch(t *testing.T) {
-	times := Times{CallTimeout: time.Hour, WatchProbeAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour}
+	times := Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour}
 	third, second, a := newRig(t, times), newRig(t, times), newRig(t, times)
 	a.runOnLoop(func() { a.Watch(true) })
 	a.nextCall("watch=1&from=1")
@@ -110,7 +110,7 @@
 // TestResponseWhileProcessIsStopped: a response that came while the process was stopped counts, although its call's time is over.
 func TestResponseWhileProcessIsStopped(t *testing.T) {
 	const limit = time.Second
-	a := newRig(t, Times{CallTimeout: limit, WatchProbeAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour})
+	a := newRig(t, Times{CallTimeout: limit, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour})
 	var begun time.Time
 	a.runOnLoop(func() {
 		begun = time.Now()
@@ -134,7 +134,7 @@
 	a.expectReports("2 of kind 0")
 	a.runOnLoop(func() {
 		// All but a moment of the bound has passed; otherwise the next call would come in many minutes.
-		a.PollInterval, a.Times.ReloadFreshnessBound, a.Times.Jitter = time.Hour, restartSoonTimes.QueueAllowance+schedulingMargin+20*time.Millisecond, time.Millisecond
+		a.PollInterval, a.Times.AddressChangeFreshnessBound, a.Times.Jitter = time.Hour, restartSoonTimes.QueueAllowance+schedulingMargin+20*time.Millisecond, time.Millisecond
 		a.SetAddress(other.Addr)
 	})
 	other.nextCall("watch=1&from=0").respond("[503]")
@@ -146,7 +146,7 @@
 // TestAddressChangeWhereFetchFails: until a whole list has come from a new address each of its watches has one fetched, so that no
 // endpoint stays that only the old discovery listed.
 func TestAddressChangeWhereFetchFails(t *testing.T) {
-	times := Times{CallTimeout: time.Hour, WatchProbeAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour}
+	times := Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour}
 	other, a := newRig(t, times), newRig(t, times)
 	a.runOnLoop(func() { a.Watch(true) })
 	a.nextCall("watch=1&from=1")
--- a/internal/metrics/loop.go
+++ b/internal/metrics/loop.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// LongTurn is the processor time that a turn of the event loop should stay under.
-const LongTurn = 5 * time.Millisecond
+// LongTurnThreshold is the processor time that a turn of the event loop should stay under.
+const LongTurnThreshold = 5 * time.Millisecond
 
 // Loop has the figures of the event loop. The zero value is ready for use.
 type Loop struct {
-	Turns       Counter
-	LongTurns   Counter       // that took LongTurn or longer
-	LongestTurn time.Duration // since the process started
-	LongestFor  string        // what that turn was for
-	HoldUps     Counter       // after which the loop had to catch up
-	HeldUp      time.Duration // in all
+	Turns            Counter
+	LongTurns        Counter       // that took LongTurnThreshold or longer
+	LongestTurn      time.Duration // since the process started
+	LongestTurnCause string        // what that turn was for
+	HoldUps          Counter       // after which the loop had to catch up
+	HoldUpTime       time.Duration // in all
 }
 
 // RecordTurn counts a turn and reports whether it was long.
@@ -24,9 +24,9 @@
 	l.Turns++
 	if length > l.LongestTurn {
 		l.LongestTurn = length
-		l.LongestFor = cause
+		l.LongestTurnCause = cause
 	}
-	if length < LongTurn {
+	if length < LongTurnThreshold {
 		return false
 	}
 	l.LongTurns++
@@ -36,7 +36,7 @@
 // RecordHoldUp counts a hold-up.
 func (l *Loop) RecordHoldUp(length time.Duration) {
 	l.HoldUps++
-	l.HeldUp += length
+	l.HoldUpTime += length
 }
 
 // AppendMetrics appends the telemetry text: a name=value line each.
@@ -44,13 +44,13 @@
 	out = appendMetric(out, "svc.loop.turns", l.Turns)
 	out = appendMetric(out, "svc.loop.long_turns", l.LongTurns)
 	out = appendMetric(out, "svc.loop.longest_turn_us", l.LongestTurn.Microseconds())
-	out = appendMetric(out, "svc.loop.longest_turn_for", l.LongestFor)
+	out = appendMetric(out, "svc.loop.longest_turn_for", l.LongestTurnCause)
 	out = appendMetric(out, "svc.loop.hold_ups", l.HoldUps)
-	return appendMetric(out, "svc.loop.held_up_ms", l.HeldUp.Milliseconds())
+	return appendMetric(out, "svc.loop.held_up_ms", l.HoldUpTime.Milliseconds())
 }
 
 // WritePairs writes the figures as name=value pairs, each with a blank behind it.
 func (l *Loop) WritePairs(w io.Writer) {
 	fmt.Fprintf(w, "turns=%d long_turns=%d longest_turn_us=%d hold_ups=%d held_up_ms=%d ", l.Turns, l.LongTurns,
-		l.LongestTurn.Microseconds(), l.HoldUps, l.HeldUp.Milliseconds())
+		l.LongestTurn.Microseconds(), l.HoldUps, l.HoldUpTime.Milliseconds())
 }
--- a/internal/metrics/loop_test.go
+++ b/internal/metrics/loop_test.go
@@ -11,7 +11,7 @@
 // TestLoopAndReasonsText pins the names that operators scrape.
 func TestLoopAndReasonsText(t *testing.T) {
 	var loop Loop
-	for _, length := range []time.Duration{time.Millisecond, LongTurn, 1700 * time.Millisecond, LongTurn - 1} {
+	for _, length := range []time.Duration{time.Millisecond, LongTurnThreshold, 1700 * time.Millisecond, LongTurnThreshold - 1} {
 		loop.RecordTurn("endpoint list", length)
 	}
 	loop.RecordHoldUp(1700 * time.Millisecond)
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -27,13 +27,13 @@
 )
 
 // controlPlaneTimes are the timeouts of calls to control-plane replicas. They leave time to try another replica before
-// service discovery. WatchProbeAfter exceeds WatchTimeout, so no standby watch is started at an unresponsive replica: the
+// service discovery. StandbyAfter exceeds WatchTimeout, so no standby watch is started at an unresponsive replica: the
 // replicas are requested in turn instead.
 var controlPlaneTimes = discovery.Times{
-	CallTimeout:     time.Second,
-	WatchProbeAfter: 2 * controlPlaneWatchTimeout,
-	Jitter:          time.Second,
-	WatchTimeout:    controlPlaneWatchTimeout,
+	CallTimeout:  time.Second,
+	StandbyAfter: 2 * controlPlaneWatchTimeout,
+	Jitter:       time.Second,
+	WatchTimeout: controlPlaneWatchTimeout,
 }
 
 // onList applies a whole endpoint list or a delta.
@@ -194,7 +194,7 @@
 // onList applies a list. Until the new source answers, the list may still come from the watch at the former address and
 // does not count as an answer of the new source.
 func (l *endpointListSource) onList(list discovery.List, kind balancer.ListKind) {
-	if l.client.Contacted() {
+	if l.client.HasSynced() {
 		l.callFailed = false
 		l.selector.ObjectReceived(l.loop.Now())
 		l.update()
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -189,7 +189,7 @@
 	return &config.Config{
 		Name: "proxy", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: 1, MaxDescriptors: 64, Settings: settings,
 		LoadIsLatency: loadIsLatency, Routes: routes,
-		KnownEndpoints: discovery.List{Generation: 1, Reset: true, Instances: []discovery.Entry{
+		InitialEndpoints: discovery.List{Generation: 1, Reset: true, Instances: []discovery.Entry{
 			{ID: "s001", HostPort: "127.0.0.1:2", Zone: "east", Lifecycle: "in_service", Weight: 1},
 			{ID: "s002", HostPort: "127.0.0.1:3", Zone: "west", Lifecycle: "terminating", Weight: 1},
 		}},
--- a/internal/proxy/hotrestart_state.go
+++ b/internal/proxy/hotrestart_state.go
@@ -111,7 +111,7 @@
 // configuration.
 func (p *Proxy) startBalancers(c *config.Config, state *handoverState) {
 	if state == nil || !p.restoreState(state) {
-		p.onList(c.KnownEndpoints, balancer.CachedList)
+		p.onList(c.InitialEndpoints, balancer.CachedList)
 	}
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -140,8 +140,8 @@
 	return &discovery.Client{
 		Loop:          p.loop,
 		Addr:          c.Discovery,
-		Generation:    c.KnownEndpoints.Generation,
-		SeenEndpoints: len(c.KnownEndpoints.Instances) > 0,
+		Generation:    c.InitialEndpoints.Generation,
+		SeenEndpoints: len(c.InitialEndpoints.Instances) > 0,
 		OnList:        p.onList,
 		OnFailure:     p.onListFailure,
 		OnNotice:      func(err error) { p.warnDiscovery("discovery: watch replaced by its standby", err) },
--- a/internal/proxy/turn_cost_test.go
+++ b/internal/proxy/turn_cost_test.go
@@ -20,7 +20,7 @@
 
 const (
 	// boundedEndpoints is the size of the largest list that operators run. With it every turn must take less than
-	// metrics.LongTurn of processor time.
+	// metrics.LongTurnThreshold of processor time.
 	boundedEndpoints = 3200
 	// The growth is measured from smallEndpoints to largestEndpoints, sixteen times as many.
 	smallEndpoints   = 800
@@ -209,11 +209,11 @@
 // violations describes the bounds that turns exceed.
 func (c scaledCosts) violations() (texts []string) {
 	for _, name := range c[boundedEndpoints].names {
-		if cost := c[boundedEndpoints].least[name]; cost >= metrics.LongTurn {
-			texts = append(texts, fmt.Sprintf("%s takes %v with %d endpoints, want less than %v", name, cost, boundedEndpoints, metrics.LongTurn))
+		if cost := c[boundedEndpoints].least[name]; cost >= metrics.LongTurnThreshold {
+			texts = append(texts, fmt.Sprintf("%s takes %v with %d endpoints, want less than %v", name, cost, boundedEndpoints, metrics.LongTurnThreshold))
 		}
 		small, largest := c[smallEndpoints].least[name], c[largestEndpoints].least[name]
-		if growth := float64(largest) / float64(small); growth > maxGrowth && largest > metrics.LongTurn/10 {
+		if growth := float64(largest) / float64(small); growth > maxGrowth && largest > metrics.LongTurnThreshold/10 {
 			texts = append(texts, fmt.Sprintf("%s takes %.1f times as long with %d endpoints as with %d", name, growth, largestEndpoints,
 				smallEndpoints))
 		}
--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -45,7 +45,7 @@
 type loaderInput struct {
 	activeTable    *routing.Table
 	activeEstimate memestimate.Estimate // of activeTable; Live 0: not estimated yet
-	place          configbundle.Place
+	place          configbundle.Locality
 }
 
 // versionLoader fetches versions of the fleet's configuration from the control plane and prepares them, one at a time. It
--- a/internal/proxy/version_prepare.go
+++ b/internal/proxy/version_prepare.go
@@ -56,7 +56,7 @@
 	text           []byte
 	table          *routing.Table       // the active routing table
 	activeEstimate memestimate.Estimate // of table; Live 0: not estimated yet
-	place          configbundle.Place
+	place          configbundle.Locality
 	limitBytes     uint64 // heap limit; 0: none
 }
 
