--- a/internal/memestimate/allocator.go
+++ b/internal/memestimate/allocator.go
@@ -7,41 +7,43 @@
 	"unsafe"
 )
 
-// A model of Go's allocator, after runtime/sizeclasses.go, slice.go, malloc.go and internal/runtime/maps of go1.24 to
-// go1.26. Tests compare each rule with the runtime that they run on.
+// These constants model Go's allocator and maps, following runtime/sizeclasses.go, runtime/slice.go, runtime/malloc.go and
+// internal/runtime/maps of go1.24 to go1.26. The tests compare each rule with the runtime that runs them.
 const (
 	// Objects, in bytes.
 	tinyBlockBytes  = 16       // smaller objects without pointers are packed into blocks of this size
-	minHeaderObject = 512      // larger objects with pointers have a header, up to maxSmallObject
-	headerBytes     = 8        // of such an object
-	maxSmallObject  = 32 << 10 // larger objects take whole pages
+	minHeaderObject = 512      // larger objects with pointers carry a header, up to maxSmallObject
+	headerBytes     = 8        // size of that header
+	maxSmallObject  = 32 << 10 // larger objects occupy whole pages
 	pageBytes       = 8 << 10
 
-	// Slices with fewer elements double when they grow; longer ones approach growth by a quarter.
+	// doublingLimit is the capacity, in elements, below which a slice doubles when it grows. Above it, the growth factor falls
+	// gradually to 1.25.
 	doublingLimit = 256
 
 	// Maps.
 	mapGroupSlots        = 8
 	mapGroupControlBytes = 8
-	maxMapTableSlots     = 1024 // of each table of a large map
+	maxMapTableSlots     = 1024 // slots of each table of a large map
 	mapHeaderBytes       = 48
 	mapTableHeaderBytes  = 32
 	pointerBytes         = 8
-	maxMapTables         = 1 << 40 // keeps the search for the number of tables finite
+	maxMapTables         = 1 << 40 // bounds the search for the number of tables
 
-	// Size classes are looked up in steps of fineStep up to maxFineObject, then of coarseStep; all in bytes.
+	// Size classes are indexed in steps of fineStep bytes up to maxFineObject, and in steps of coarseStep bytes above it.
 	maxFineObject = 1024
 	fineStep      = 8
 	coarseStep    = 128
 )
 
-// sizeClasses are the sizes that the allocator rounds object sizes up to, in bytes.
+// sizeClasses maps object sizes to the sizes that the allocator rounds them up to, in bytes.
 type sizeClasses struct {
-	fine   [maxFineObject/fineStep + 1]uint16                    // of a size in steps of fineStep
-	coarse [(maxSmallObject-maxFineObject)/coarseStep + 1]uint16 // of a size beyond maxFineObject in steps of coarseStep
+	fine   [maxFineObject/fineStep + 1]uint16                    // sizes up to maxFineObject, in steps of fineStep
+	coarse [(maxSmallObject-maxFineObject)/coarseStep + 1]uint16 // larger sizes, in steps of coarseStep
 }
 
-// runtimeSizeClasses are those of the running program. The runtime shows them as the upper bounds of a histogram's buckets.
+// runtimeSizeClasses returns the size classes of the running program. The runtime exposes them as the bucket bounds of a
+// histogram in runtime/metrics.
 var runtimeSizeClasses = sync.OnceValue(func() *sizeClasses {
 	sample := []metrics.Sample{{Name: "/gc/heap/allocs-by-size:bytes"}}
 	metrics.Read(sample)
@@ -59,7 +61,7 @@
 				return uint16(size)
 			}
 		}
-		return uint16(n) // a runtime without this metric
+		return uint16(n) // the runtime lacks this metric
 	}
 	c := &sizeClasses{}
 	for i := range c.fine {
@@ -71,7 +73,7 @@
 	return c
 })
 
-// objectBytes is what an object of n bytes uses.
+// objectBytes returns the bytes that the allocator uses for an object of n bytes.
 func (c *sizeClasses) objectBytes(n uint64, hasPointers bool) uint64 {
 	if hasPointers && n > minHeaderObject && n <= maxSmallObject-headerBytes {
 		n += headerBytes
@@ -89,7 +91,8 @@
 	return (n + pageBytes - 1) &^ (pageBytes - 1)
 }
 
-// tinyShares is a short string's share of a tiny block, by its length: as many share a block as fit into it.
+// tinyShares holds, by string length, the bytes of a tiny block that one short string accounts for. A tiny block holds as many
+// strings as fit.
 var tinyShares = func() (shares [tinyBlockBytes]uint8) {
 	for n := 1; n < tinyBlockBytes; n++ {
 		shares[n] = uint8(tinyBlockBytes / (tinyBlockBytes / n))
@@ -97,7 +100,8 @@
 	return shares
 }()
 
-// stringBytes is what a string of n bytes uses that was allocated by itself. Those of one byte are static.
+// stringBytes returns the bytes that a separately allocated string of length n uses. The runtime does not allocate strings of
+// one byte; it has them as static data.
 func (c *sizeClasses) stringBytes(n int) uint64 {
 	switch {
 	case n <= 1:
@@ -108,19 +112,19 @@
 	return c.objectBytes(uint64(n), false)
 }
 
-// sliceType is what the allocator knows of a slice's elements.
+// sliceType describes the element type of a slice to the allocator.
 type sliceType struct {
 	elementBytes uint64
 	hasPointers  bool
 }
 
-// sliceOf is the type of a slice of T.
+// sliceOf returns the sliceType of []T.
 func sliceOf[T any](hasPointers bool) sliceType {
 	var element T
 	return sliceType{elementBytes: uint64(unsafe.Sizeof(element)), hasPointers: hasPointers}
 }
 
-// arrayBytes is what an array with a capacity of n elements uses.
+// arrayBytes returns the bytes that a backing array with a capacity of n elements uses.
 func (c *sizeClasses) arrayBytes(s sliceType, n uint64) uint64 {
 	size := mulSaturating(n, s.elementBytes)
 	if size < tinyBlockBytes && !s.hasPointers {
@@ -129,7 +133,7 @@
 	return c.objectBytes(size, s.hasPointers)
 }
 
-// capacityFor is the capacity of an array that was grown to hold n elements.
+// capacityFor returns the capacity of a backing array allocated for n elements: n rounded up to the size class.
 func (c *sizeClasses) capacityFor(s sliceType, n uint64) uint64 {
 	size := mulSaturating(n, s.elementBytes)
 	if size > math.MaxUint64-pageBytes {
@@ -142,7 +146,8 @@
 	return usable / s.elementBytes
 }
 
-// grownCapacity is the capacity of a slice to which n elements were appended one by one, and that of the array before.
+// grownCapacity returns the capacity of a slice after n elements were appended one by one, and its capacity before the last
+// reallocation.
 func (c *sizeClasses) grownCapacity(s sliceType, n uint64) (capacity, previous uint64) {
 	for capacity < n {
 		previous = capacity
@@ -161,18 +166,18 @@
 	return capacity, previous
 }
 
-// appendedBytes is what a slice uses to which n elements were appended one by one.
+// appendedBytes returns the bytes that a slice uses after n elements were appended one by one.
 func (c *sizeClasses) appendedBytes(s sliceType, n uint64) uint64 {
 	capacity, _ := c.grownCapacity(s, n)
 	return c.arrayBytes(s, capacity)
 }
 
-// clonedBytes is what slices.Clone of n elements uses.
+// clonedBytes returns the bytes that the result of slices.Clone uses for n elements.
 func (c *sizeClasses) clonedBytes(s sliceType, n uint64) uint64 {
 	return c.arrayBytes(s, c.capacityFor(s, n))
 }
 
-// extendedBytes is what a clone of n-1 elements uses to which one was appended.
+// extendedBytes returns the bytes that a clone of n-1 elements uses after one more element was appended.
 func (c *sizeClasses) extendedBytes(s sliceType, n uint64) uint64 {
 	capacity := c.capacityFor(s, n-1)
 	if capacity < n {
@@ -185,8 +190,9 @@
 	return c.arrayBytes(s, capacity)
 }
 
-// mapBytes is what a map uses that has grown to n entries of slotBytes for key and value. A large map consists of tables of
-// at most maxMapTableSlots, each of which splits in two when it is seven eighths full; random hash seeds vary that a little.
+// mapBytes returns the bytes that a map uses after it has grown to n entries of slotBytes each for key and value. A large map
+// consists of tables with at most maxMapTableSlots slots. A table splits in two when seven eighths of its slots are used, so the
+// random hash seed changes the number of tables slightly.
 func (c *sizeClasses) mapBytes(slotBytes, n uint64) uint64 {
 	groupBytes := mulSaturating(slotBytes, mapGroupSlots) + mapGroupControlBytes
 	switch {
@@ -207,5 +213,5 @@
 	return addSaturating(mapHeaderBytes, mulSaturating(tables, tableBytes))
 }
 
-// maxMapEntries is how many entries a map's table holds before it grows or splits: seven eighths of its slots.
+// maxMapEntries returns how many entries a table of a map holds before it grows or splits: seven eighths of its slots.
 func maxMapEntries(slots uint64) uint64 { return slots / 8 * 7 }
--- a/internal/memestimate/allocator_test.go
+++ b/internal/memestimate/allocator_test.go
@@ -10,10 +10,11 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-var heapSink any // makes what it holds escape to the heap
+// heapSink makes the values assigned to it escape to the heap.
+var heapSink any
 
-// appendCapacities are the capacities that a slice goes through when elements are appended. The slice is a struct field, as
-// those of a table are.
+// appendCapacities returns the successive capacities of a slice while elements are appended to it. The slice is a struct field,
+// as the slices of a table are.
 func appendCapacities[T any](n int) (out []uint64) {
 	at := new(struct{ s []T })
 	heapSink = at
@@ -26,7 +27,7 @@
 	return out
 }
 
-// modelCapacities are those of the model.
+// modelCapacities returns the successive capacities of a slice according to the model.
 func modelCapacities(c *sizeClasses, slice sliceType, n uint64) (capacities []uint64) {
 	for length := uint64(1); length <= n; {
 		capacity, _ := c.grownCapacity(slice, length)
@@ -36,26 +37,26 @@
 	return capacities
 }
 
-func TestGrownCapacityIsTheRuntimes(t *testing.T) {
+func TestGrownCapacityMatchesRuntime(t *testing.T) {
 	c, n := runtimeSizeClasses(), 200_000
-	testkit.Equal(t, "texts", appendCapacities[string](n), modelCapacities(c, stringSlice, uint64(n)))
-	testkit.Equal(t, "numbers", appendCapacities[int32](n), modelCapacities(c, int32Slice, uint64(n)))
-	testkit.Equal(t, "routes", appendCapacities[routing.Route](n), modelCapacities(c, routeSlice, uint64(n)))
-	testkit.Equal(t, "bytes", appendCapacities[byte](n), modelCapacities(c, byteSlice, uint64(n)))
+	testkit.Equal(t, "capacities of []string", appendCapacities[string](n), modelCapacities(c, stringSlice, uint64(n)))
+	testkit.Equal(t, "capacities of []int32", appendCapacities[int32](n), modelCapacities(c, int32Slice, uint64(n)))
+	testkit.Equal(t, "capacities of []routing.Route", appendCapacities[routing.Route](n), modelCapacities(c, routeSlice, uint64(n)))
+	testkit.Equal(t, "capacities of []byte", appendCapacities[byte](n), modelCapacities(c, byteSlice, uint64(n)))
 	for n := range 5000 {
-		testkit.Equal(t, "a clone's room", cap(append([]byte(nil), make([]byte, n)...)), int(c.capacityFor(byteSlice, uint64(n))))
-		testkit.Equal(t, "a text list's room", cap(append([]string(nil), make([]string, n)...)), int(c.capacityFor(stringSlice, uint64(n))))
+		testkit.Equal(t, "capacity of a cloned []byte", cap(append([]byte(nil), make([]byte, n)...)), int(c.capacityFor(byteSlice, uint64(n))))
+		testkit.Equal(t, "capacity of a cloned []string", cap(append([]string(nil), make([]string, n)...)), int(c.capacityFor(stringSlice, uint64(n))))
 	}
 }
 
-func TestMapBytesAreTheRuntimes(t *testing.T) {
+func TestMapBytesMatchRuntime(t *testing.T) {
 	var keys []string
 	for i := range 50_000 {
 		keys = append(keys, strconv.Itoa(i))
 	}
 	for _, n := range []int{0, 1, 8, 9, 14, 15, 28, 100, 500, 896, 2000, 50_000} {
-		// The heap drifts by some kilobytes between two measurements on a busy machine, whatever is allocated: many copies make
-		// that small beside the bounds.
+		// On a busy machine the heap drifts by some kilobytes between two measurements, whatever the test allocates. Many copies
+		// make that drift small compared with the bounds.
 		copies := max(20_000/max(n, 1), 1)
 		made := make([]map[string]int, copies)
 		before := sets.LiveHeap()
@@ -67,24 +68,24 @@
 		}
 		used := float64(sets.LiveHeap()-before) / float64(copies)
 		runtime.KeepAlive(made)
-		// A map of many tables may have split one more or less, depending on its random seed.
-		if estimated := float64(runtimeSizeClasses().mapBytes(numberSlotBytes, uint64(n))); estimated < used*0.94-16 || estimated > used*1.06+16 {
-			t.Errorf("a map of %d is estimated at %.0f bytes and uses %.0f", n, estimated, used)
+		// The random hash seed of a map with many tables may cause one table split more or fewer.
+		if estimated := float64(runtimeSizeClasses().mapBytes(intSlotBytes, uint64(n))); estimated < used*0.94-16 || estimated > used*1.06+16 {
+			t.Errorf("map of %d entries: estimated %.0f bytes, measured %.0f", n, estimated, used)
 		}
 	}
 }
 
 func TestSliceTypesOfTableAreFound(t *testing.T) {
-	for name, k := range map[string]sliceType{"rules": ruleSlice, "shapes": shapeSlice, "targets": targetSlice} {
-		if k.elementBytes == 0 {
-			t.Errorf("routing.Table has no field %s any more", name)
+	for name, slice := range map[string]sliceType{"rules": ruleSlice, "shapes": shapeSlice, "targets": targetSlice} {
+		if slice.elementBytes == 0 {
+			t.Errorf("routing.Table has no field %q; update slices.go", name)
 		}
 	}
 }
 
 func TestArithmeticSaturates(t *testing.T) {
-	const most = ^uint64(0)
-	testkit.Equal(t, "sums and products", []uint64{most, most, most, most, 7, most / 2},
-		[]uint64{addSaturating(most, 1), mulSaturating(1<<33, 1<<33), sumSaturating(most, most, 1), runtimeSizeClasses().arrayBytes(stringSlice, most), proportion(7, most, most),
-			proportion(most, 1, 2)})
+	const maxUint64 = ^uint64(0)
+	testkit.Equal(t, "sums and products", []uint64{maxUint64, maxUint64, maxUint64, maxUint64, 7, maxUint64 / 2},
+		[]uint64{addSaturating(maxUint64, 1), mulSaturating(1<<33, 1<<33), sumSaturating(maxUint64, maxUint64, 1),
+			runtimeSizeClasses().arrayBytes(stringSlice, maxUint64), proportion(7, maxUint64, maxUint64), proportion(maxUint64, 1, 2)})
 }
--- a/internal/memestimate/counter.go
+++ b/internal/memestimate/counter.go
@@ -9,42 +9,43 @@
 )
 
 const (
-	// maxRouteRules is routing's limit of the rules of a route. The rules of a larger one, which routing rejects, are not
-	// told apart but only multiplied.
+	// maxRouteRules is the limit of internal/routing on the rules of a route. internal/routing rejects a route with more rules;
+	// for such a route only the number of rules is computed, not their shapes.
 	maxRouteRules = 4096
-	// maxSteps and maxShapes bound the work on a set and its memory: the number of combinations of forms that are visited,
-	// and of different shapes. In a larger set each combination counts as a shape of its own.
+	// maxSteps and maxShapes bound the time and memory of estimating a set: the number of visited combinations of length
+	// buckets, and the number of different shapes. Above either limit, each combination counts as a separate shape.
 	maxSteps  = 4 << 20
 	maxShapes = 1 << 17
-	// fixedDimensions is how many dimensions every table has; each further field is one more.
+	// fixedDimensions is the number of dimensions that every table has. Each further field adds one.
 	fixedDimensions = 5
 	// maxLargestRoutes is the length of Estimate.LargestRoutes.
 	maxLargestRoutes = 10
 
-	// Layout of routing's index, in bytes.
+	// Layout of the routing index, in bytes.
 	recordHeaderBytes = 12
-	exactLengthBytes  = 2 // before an exact text in a record
+	exactLengthBytes  = 2 // length prefix of an exact text in a record
 	slotBytes         = 8
-	memberBytes       = 4 // of a rule's position in its shape's list, while the index is built
+	memberBytes       = 4 // position of a rule in the list of its shape, needed while the index is built
 )
 
-// Counter estimates by counting what routing.New allocates. It is immutable and may be shared by goroutines.
+// Counter is an Estimator that counts the allocations of routing.New. It is immutable and safe for concurrent use.
 type Counter struct{ *sizeClasses }
 
 var _ Estimator = (*Counter)(nil)
 
-// New makes a Counter for the running program's allocator.
+// New returns a Counter for the allocator of the running program.
 func New() *Counter { return &Counter{runtimeSizeClasses()} }
 
-// Table implements Estimator. Each string of the set counts as one allocation, as decoders make them, and each slice by its
-// capacity. A set that routing.New rejects gets an estimate too. What does not fit into 64 bits is math.MaxUint64.
+// Table implements Estimator. Each string of the set counts as one allocation, because decoders allocate strings separately, and
+// each slice counts by its capacity. A set that routing.New rejects gets an estimate too. Results that exceed 64 bits become
+// math.MaxUint64.
 func (c *Counter) Table(set *routing.Set) Estimate {
-	const typicalDimensions = 8 // of a route; more make the buffers grow
+	const typicalDimensions = 8 // of a route; the buffers grow for a route with more
 	t := tally{
 		sizeClasses: c.sizeClasses,
 		policyCosts: make([]policyCost, 0, len(set.Policies)),
 		routeCosts:  make([]routeCost, 0, len(set.Routes)),
-		forms:       make([]form, 0, typicalDimensions),
+		buckets:     make([]lengthBucket, 0, typicalDimensions),
 		dimensions:  make([]dimension, 0, typicalDimensions),
 	}
 	for i := range set.Policies {
@@ -57,67 +58,67 @@
 	return t.estimate(set, fixed)
 }
 
-// SwitchPeak implements Estimator. The text is held until the new table is compiled.
+// SwitchPeak implements Estimator. The received body stays in memory until the new table is compiled.
 func (*Counter) SwitchPeak(current, next Estimate, textBytes int) uint64 {
 	return sumSaturating(current.LiveBytes, next.LiveBytes, next.CompileBytes, uint64(max(textBytes, 0)))
 }
 
-// HotRestartPeak implements Estimator. The text counts twice: the old process sends it and the new one reads it.
+// HotRestartPeak implements Estimator. The body counts twice, because the old process sends it and the new process reads it.
 func (c *Counter) HotRestartPeak(e Estimate, textBytes int) uint64 {
 	return addSaturating(c.SwitchPeak(e, e, textBytes), uint64(max(textBytes, 0)))
 }
 
-// tally is the sums of a set while it is counted. Sums that a set can make too large for 64 bits saturate.
+// tally accumulates the counts and sums of a set. Sums that a set can push beyond 64 bits saturate.
 type tally struct {
 	*sizeClasses
-	policyNumbers hashNumbers  // of policies by the hashes of their names
-	policyCosts   []policyCost // by their numbers
-	fieldNames    hashNumbers  // of further fields
-	splitNumbers  hashNumbers  // of splits with their policies
-	shapeNumbers  hashNumbers
-	shapes        []shapeCount // by their numbers
-
-	setBytes         uint64 // of the routes in the set
-	targetTotal      uint64 // bytes of the routes' targets
+	policyIDs   hashIDs      // of policy names
+	policyCosts []policyCost // by their numbers
+	fieldNames  hashIDs      // of the names of further fields
+	splitIDs    hashIDs      // of splits combined with their policies
+	shapeIDs    hashIDs
+	shapes      []shapeCount // by their numbers
+
+	setBytes         uint64 // memory of the routes in the set
+	targetTotal      uint64 // memory of the targets of the routes, in bytes
 	rules            uint64
 	recordTotal      uint64 // bytes
-	splitTextTotal   uint64 // bytes of the texts that identify different splits
-	steps            uint64 // combinations of forms, of all routes
-	excessRules      uint64 // rules of routes that routing rejects
-	largestExpansion uint64 // the most rules of one route
-	largestPartial   uint64 // the most rules of one route before its last dimension
+	splitTextTotal   uint64 // memory of the texts that identify different splits, in bytes
+	steps            uint64 // combinations of length buckets of all routes
+	excessRules      uint64 // rules of routes that internal/routing rejects
+	largestExpansion uint64 // the most rules of any route
+	largestPartial   uint64 // the most partial rules of one route, without its last dimension
 	routeCosts       []routeCost
 
-	// Of the current route.
-	forms      []form
+	// Length buckets and dimensions of the current route.
+	buckets    []lengthBucket
 	dimensions []dimension
 
-	// Buffers, kept so that no route allocates them anew.
-	multiForm   []dimension
-	seen        hashNumbers
-	targetCache [16]uint64 // targetBytes by the number of shares; 0: not computed yet
+	// Buffers that all routes reuse.
+	multiBucket []dimension
+	seen        hashIDs
+	targetCache [16]uint64 // targetBytes by number of shares; 0: not computed yet
 }
 
-// policyCost is what a policy adds to each route that has it.
+// policyCost is what a policy adds to each route that uses it.
 type policyCost struct {
 	fallbackBytes uint64
-	hash          uint64 // its part of the split's hash
+	hash          uint64 // its part of the hash of a split
 }
 
-// routeCost is a route's part of the table.
+// routeCost is the part of the table that one route accounts for.
 type routeCost struct {
 	ownBytes    uint64
 	rules       uint64
 	recordBytes uint64
 }
 
-// policyHashSeed makes the hash of a policy's name differ from that of a share of a pool with the same name.
+// policyHashSeed makes the hash of a policy name differ from the hash of a pool with the same name in a split.
 const policyHashSeed = 6
 
-// addPolicy notes what a policy costs its routes. Of two with one name the later one counts.
+// addPolicy stores the cost that a policy adds to its routes. If two policies have the same name, the later one counts.
 func (t *tally) addPolicy(p *routing.Policy) {
 	hash := xxhash.Sum64String(p.Name)
-	number, isNew := t.policyNumbers.number(hash)
+	number, isNew := t.policyIDs.id(hash)
 	if isNew {
 		t.policyCosts = append(t.policyCosts, policyCost{})
 	}
@@ -127,7 +128,7 @@
 	}
 }
 
-// fixedBytes is what a table uses beside its routes.
+// fixedBytes returns the memory of a table without its routes, in bytes.
 func (t *tally) fixedBytes(set *routing.Set) uint64 {
 	bytes := sumSaturating(
 		t.objectBytes(uint64(reflect.TypeFor[routing.Table]().Size()), true),
@@ -135,7 +136,7 @@
 		t.arrayBytes(poolSlice, uint64(cap(set.Pools))),
 		t.arrayBytes(policySlice, uint64(cap(set.Policies))),
 		t.arrayBytes(zoneSlice, uint64(cap(set.Zones))),
-		t.mapBytes(numberSlotBytes, uint64(len(set.Pools))))
+		t.mapBytes(intSlotBytes, uint64(len(set.Pools))))
 	if set.Listeners != nil {
 		bytes = addSaturating(bytes, t.mapBytes(listenerSlotBytes, uint64(len(set.Listeners))))
 	}
@@ -158,7 +159,7 @@
 	return bytes
 }
 
-// stringListBytes is what a list of strings uses. It exists already, so its size cannot overflow.
+// stringListBytes returns the memory of a list of strings, in bytes. The list exists in memory, so its size cannot overflow.
 func (t *tally) stringListBytes(list []string) uint64 {
 	if cap(list) == 0 {
 		return 0
--- a/internal/memestimate/estimate_test.go
+++ b/internal/memestimate/estimate_test.go
@@ -23,11 +23,11 @@
 
 const (
 	mib = 1 << 20
-	// heapNoise is what the runtime itself may allocate or free during a measurement.
+	// heapNoise is the number of bytes that the runtime itself may allocate or free during a measurement.
 	heapNoise = 64 << 10
 )
 
-// newSet makes the set of a plan, encoded and decoded.
+// newSet returns the set of a plan, encoded and decoded.
 func newSet(t interface{ Fatal(...any) }, p sets.Plan) (text []byte, set *routing.Set) {
 	text, err := p.Encode()
 	if err == nil {
@@ -39,21 +39,21 @@
 	return text, set
 }
 
-// checkRatio fails where the ratio of an estimate to what was measured is outside a range.
+// checkRatio checks that the ratio of an estimate to a measured value lies within a range.
 func checkRatio(t *testing.T, what string, estimated, measured uint64, least, most float64) {
 	t.Helper()
 	if ratio := float64(estimated) / float64(measured); math.IsNaN(ratio) || ratio < least || ratio > most {
-		t.Errorf("%s: estimated %d, measured %d: a ratio of %.3f, not %v to %v", what, estimated, measured, ratio, least, most)
+		t.Errorf("%s: estimated %d, measured %d: ratio %.3f, want %v to %v", what, estimated, measured, ratio, least, most)
 	}
 }
 
-func TestLive(t *testing.T) {
+func TestLiveBytes(t *testing.T) {
 	c := memestimate.New()
-	large := 0
-	least := 0.95
+	largeTables := 0
+	minRatio := 0.95
 	race := debug.BuildSetting{Key: "-race", Value: "true"}
 	if info, ok := debug.ReadBuildInfo(); ok && slices.Contains(info.Settings, race) {
-		least = 0.9 // short strings use more there
+		minRatio = 0.9 // short strings use more memory under the race detector
 	}
 	for _, p := range sets.Plans(3, 3*len(sets.Kinds()), 10_000, 10_000) {
 		text, set := newSet(t, p)
@@ -62,22 +62,22 @@
 			t.Fatal(p, err)
 		}
 		if e := c.Table(set); live >= mib {
-			large++
-			checkRatio(t, p.String(), e.LiveBytes, live, least, 1.15)
+			largeTables++
+			checkRatio(t, p.String(), e.LiveBytes, live, minRatio, 1.15)
 		} else {
-			// The runtime's own allocations vary by some KiB, which is much of a small table.
-			checkRatio(t, p.String(), e.LiveBytes+heapNoise, live+heapNoise, least-0.05, 1.2)
+			// The runtime's own allocations vary by some KiB, which is a large part of a small table.
+			checkRatio(t, p.String(), e.LiveBytes+heapNoise, live+heapNoise, minRatio-0.05, 1.2)
 		}
 	}
-	if large < 20 {
-		t.Errorf("only %d tables of 1 MiB or more", large)
+	if largeTables < 20 {
+		t.Errorf("only %d tables of 1 MiB or more, want at least 20", largeTables)
 	}
 }
 
-// TestPeak runs itself in a second process, in which the peak can be measured exactly.
-func TestPeak(t *testing.T) {
+// TestSwitchPeak runs itself in a child process with stop-the-world garbage collection, under which the peak is measured exactly.
+func TestSwitchPeak(t *testing.T) {
 	if !sets.HasStopTheWorldGC() {
-		cmd := exec.Command(os.Args[0], "-test.run=^TestPeak$")
+		cmd := exec.Command(os.Args[0], "-test.run=^TestSwitchPeak$")
 		cmd.Env = append(os.Environ(), "GODEBUG="+sets.StopTheWorldGC)
 		if out, err := cmd.CombinedOutput(); err != nil {
 			t.Errorf("%v:\n%s", err, out)
@@ -99,20 +99,20 @@
 	for i := range 64 {
 		short.Exact = append(short.Exact, strconv.Itoa(i))
 	}
-	// One route of 4,096 rules uses more while it is expanded than the table in the end.
+	// A single route of 4,096 rules uses more memory while it is expanded than the compiled table.
 	old, current := encodeAndDecode(t, routing.Set{Pools: []routing.Pool{{Name: "p"}}})
-	text, set := encodeAndDecode(t, routing.Set{Pools: []routing.Pool{{Name: "p"}}, Routes: []routing.Route{{Name: "r", To: wholeToPool,
+	text, set := encodeAndDecode(t, routing.Set{Pools: []routing.Pool{{Name: "p"}}, Routes: []routing.Route{{Name: "r", To: allToPool,
 		Match: routing.Match{Key: short, Group: short}}}})
 	peak, err := sets.SwitchPeak(old, text, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkRatio(t, "one route", c.SwitchPeak(c.Table(current), c.Table(set), len(text)), peak, 0.95, 1.15)
+	checkRatio(t, "one route of 4,096 rules", c.SwitchPeak(c.Table(current), c.Table(set), len(text)), peak, 0.95, 1.15)
 }
 
-var wholeToPool = []routing.SplitShare{{Pool: "p", PPM: routing.TotalPPM}}
+var allToPool = []routing.SplitShare{{Pool: "p", PPM: routing.TotalPPM}}
 
-// encodeAndDecode is a set's text, and the set as a decoder makes it.
+// encodeAndDecode returns the encoded set, and the set as decoded from it.
 func encodeAndDecode(t interface{ Fatal(...any) }, set routing.Set) ([]byte, *routing.Set) {
 	text, err := json.Marshal(set)
 	if err != nil {
@@ -125,11 +125,11 @@
 	return text, out
 }
 
-// fieldCount is how many further fields routes have conditions on.
-func fieldCount(of []routing.Route) int {
+// fieldCount returns the number of further fields on which routes have conditions.
+func fieldCount(routes []routing.Route) int {
 	names := map[string]bool{}
-	for i := range of {
-		for name := range of[i].Match.Fields {
+	for i := range routes {
+		for name := range routes[i].Match.Fields {
 			names[name] = true
 		}
 	}
@@ -145,21 +145,21 @@
 		mixed := *set
 		mixed.Routes = rapid.Permutation(set.Routes).Draw(rt, "order")
 		mixed.Routes = append(make([]routing.Route, 0, cap(set.Routes)), mixed.Routes...)
-		testkit.Equal(t, "the estimate in another order", all, c.Table(&mixed))
+		testkit.Equal(t, "estimate for another order of routes", all, c.Table(&mixed))
 
 		less := all
 		for n := len(set.Routes); n > 0; n-- {
 			mixed.Routes = mixed.Routes[:n-1]
 			_, fewer := encodeAndDecode(rt, mixed)
 			e := c.Table(fewer)
-			// A further field makes each rule's lists longer by one, and by chance of their sizes it may make them
-			// smaller: a list of 16 texts is one of 15 grown by half of what it then holds, one of 18 is just that.
+			// A further field adds an element to the lists of each rule, but rounding to capacities may make the lists
+			// smaller: a list of 16 texts is a list of 15 that was reallocated with room to grow, whereas a list of 18 fits exactly.
 			if fieldCount(mixed.Routes) < fieldCount(mixed.Routes[:n]) {
 				less = e
 				continue
 			}
 			if e.LiveBytes > less.LiveBytes || e.LiveBytes+e.CompileBytes > less.LiveBytes+less.CompileBytes || e.Rules > less.Rules {
-				rt.Fatalf("%d routes: %+v, %d: %+v", n, less, n-1, e)
+				rt.Fatalf("the estimate grew when a route was removed: %d routes: %+v, %d routes: %+v", n, less, n-1, e)
 			}
 			less = e
 		}
@@ -172,17 +172,17 @@
 		_, set := newSet(t, sets.Plan{Kind: kind, Routes: 10, Seed: 9})
 		all := c.Table(set)
 		sum := uint64(0)
-		for _, w := range all.LargestRoutes {
-			sum += w.Bytes
+		for _, size := range all.LargestRoutes {
+			sum += size.Bytes
 		}
-		testkit.Equal(t, "as many as there are", 10, len(all.LargestRoutes))
+		testkit.Equal(t, "number of largest routes", 10, len(all.LargestRoutes))
 		set.Routes = nil
-		checkRatio(t, kind+": all routes' weights", sum, all.LiveBytes-c.Table(set).LiveBytes, 0.97, 1.03)
+		checkRatio(t, kind+": sum of the sizes of all routes", sum, all.LiveBytes-c.Table(set).LiveBytes, 0.97, 1.03)
 	}
 
 	_, set := newSet(t, sets.Plan{Kind: "one text", Routes: 5000, Seed: 9})
 	want := []memestimate.RouteSize{}
-	for i := range 12 { // each a little smaller than the one before
+	for i := range 12 { // each slightly smaller than the previous one
 		r := &set.Routes[4000-300*i]
 		for n := range 200 - 10*i {
 			r.Match.Key.Exact = append(r.Match.Key.Exact, fmt.Sprint("another text ", i, " ", n))
@@ -191,15 +191,15 @@
 	}
 	got := c.Table(set).LargestRoutes
 	if !slices.IsSortedFunc(got, func(a, b memestimate.RouteSize) int { return int(b.Bytes) - int(a.Bytes) }) {
-		t.Errorf("not sorted by size: %v", got)
+		t.Errorf("largest routes are not sorted by descending size: %v", got)
 	}
 	for i := range got {
 		got[i].Bytes = 0
 	}
-	testkit.Equal(t, "the largest", want[:10], got)
+	testkit.Equal(t, "names and rules of the largest routes", want[:10], got)
 }
 
-// prefixesOfLengths is a condition of n prefixes of different lengths.
+// prefixesOfLengths returns a condition with n prefixes of the lengths 1 to n.
 func prefixesOfLengths(n int) (s routing.StringMatcher) {
 	for i := range n {
 		s.Prefix = append(s.Prefix, strings.Repeat("x", i+1))
@@ -207,27 +207,27 @@
 	return s
 }
 
-func TestBadSets(t *testing.T) {
+func TestEstimateOfInvalidSets(t *testing.T) {
 	c := memestimate.New()
 	huge := routing.Match{Fields: map[string]routing.StringMatcher{}}
 	for i := range 20 {
 		huge.Fields[fmt.Sprint("f", i)] = prefixesOfLengths(500)
 	}
 	route := func(m routing.Match) routing.Set {
-		return routing.Set{Pools: []routing.Pool{{Name: "p"}}, Routes: []routing.Route{{Name: "r", Match: m, To: wholeToPool}}}
+		return routing.Set{Pools: []routing.Pool{{Name: "p"}}, Routes: []routing.Route{{Name: "r", Match: m, To: allToPool}}}
 	}
 	set := route(huge)
 	e := c.Table(&set)
-	testkit.Equal(t, "saturated", []uint64{math.MaxUint64, math.MaxUint64, math.MaxUint64, math.MaxUint64},
+	testkit.Equal(t, "saturated values", []uint64{math.MaxUint64, math.MaxUint64, math.MaxUint64, math.MaxUint64},
 		[]uint64{e.LiveBytes, e.Rules, c.SwitchPeak(e, e, 1), c.HotRestartPeak(e, 1)})
 	set = routing.Set{Policies: []routing.Policy{{}, {Fallback: []string{"", "?"}}}, Default: "none",
 		Routes: []routing.Route{{}, {Policy: "?", To: []routing.SplitShare{{PPM: math.MinInt}}},
 			{Match: routing.Match{Key: prefixesOfLengths(3000)}}}}
 	if e = c.Table(&set); e.Rules != 3002 || e.LiveBytes > 16*mib {
-		t.Errorf("an invalid set: %+v", e)
+		t.Errorf("invalid set: %+v, want 3002 rules and at most 16 MiB", e)
 	}
-	testkit.Equal(t, "an empty set", uint64(0), c.Table(&routing.Set{}).Rules)
-	testkit.Equal(t, "a negative length of the text", c.SwitchPeak(e, e, 0), c.SwitchPeak(e, e, -1))
+	testkit.Equal(t, "rules of an empty set", uint64(0), c.Table(&routing.Set{}).Rules)
+	testkit.Equal(t, "peak with a negative body length", c.SwitchPeak(e, e, 0), c.SwitchPeak(e, e, -1))
 }
 
 func TestDuplicateTextsCountOnce(t *testing.T) {
@@ -237,7 +237,7 @@
 		match routing.Match
 	}{
 		{1, routing.Match{}},
-		{1, routing.Match{Key: routing.StringMatcher{Exact: long, Prefix: []string{"x", ""}}}}, // always holds
+		{1, routing.Match{Key: routing.StringMatcher{Exact: long, Prefix: []string{"x", ""}}}}, // matches every text
 		{2, routing.Match{Class: []string{"a", "b", "a"}}},
 		{6, routing.Match{Zone: append(long, long...)}},
 		{8, routing.Match{Key: routing.StringMatcher{Exact: append(long, "a"), Prefix: []string{"a", "b", "a"}}}},
@@ -248,12 +248,12 @@
 	}
 }
 
-// TestManyShapes has a table with more shapes than any real one.
+// TestManyShapes checks the estimate of a table with far more shapes than a real table has.
 func TestManyShapes(t *testing.T) {
 	set := routing.Set{Pools: []routing.Pool{{Name: "p"}}}
 	for i := range 2000 {
 		set.Routes = append(set.Routes, routing.Route{Name: fmt.Sprint("r", i), Precedence: i,
-			To: wholeToPool,
+			To: allToPool,
 			Match: routing.Match{Group: prefixesOfLengths(1 + i%7), Key: routing.StringMatcher{Prefix: []string{strings.Repeat("k", 1+i%11)}},
 				Fields: map[string]routing.StringMatcher{fmt.Sprint("f", i%13): prefixesOfLengths(1 + i%3), fmt.Sprint("g", i%17): prefixesOfLengths(1)}}})
 	}
@@ -265,7 +265,7 @@
 	checkRatio(t, "many shapes", memestimate.New().Table(read).LiveBytes, live, 0.97, 1.05)
 }
 
-// allocatedBytes is what a call allocates.
+// allocatedBytes returns the bytes that a call allocates.
 func allocatedBytes(do func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -284,14 +284,14 @@
 		_, set := newSet(t, sets.Plan{Kind: kind, Routes: routes, Seed: 11})
 		e := c.Table(set)
 		if bytes := allocatedBytes(func() { c.Table(set) }); bytes > e.LiveBytes/10 {
-			t.Errorf("%s: estimating a table of %d bytes allocates %d", kind, e.LiveBytes, bytes)
+			t.Errorf("%s: estimating a table of %d bytes allocates %d bytes, want at most a tenth", kind, e.LiveBytes, bytes)
 		}
 		if n := testing.AllocsPerRun(3, func() { c.Table(set) }); n > 100 {
-			t.Errorf("%s: %v allocations for %d routes", kind, n, routes)
+			t.Errorf("%s: %v allocations for %d routes, want at most 100", kind, n, routes)
 		}
 	}
 
-	// Each of these routes has 4,096 shapes of rules, which no other route has.
+	// Each of these routes has 4,096 shapes that no other route has.
 	set := routing.Set{Pools: []routing.Pool{{Name: "p"}}}
 	for i := range 2000 {
 		set.Routes = append(set.Routes, routing.Route{Name: fmt.Sprint("r", i), Match: routing.Match{Key: prefixesOfLengths(16),
@@ -301,17 +301,17 @@
 	bytes := allocatedBytes(func() { e = c.Table(&set) })
 	testkit.Equal(t, "rules", uint64(2000*4096), e.Rules)
 	if bytes > 64*mib || e.LiveBytes < 8<<30 {
-		t.Errorf("an adversarial set: %d bytes allocated, %d estimated", bytes, e.LiveBytes)
+		t.Errorf("adversarial set: %d bytes allocated, %d bytes estimated", bytes, e.LiveBytes)
 	}
 }
 
-func TestCounterIsSharedByGoroutines(t *testing.T) {
+func TestCounterIsSafeForConcurrentUse(t *testing.T) {
 	c := memestimate.New()
 	_, set := newSet(t, sets.Plan{Kind: "mixed", Routes: 200, Seed: 1})
 	want := c.Table(set)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range 4 {
-		all.Go(func() { testkit.Equal(t, "estimate of another goroutine", want, c.Table(set)) })
+		workers.Go(func() { testkit.Equal(t, "estimate in a concurrent goroutine", want, c.Table(set)) })
 	}
-	all.Wait()
+	workers.Wait()
 }
--- a/internal/memestimate/measure/limits.go
+++ b/internal/memestimate/measure/limits.go
@@ -14,17 +14,17 @@
 	"example.org/micafront/internal/memestimate/sets"
 )
 
-// limitFactors are the memory limits under which a switch is measured, as multiples of its estimated peak; 0: no limit.
+// limitFactors are the memory limits under which a table switch is measured, as multiples of its estimated peak; 0: no limit.
 var limitFactors = []float64{0, 2, 1.5, 1.25, 1.1, 1.05, 1, 0.95}
 
-// noLimit is a memory limit that no process reaches.
+// noLimit is a memory limit in bytes that no process reaches.
 const noLimit = int64(1 << 62)
 
-// sampleInterval is how often watchPeak reads the memory.
+// sampleInterval is the interval at which watchPeak samples the memory.
 const sampleInterval = time.Millisecond
 
-// measureLimits measures what a switch of tables of o.maxRoutes routes costs under memory limits near its peak, and writes the
-// page. GOGC keeps its default, as in a proxy.
+// measureLimits measures the duration and memory of a switch between tables of o.maxRoutes routes under memory limits near its
+// estimated peak, and writes the page. GOGC keeps its default, as in a proxy.
 func measureLimits(o options) error {
 	plan := sets.Plan{Kind: "mixed", Routes: o.maxRoutes, Seed: o.seed}
 	text, err := plan.Encode()
@@ -48,7 +48,7 @@
 	fmt.Fprintf(&b, "A table of %d routes is reloaded while the same one is in use; the estimate's peak is %.1f MiB. Beside it the\n"+
 		"process holds %.1f MiB (the program that measures, and the runtime). The limit is that and so many times the peak.\n\n"+
 		"| limit, of the peak | ms, median of %d | of those without a limit | most held, MiB | over the limit, MiB |\n"+
-		"| --- | --- | --- | --- | --- |\n", o.maxRoutes, float64(estimatedPeak)/mib, float64(memoryBeside(e.LiveBytes))/mib, rounds)
+		"| --- | --- | --- | --- | --- |\n", o.maxRoutes, float64(estimatedPeak)/mib, float64(memoryOutsideTable(e.LiveBytes))/mib, timingRounds)
 	unlimited := time.Duration(0)
 	for _, factor := range limitFactors {
 		durations, peak, limit, err := timeSwitches(text, e, factor, estimatedPeak)
@@ -72,14 +72,14 @@
 	return os.WriteFile(filepath.Join(o.out, "memory-limits.md"), []byte(b.String()), 0o644)
 }
 
-// timeSwitches compiles a table several times under a limit: what the process uses beside it and a multiple of the estimated
-// peak. It returns the durations, the peak of the memory and the latest limit, in bytes.
+// timeSwitches compiles a table several times under a memory limit. The limit is the memory that the process uses without the
+// table plus a multiple of the estimated peak. It returns the durations, the peak of the memory and the last limit, in bytes.
 func timeSwitches(text []byte, e memestimate.Estimate, factor float64, estimatedPeak uint64) (durations []time.Duration, peak uint64, limit int64, err error) {
 	limit = noLimit
-	for range rounds {
-		beside := memoryBeside(e.LiveBytes)
+	for range timingRounds {
+		otherBytes := memoryOutsideTable(e.LiveBytes)
 		if factor > 0 {
-			limit = int64(beside) + int64(factor*float64(estimatedPeak))
+			limit = int64(otherBytes) + int64(factor*float64(estimatedPeak))
 		}
 		debug.SetMemoryLimit(limit)
 		start := time.Now()
@@ -97,21 +97,21 @@
 	return durations, peak, limit, nil
 }
 
-// memoryBeside is what the process uses beside a table of live bytes.
-func memoryBeside(live uint64) uint64 {
+// memoryOutsideTable returns the memory that the process uses without a table of the given live bytes.
+func memoryOutsideTable(live uint64) uint64 {
 	debug.FreeOSMemory()
 	total := mappedMemory()
 	return total - min(live, total)
 }
 
-// mappedMemory is what the process uses of the machine's memory, as the memory limit counts it.
+// mappedMemory returns the memory of the process in bytes, as the Go memory limit counts it.
 func mappedMemory() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(sample)
 	return sample[0].Value.Uint64() - sample[1].Value.Uint64()
 }
 
-// watchPeak is the peak of mappedMemory while a function runs, as far as samples show it.
+// watchPeak returns the largest sample of mappedMemory while a function runs.
 func watchPeak(do func() error) (peak uint64, err error) {
 	done := make(chan struct{})
 	result := make(chan uint64)
--- a/internal/memestimate/measure/main.go
+++ b/internal/memestimate/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure compares the estimates of memestimate with what route tables really use: it generates tables of all kinds,
-// compiles each, and writes a page of measurements and a chart.
+// Command measure compares the estimates of memestimate with the memory that route tables actually use. It generates route sets
+// of all kinds, compiles each, and writes a page of measurements and a chart.
 //
 //	go run ./internal/memestimate/measure -seed 1 -tables 220 -out docs/results
 package main
@@ -21,34 +21,34 @@
 	"example.org/micafront/internal/routing"
 )
 
-// Accuracy and cost that the estimate is required to have, for tables of 1 MiB or more.
+// Required accuracy and cost of the estimate for tables of 1 MiB or more.
 const (
-	minRatio     = 0.95 // to what is measured
+	minRatio     = 0.95 // of the estimate to the measured value
 	maxRatio     = 1.15
-	maxTimeRatio = 1.0 / 20 // of the time of compiling
+	maxTimeRatio = 1.0 / 20 // of the estimate's time to the compile time
 )
 
 const (
 	mib = 1 << 20
 
-	// The heap is collected each time that it has grown by so many percent.
+	// Heap growth in percent that triggers a garbage collection during a measurement.
 	smallTableGCPercent = 4
 	largeTableGCPercent = 5
 	minLargeTable       = 32 * mib
 
-	rounds    = 7 // of timing; the median counts
-	minTiming = 2 * time.Millisecond
+	timingRounds = 7 // the median of the rounds is reported
+	minTiming    = 2 * time.Millisecond
 )
 
-// measurement is the result of one table. Ratios are of the estimate to what was measured.
+// measurement is the result for one table. Each ratio is the estimate divided by the measured value.
 type measurement struct {
 	plan        sets.Plan
 	rules       uint64
 	live        uint64 // bytes
-	peak        uint64 // bytes, during a switch
+	peak        uint64 // bytes, during a table switch
 	liveRatio   float64
 	switchRatio float64
-	timeRatio   float64 // of the times of estimating and compiling
+	timeRatio   float64 // time of estimating divided by time of compiling
 	compile     time.Duration
 }
 
@@ -56,10 +56,10 @@
 	seed := flag.Uint64("seed", 1, "seed of the tables")
 	tables := flag.Int("tables", 220, "number of tables")
 	maxRoutes := flag.Int("routes", 200_000, "routes of the largest table")
-	maxSize := flag.Int("room", 200_000, "largest size of a table, in routes with one text")
+	maxSize := flag.Int("room", 200_000, "largest size of a table, in routes with one exact text")
 	out := flag.String("out", "docs/results", "folder to write memory.md and memory.html to, or memory-limits.md")
-	commit := flag.String("commit", "", "commit that is measured; by default that of git describe")
-	limited := flag.Bool("limits", false, "measure a switch under memory limits instead")
+	commit := flag.String("commit", "", "commit that is measured (default: the output of git describe)")
+	limited := flag.Bool("limits", false, "measure a table switch under memory limits instead")
 	flag.Parse()
 	o := options{seed: *seed, tables: *tables, maxRoutes: *maxRoutes, maxSize: *maxSize, out: *out, commit: *commit}
 	if err := run(o, *limited); err != nil {
@@ -73,7 +73,7 @@
 	seed      uint64
 	tables    int
 	maxRoutes int
-	maxSize   int    // of a table, in routes with one text
+	maxSize   int    // largest size of a table, in routes with one exact text
 	out       string // folder
 	commit    string
 }
@@ -91,19 +91,19 @@
 	return measureTables(o)
 }
 
-// describeCommit is the commit that is checked out, as git names it.
+// describeCommit returns the checked-out commit as git describe names it.
 func describeCommit() (string, error) {
 	text, err := exec.Command("git", "describe", "--always", "--dirty").Output()
 	if err != nil {
-		return "", fmt.Errorf("git describe failed; give the commit by -commit: %w", err)
+		return "", fmt.Errorf("git describe failed; pass the commit with -commit: %w", err)
 	}
 	return strings.TrimSpace(string(text)), nil
 }
 
-// measureTables measures all tables and writes the page and the chart.
+// measureTables measures all tables, and writes the page and the chart.
 func measureTables(o options) error {
 	if !sets.HasStopTheWorldGC() {
-		return runWithStoppedCollections()
+		return runWithStopTheWorldGC()
 	}
 	counter := memestimate.New()
 	var measurements []measurement
@@ -128,9 +128,9 @@
 	return errors.Join(newChart(measurements).Render(file), file.Close())
 }
 
-// runWithStoppedCollections runs the command again in a process of its own with sets.StopTheWorldGC: GODEBUG is read at a
-// process's start only.
-func runWithStoppedCollections() error {
+// runWithStopTheWorldGC runs the command again in a child process with sets.StopTheWorldGC, because the runtime reads GODEBUG
+// only at the start of a process.
+func runWithStopTheWorldGC() error {
 	debug := sets.StopTheWorldGC
 	if other := os.Getenv("GODEBUG"); other != "" {
 		debug = other + "," + debug
@@ -142,7 +142,7 @@
 	return cmd.Run()
 }
 
-// measure measures the table of a plan, and a switch to it from one of the same kind with half its routes.
+// measure measures the table of a plan, and a switch to it from a table of the same kind with half as many routes.
 func measure(c *memestimate.Counter, p sets.Plan) (m measurement, err error) {
 	m.plan = p
 	text, err := p.Encode()
@@ -188,7 +188,7 @@
 	return c.Table(set), nil
 }
 
-// measureTime times estimating and compiling in turn.
+// measureTime times estimating and compiling alternately.
 func (m *measurement) measureTime(c *memestimate.Counter, text []byte) error {
 	set, err := sets.Decode(text)
 	if err != nil {
@@ -196,7 +196,7 @@
 	}
 	var ratios []float64
 	var compileTimes []time.Duration
-	for range rounds {
+	for range timingRounds {
 		runtime.GC()
 		estimating := timeCall(func() { c.Table(set) })
 		runtime.GC()
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// timeCall is how long a call takes. A short one is repeated for minTiming.
+// timeCall returns the duration of a call. It repeats a short call for minTiming and returns the mean.
 func timeCall(do func()) time.Duration {
 	start := time.Now()
 	for calls := 1; ; calls++ {
@@ -223,7 +223,7 @@
 	}
 }
 
-// median is the upper median of values in any order.
+// median returns the upper median of the values, which need not be sorted.
 func median[T float64 | time.Duration](values []T) T {
 	values = slices.Sorted(slices.Values(values))
 	return values[len(values)/2]
--- a/internal/memestimate/measure/page.go
+++ b/internal/memestimate/measure/page.go
@@ -11,7 +11,7 @@
 	"github.com/go-echarts/go-echarts/v2/opts"
 )
 
-// writePage is the page with all measurements, as Markdown.
+// writePage returns the Markdown page with all measurements.
 func writePage(head string, all []measurement) string {
 	large := slices.DeleteFunc(slices.Clone(all), func(m measurement) bool { return m.live < mib })
 	small := slices.DeleteFunc(slices.Clone(all), func(m measurement) bool { return m.live >= mib })
@@ -30,7 +30,7 @@
 	return b.String()
 }
 
-// writeSummary writes the distributions over all kinds, beside what is required.
+// writeSummary writes the distribution of each ratio over all kinds, and the required range.
 func writeSummary(b *strings.Builder, large, small []measurement) {
 	requiredRatio := fmt.Sprintf("%v to %v", minRatio, maxRatio)
 	b.WriteString("| figure | tables | least | median | most | asked | outside |\n| --- | --- | --- | --- | --- | --- | --- |\n")
@@ -48,7 +48,7 @@
 	b.WriteString("\nBelow 1 MiB nothing is required; the figures are for information.\n")
 }
 
-// writeKinds writes the range of each kind of tables.
+// writeKinds writes the range of each ratio by kind of table.
 func writeKinds(b *strings.Builder, large []measurement) {
 	b.WriteString("\n## By kind\n\n" +
 		"Least and most of each kind, tables from 1 MiB up.\n\n" +
@@ -84,7 +84,7 @@
 
 func isAccurate(ratio float64) bool { return ratio >= minRatio && ratio <= maxRatio }
 
-// sortedBy is a sorted quantity of all measurements.
+// sortedBy returns the sorted values of a quantity over all measurements.
 func sortedBy(measurements []measurement, quantity func(measurement) float64) (values []float64) {
 	for _, m := range measurements {
 		values = append(values, quantity(m))
@@ -93,8 +93,8 @@
 	return values
 }
 
-// writeRow writes the distribution of a quantity, and for how many measurements it is not as required; nothing where there are
-// no measurements.
+// writeRow writes the distribution of a quantity and the number of measurements outside the required range. It writes nothing
+// if there are no measurements.
 func writeRow(b *strings.Builder, name string, measurements []measurement, required string, isGood func(float64) bool,
 	quantity func(measurement) float64) {
 	values := sortedBy(measurements, quantity)
@@ -106,7 +106,7 @@
 		values[len(values)-1], required, bad)
 }
 
-// newChart shows the ratios by the tables' sizes.
+// newChart returns a chart of the ratios over the sizes of the tables.
 func newChart(all []measurement) *charts.Scatter {
 	points := func(ratio func(measurement) float64) (data []opts.ScatterData) {
 		for _, m := range all {
--- a/internal/memestimate/routes.go
+++ b/internal/memestimate/routes.go
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// exactText is the length of an exact text's pattern, as in routing.
+// exactText is the pattern length of an exact text, as in internal/routing.
 const exactText = 1 << 20
 
-// Hashes of the dimensions that every table has. Those of further fields have the highest bit set.
+// Hashes of the dimensions that every table has. The hashes of further fields have the highest bit set.
 const (
 	keyDimension = iota + 1
 	groupDimension
@@ -24,23 +24,24 @@
 	fieldDimensionBit = 1 << 63
 )
 
-// form is the alternatives of a condition whose patterns have one length.
-type form struct {
+// lengthBucket holds the alternatives of a condition whose patterns have the same length.
+type lengthBucket struct {
 	length int32 // bytes of a prefix, or exactText
 	count  uint64
-	bytes  uint64 // of their texts in records
+	bytes  uint64 // memory of their texts in records
 }
 
 // dimension is a condition of the current route.
 type dimension struct {
-	hash  uint64
-	from  int // its forms are tally.forms[from:to]
-	to    int
-	count uint64 // of all its alternatives
-	bytes uint64 // of their texts in records
+	hash        uint64
+	firstBucket int // its length buckets are tally.buckets[firstBucket:endBucket]
+	endBucket   int
+	count       uint64 // number of all its alternatives
+	bytes       uint64 // memory of their texts in records
 }
 
-// addRoute adds a route to all sums. Hashes of the parts of a split are added up, so that their order does not matter.
+// addRoute adds a route to the tally. The hash of a split is the sum of the hashes of its parts, so that it does not depend on
+// their order.
 func (t *tally) addRoute(r *routing.Route) {
 	conditionBytes := t.addConditions(&r.Match)
 	setBytes := t.stringBytes(len(r.Name)) + t.stringBytes(len(r.Policy)) + t.arrayBytes(shareSlice, uint64(cap(r.To))) +
@@ -54,12 +55,12 @@
 
 	targetBytes := t.targetBytes(len(r.To))
 	if r.Policy != "" {
-		if number := t.policyNumbers.lookup(xxhash.Sum64String(r.Policy)); number >= 0 {
+		if number := t.policyIDs.lookup(xxhash.Sum64String(r.Policy)); number >= 0 {
 			targetBytes += t.policyCosts[number].fallbackBytes
 			splitHash += t.policyCosts[number].hash
 		}
 	}
-	if _, isNew := t.splitNumbers.number(splitHash); isNew {
+	if _, isNew := t.splitIDs.id(splitHash); isNew {
 		t.splitTextTotal = addSaturating(t.splitTextTotal, t.splitTextBytes(r))
 	}
 	t.targetTotal += targetBytes
@@ -68,15 +69,15 @@
 	t.routeCosts = append(t.routeCosts, routeCost{ownBytes: setBytes + targetBytes, rules: rules, recordBytes: recordBytes})
 }
 
-// addRules adds the rules of the current route to all sums, and returns their number and the bytes of their records. hasZone
-// says that the route's last dimension has a condition.
+// addRules adds the rules of the current route to the tally, and returns their number and the bytes of their records. hasZone
+// reports whether the route has a condition in the zone dimension, which is the last one.
 func (t *tally) addRules(hasZone bool) (rules, recordBytes uint64) {
 	rules = 1
 	steps := uint64(1)
 	for i := range t.dimensions {
 		d := &t.dimensions[i]
 		rules = mulSaturating(rules, d.count)
-		steps = mulSaturating(steps, uint64(d.to-d.from))
+		steps = mulSaturating(steps, uint64(d.endBucket-d.firstBucket))
 	}
 	recordBytes = mulSaturating(rules, recordHeaderBytes)
 	for i := range t.dimensions {
@@ -94,14 +95,14 @@
 		}
 	}
 	if rules > 1 {
-		t.noteExpansion(rules, hasZone)
+		t.updateLargestExpansion(rules, hasZone)
 	}
 	return rules, recordBytes
 }
 
-// noteExpansion keeps the largest lists of rules that expanding a route makes, if the current one's are. hasZone says that its
-// last dimension has a condition.
-func (t *tally) noteExpansion(rules uint64, hasZone bool) {
+// updateLargestExpansion updates the largest lists of rules that expanding a route creates, given the number of rules of the
+// current route. hasZone is as in addRules.
+func (t *tally) updateLargestExpansion(rules uint64, hasZone bool) {
 	lastCount := uint64(1)
 	if hasZone {
 		lastCount = t.dimensions[len(t.dimensions)-1].count
@@ -110,7 +111,7 @@
 	t.largestPartial = max(t.largestPartial, rules/lastCount)
 }
 
-// targetBytes is what a route's target uses, without the policy's fallbacks.
+// targetBytes returns the memory of a route's target without the fallbacks of its policy, in bytes.
 func (t *tally) targetBytes(shares int) uint64 {
 	cached := shares < len(t.targetCache)
 	if cached && t.targetCache[shares] > 0 {
@@ -124,8 +125,8 @@
 	return bytes
 }
 
-// splitTextBytes is what the text uses by which routing identifies a split while it builds its index, such as
-// "[{pool 900000} {other 100000}] -1": the shares and the policy as fmt.Sprint writes them.
+// splitTextBytes returns the memory of the text that identifies a split while internal/routing builds its index, in bytes. The
+// text is the shares and the policy formatted by fmt.Sprint, such as "[{pool 900000} {other 100000}] -1".
 func (t *tally) splitTextBytes(r *routing.Route) uint64 {
 	length := len("[] -1")
 	for i := range r.To {
@@ -134,7 +135,7 @@
 	return t.stringBytes(length)
 }
 
-// digitCount is the number of decimal digits of a number that is not negative.
+// digitCount returns the number of decimal digits of a non-negative number.
 func digitCount(n int) int {
 	digits := 1
 	for ; n >= 10; n /= 10 {
@@ -143,9 +144,10 @@
 	return digits
 }
 
-// addConditions sets the dimensions of the current route, the zone's last, and returns what the match's lists use.
+// addConditions sets the dimensions of the current route, with the zone as the last one, and returns the memory of the lists of
+// the match in bytes.
 func (t *tally) addConditions(m *routing.Match) (bytes uint64) {
-	t.forms = t.forms[:0]
+	t.buckets = t.buckets[:0]
 	t.dimensions = t.dimensions[:0]
 	bytes = t.addCondition(keyDimension, m.Key.Exact, m.Key.Prefix) +
 		t.addCondition(groupDimension, m.Group.Exact, m.Group.Prefix) +
@@ -155,14 +157,15 @@
 		bytes += t.mapBytes(conditionSlotBytes, uint64(len(m.Fields)))
 		for name, s := range m.Fields {
 			hash := xxhash.Sum64String(name) | fieldDimensionBit
-			t.fieldNames.number(hash)
+			t.fieldNames.id(hash)
 			bytes += t.stringBytes(len(name)) + t.addCondition(hash, s.Exact, s.Prefix)
 		}
 	}
 	return bytes + t.addCondition(zoneDimension, m.Zone, nil)
 }
 
-// addCondition adds a condition's dimension and returns what its lists use. Most conditions are empty, which costs no call.
+// addCondition adds the dimension of a condition and returns the memory of its lists in bytes. It returns early
+// for an empty condition, which most conditions are, to save the call of addDimension.
 func (t *tally) addCondition(hash uint64, exact, prefix []string) (bytes uint64) {
 	if cap(exact)+cap(prefix) == 0 {
 		return 0
@@ -170,16 +173,17 @@
 	return t.addDimension(hash, exact, prefix)
 }
 
-// addDimension adds a condition's dimension and returns what its lists use. A condition that always holds has no dimension.
+// addDimension adds the dimension of a condition and returns the memory of its lists in bytes. A condition that matches every
+// text adds no dimension.
 func (t *tally) addDimension(hash uint64, exact, prefix []string) (bytes uint64) {
 	if len(exact)+len(prefix) == 0 {
 		return t.stringListBytes(exact) + t.stringListBytes(prefix)
 	}
-	d := dimension{hash: hash, from: len(t.forms)}
+	d := dimension{hash: hash, firstBucket: len(t.buckets)}
 	if len(exact) == 1 && len(prefix) == 0 { // the most frequent case
 		textBytes := uint64(len(exact[0])) + exactLengthBytes
-		t.forms = append(t.forms, form{length: exactText, count: 1, bytes: textBytes})
-		d.to = d.from + 1
+		t.buckets = append(t.buckets, lengthBucket{length: exactText, count: 1, bytes: textBytes})
+		d.endBucket = d.firstBucket + 1
 		d.count = 1
 		d.bytes = textBytes
 		t.dimensions = append(t.dimensions, d)
@@ -189,57 +193,57 @@
 	if slices.Contains(prefix, "") {
 		return bytes
 	}
-	t.addForms(exact, prefix)
-	for _, f := range t.forms[d.from:] {
+	t.addBuckets(exact, prefix)
+	for _, f := range t.buckets[d.firstBucket:] {
 		d.count += f.count
 		d.bytes += f.bytes
 	}
-	d.to = len(t.forms)
+	d.endBucket = len(t.buckets)
 	t.dimensions = append(t.dimensions, d)
 	return bytes
 }
 
-// addForms adds the forms of a condition. A text that it has twice counts once.
-func (t *tally) addForms(exact, prefix []string) {
-	const maxPairwise = 4 // texts that are compared with each other rather than hashed
+// addBuckets adds the length buckets of a condition. Duplicate texts count once.
+func (t *tally) addBuckets(exact, prefix []string) {
+	const maxPairwise = 4 // up to this number of texts, comparing all pairs is done instead of hashing
 	if len(prefix) == 0 && len(exact) <= maxPairwise {
-		f := form{length: exactText}
+		f := lengthBucket{length: exactText}
 		for i, text := range exact {
 			if !slices.Contains(exact[:i], text) {
 				f.count++
 				f.bytes += uint64(len(text)) + exactLengthBytes
 			}
 		}
-		t.forms = append(t.forms, f)
+		t.buckets = append(t.buckets, f)
 		return
 	}
 	if len(exact) > 0 {
-		f := form{length: exactText}
+		f := lengthBucket{length: exactText}
 		for i := range t.distinct(exact) {
 			f.count++
 			f.bytes += uint64(len(exact[i])) + exactLengthBytes
 		}
-		t.forms = append(t.forms, f)
+		t.buckets = append(t.buckets, f)
 	}
-	firstPrefix := len(t.forms)
+	firstPrefix := len(t.buckets)
 	for i := range t.distinct(prefix) {
-		f := form{length: int32(min(len(prefix[i]), exactText-1))}
-		j, found := slices.BinarySearchFunc(t.forms[firstPrefix:], f, func(a, b form) int { return cmp.Compare(a.length, b.length) })
+		f := lengthBucket{length: int32(min(len(prefix[i]), exactText-1))}
+		j, found := slices.BinarySearchFunc(t.buckets[firstPrefix:], f, func(a, b lengthBucket) int { return cmp.Compare(a.length, b.length) })
 		j += firstPrefix
 		if !found {
-			t.forms = slices.Insert(t.forms, j, f)
+			t.buckets = slices.Insert(t.buckets, j, f)
 		}
-		t.forms[j].count++
-		t.forms[j].bytes += uint64(len(prefix[i]))
+		t.buckets[j].count++
+		t.buckets[j].bytes += uint64(len(prefix[i]))
 	}
 }
 
-// distinct yields the positions of the texts in a list that no earlier one equals.
+// distinct yields the position of the first occurrence of each text in a list.
 func (t *tally) distinct(list []string) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		t.seen.reset(len(list))
 		for i, s := range list {
-			if _, isNew := t.seen.number(xxhash.Sum64String(s)); isNew && !yield(i) {
+			if _, isNew := t.seen.id(xxhash.Sum64String(s)); isNew && !yield(i) {
 				return
 			}
 		}
--- a/internal/memestimate/saturating.go
+++ b/internal/memestimate/saturating.go
@@ -5,7 +5,7 @@
 	"math/bits"
 )
 
-// Saturating arithmetic: a result that does not fit into 64 bits is math.MaxUint64.
+// The functions below saturate: a result that exceeds 64 bits becomes math.MaxUint64.
 
 func addSaturating(a, b uint64) uint64 {
 	sum, carry := bits.Add64(a, b, 0)
@@ -30,7 +30,7 @@
 	return lo
 }
 
-// proportion is total*part/whole, without overflow. part is at most whole.
+// proportion returns total*part/whole without overflow. It returns 0 if whole is 0. part must not exceed whole.
 func proportion(total, part, whole uint64) uint64 {
 	if whole == 0 {
 		return 0
--- a/internal/memestimate/sets/measure.go
+++ b/internal/memestimate/sets/measure.go
@@ -12,11 +12,11 @@
 	"example.org/micafront/internal/routing"
 )
 
-// Decode decodes a set as a proxy does.
+// Decode decodes a set with the codec that proxies use.
 func Decode(text []byte) (*routing.Set, error) {
 	set := &routing.Set{}
 	if err := json.Unmarshal(text, set); err != nil {
-		return nil, fmt.Errorf("a set of routes: %w", err)
+		return nil, fmt.Errorf("decoding a route set: %w", err)
 	}
 	return set, nil
 }
@@ -30,8 +30,8 @@
 	return routing.New(*set)
 }
 
-// LiveHeap is the size of the live heap, in bytes. It collects twice: the first collection leaves what a sync.Pool keeps
-// until the next one.
+// LiveHeap returns the size of the live heap, in bytes. It runs the garbage collector twice, because a sync.Pool keeps its
+// objects until the second collection.
 func LiveHeap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -40,7 +40,7 @@
 	return stats.HeapAlloc
 }
 
-// TableBytes is what the compiled table of an encoded set uses, the Set included, in bytes.
+// TableBytes returns the memory of the compiled table of an encoded set, including the Set, in bytes.
 func TableBytes(text []byte) (uint64, error) {
 	before := LiveHeap()
 	table, err := Compile(text)
@@ -53,9 +53,9 @@
 	return after - min(before, after), nil
 }
 
-// StopTheWorldGC is the setting of GODEBUG under which SwitchPeak is exact to some bytes, and reproducible: a
-// collection then stops the program from its beginning to its end, at the allocation that triggers it, and what would be
-// allocated meanwhile does not count as live.
+// StopTheWorldGC is the GODEBUG setting under which SwitchPeak is reproducible and exact to a few bytes. With it, a garbage
+// collection stops the program at the allocation that triggers it until the collection ends. Otherwise, objects allocated during
+// the collection would count as live.
 const StopTheWorldGC = "gcstoptheworld=2"
 
 // HasStopTheWorldGC reports whether this process runs with StopTheWorldGC.
@@ -63,10 +63,10 @@
 	return slices.Contains(strings.Split(os.Getenv("GODEBUG"), ","), StopTheWorldGC)
 }
 
-// SwitchPeak is the peak of the live heap, in bytes, while a process that uses the table of one encoded set decodes and
-// compiles another one: both tables, the text, and what decoding and compiling use for a while. The heap is collected each
-// time that it has grown by gcPercent, and the live bytes of each collection are read, so the result is too low by at most
-// that.
+// SwitchPeak returns the peak of the live heap, in bytes, while a process that uses the table of one encoded set decodes and
+// compiles another one. The peak comprises both tables, the encoded set, and the temporary memory of decoding and compiling. The
+// heap is collected each time it has grown by gcPercent, and the result is the largest live heap that a collection found. It is
+// therefore too low by at most gcPercent.
 func SwitchPeak(current, next []byte, gcPercent int) (uint64, error) {
 	before := LiveHeap()
 	currentTable, err := Compile(current)
@@ -86,14 +86,14 @@
 	runtime.KeepAlive(currentTable)
 	runtime.KeepAlive(nextTable)
 	runtime.KeepAlive(text)
-	runtime.KeepAlive(current) // it was live at the beginning too
+	runtime.KeepAlive(current) // it was live at the first measurement too
 	runtime.KeepAlive(next)
 	return peak - min(before, peak), nil
 }
 
-// measurePeak is the largest live heap that collections find while a function runs. It uses a single processor, for two
-// reasons: two processors now and then mark an object at once, which then counts twice; and the goroutine that reads gets its
-// turn between any two collections, since each interrupts the function.
+// measurePeak returns the largest live heap that garbage collections find while a function runs. It uses a single processor for
+// two reasons. Two processors sometimes mark an object at the same time, which then counts twice. And the goroutine that reads
+// the metric runs between any two collections, because each collection interrupts the function.
 func measurePeak(gcPercent int, do func() error) (peak uint64, err error) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
--- a/internal/memestimate/sets/sets.go
+++ b/internal/memestimate/sets/sets.go
@@ -1,5 +1,5 @@
-// Package sets generates route sets of many kinds and measures how much memory their tables use, for the tests and the
-// measure command of memestimate. Programs that serve do not use it.
+// Package sets generates route sets of many kinds and measures the memory of their tables. The tests and the measure command of
+// memestimate use it; production code does not.
 package sets
 
 import (
@@ -13,7 +13,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// json is the decoder that proxies use for their routes.
+// json is the codec with which proxies decode their routes.
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 // Plan describes a set to generate.
@@ -23,19 +23,19 @@
 	Seed   uint64
 }
 
-// String returns the plan for a message.
+// String describes the plan for messages.
 func (p Plan) String() string { return fmt.Sprintf("%s of %d (%d)", p.Kind, p.Routes, p.Seed) }
 
-// generator makes the routes of one kind.
+// generator generates the routes of one kind of set.
 type generator struct {
 	kind         string
-	relativeSize int // about, of a route in the table, compared with a route with one text
-	// addConditions sets the conditions of a route. uniqueText is a text that no other route has, without which two routes
-	// could claim the same connections. nil: conditions of a random other kind.
+	relativeSize int // approximate size of a route in the table, relative to a route with one exact text
+	// addConditions sets the conditions of a route. uniqueText occurs in no other route; without it, two routes could claim the
+	// same connections. nil means that each route uses a random other generator.
 	addConditions func(b *builder, r *routing.Route, uniqueText string)
 }
 
-// Streams of random numbers that are drawn from one seed.
+// Streams of random numbers, which share one seed.
 const (
 	planStream = 1
 	setStream  = 2
@@ -45,10 +45,10 @@
 type builder struct {
 	*rand.Rand
 	set    routing.Set // so far
-	fields []string    // names of further fields
+	fields []string    // names of the further fields
 }
 
-// Kinds that decide on more of a set than its routes' conditions.
+// Kinds that determine more of a set than the conditions of its routes.
 const (
 	mixedKind     = "mixed"
 	manyPoolsKind = "many pools"
@@ -83,7 +83,7 @@
 		r.Match.Key.Exact = []string{unique + b.randomText(80, 500+b.IntN(3000))}
 		r.Match.Group.Prefix = b.randomTexts(1+b.IntN(4), 20, 500)
 	}},
-	{"long repeated", 100, func(b *builder, r *routing.Route, unique string) { // records are most of the table
+	{"long repeated", 100, func(b *builder, r *routing.Route, unique string) { // records make up most of the table
 		r.Match.Key.Exact = []string{unique + b.randomText(80, 500+b.IntN(3000))}
 		r.Match.Group.Exact = b.randomTexts(5+b.IntN(4), 5, 20)
 	}},
@@ -125,14 +125,14 @@
 		r.Precedence = len(b.set.Routes)
 		r.Match.Class = b.nonEmptySubset([]string{"feed", "notes", "chat", "bulk"})
 	}},
-	{"again", 1, func(b *builder, r *routing.Route, _ string) { // rules with the texts of others, which are never found
+	{"again", 1, func(b *builder, r *routing.Route, _ string) { // duplicates of other rules, which lookups never find
 		r.Precedence = len(b.set.Routes)
 		r.Match.Key.Exact = []string{fmt.Sprint("key", b.IntN(50))}
 	}},
-	{mixedKind, 6, nil}, // each route of any kind
+	{mixedKind, 6, nil}, // each route is of a random kind
 }
 
-// Kinds are the kinds of sets.
+// Kinds returns all kinds of sets.
 func Kinds() []string {
 	var kinds []string
 	for _, g := range generators {
@@ -141,15 +141,15 @@
 	return kinds
 }
 
-// Plans is count plans that are spread over all kinds and, logarithmically, from 10 routes to maxRoutes. maxSize bounds the size
-// of a table, in the size of a route with one text. The plans are the same for the same arguments.
+// Plans returns count plans. They cycle through all kinds, and their numbers of routes are spread logarithmically from 10 to
+// maxRoutes. maxSize bounds the size of a table, in multiples of a route with one exact text. The result is deterministic.
 func Plans(seed uint64, count, maxRoutes, maxSize int) []Plan {
 	const minRoutes = 10
 	random := rand.New(rand.NewPCG(seed, planStream))
 	var plans []Plan
 	for i := range count {
 		g := generators[i%len(generators)]
-		// Each kind goes through the sizes in even steps with some jitter, up to the largest.
+		// The sizes of each kind increase in even steps with some jitter, up to the largest size.
 		steps := max((count-1-i%len(generators))/len(generators), 1)
 		position := min((float64(i/len(generators))+random.Float64()/2)/float64(steps), 1)
 		routes := int(minRoutes * math.Pow(float64(maxRoutes)/minRoutes, position))
@@ -159,11 +159,11 @@
 	return plans
 }
 
-// Encode is a plan's set in JSON. It is the same each time. An unknown kind is an error.
+// Encode generates the set of a plan and returns it as JSON. The result is deterministic. An unknown kind is an error.
 func (p Plan) Encode() ([]byte, error) {
 	planned := slices.IndexFunc(generators, func(g generator) bool { return g.kind == p.Kind })
 	if planned < 0 {
-		return nil, fmt.Errorf("encoding a set: there is no kind %q of sets", p.Kind)
+		return nil, fmt.Errorf("generating a route set: unknown kind %q; use one of Kinds", p.Kind)
 	}
 	b := &builder{Rand: rand.New(rand.NewPCG(p.Seed, setStream))}
 	b.addPoolsAndPolicies(p)
@@ -179,11 +179,11 @@
 	return json.Marshal(b.set)
 }
 
-// randomGenerator is the generator of one route in a set of mixed ones. Large routes are few.
+// randomGenerator returns a random generator for one route of a mixed set. It rarely returns one of large routes.
 func (b *builder) randomGenerator() generator {
 	const (
-		largeSize        = 10 // relative sizes above count as large
-		largeRouteChance = 20 // one large route in so many that are drawn is taken
+		largeSize        = 10 // a route with a larger relative size counts as large
+		largeRouteChance = 20 // one in this many draws of a large route is accepted
 	)
 	for {
 		g := generators[b.IntN(len(generators))]
@@ -196,7 +196,7 @@
 	}
 }
 
-// addPoolsAndPolicies makes everything but routes.
+// addPoolsAndPolicies generates everything in the set but its routes.
 func (b *builder) addPoolsAndPolicies(p Plan) {
 	const defaultPools = 8
 	pools := defaultPools
@@ -232,7 +232,7 @@
 
 const letters = "abcdefghijklmnopqrstuvwxyz"
 
-// randomText has at least from letters and less than to; from is below to.
+// randomText returns a text of at least from and fewer than to letters. from must be less than to.
 func (b *builder) randomText(from, to int) string {
 	var text strings.Builder
 	for range from + b.IntN(to-from) {
@@ -241,7 +241,7 @@
 	return text.String()
 }
 
-// randomTexts are n texts of randomText, with repetitions by chance.
+// randomTexts returns n results of randomText. Duplicates are possible.
 func (b *builder) randomTexts(n, from, to int) (texts []string) {
 	for range n {
 		texts = append(texts, b.randomText(from, to))
@@ -249,7 +249,7 @@
 	return texts
 }
 
-// nonEmptySubset is at least one element of a list, in any order.
+// nonEmptySubset returns at least one element of a list, in random order.
 func (b *builder) nonEmptySubset(list []string) (subset []string) {
 	for _, i := range b.Perm(len(list))[:1+b.IntN(len(list))] {
 		subset = append(subset, list[i])
@@ -257,7 +257,7 @@
 	return subset
 }
 
-// randomSplit is a split among n pools, or all where there are less.
+// randomSplit returns a split among n pools, or among all pools if there are fewer.
 func (b *builder) randomSplit(n int) (shares []routing.SplitShare) {
 	left := routing.TotalPPM
 	first := b.IntN(len(b.set.Pools))
--- a/internal/memestimate/shapes.go
+++ b/internal/memestimate/shapes.go
@@ -2,39 +2,41 @@
 
 import "example.org/micafront/balancer/hashing"
 
-// shapeCount is the rules of a shape of routing's index, and the dimensions in which they have conditions.
+// shapeCount is the number of rules in one shape of the routing index, and the number of dimensions in which they have
+// conditions.
 type shapeCount struct {
 	rules      uint64
 	dimensions uint64
 }
 
-// tooManyShapes reports whether there are too many shapes to tell them apart. That is so for a set in any order, and for any
-// set with further routes.
+// tooManyShapes reports whether the set has too many shapes to count each one. The result does not depend on the order of the
+// routes, and adding routes never changes it from true to false.
 func (t *tally) tooManyShapes() bool {
-	return t.steps > maxSteps || t.shapeNumbers.count > maxShapes
+	return t.steps > maxSteps || t.shapeIDs.count > maxShapes
 }
 
-// countShapes counts the rules of the current route by shape. Conditions of a single form are handled first, so that the
-// recursion is only as deep as there are others; routing's limit of rules keeps those few.
+// countShapes counts the rules of the current route by shape. It handles conditions with a single length bucket first, so that
+// only the others add to the depth of the recursion; the limit on rules per route in internal/routing keeps those few.
 func (t *tally) countShapes() {
 	hash := uint64(0)
 	rules := uint64(1)
-	t.multiForm = t.multiForm[:0]
+	t.multiBucket = t.multiBucket[:0]
 	for _, d := range t.dimensions {
-		if d.to-d.from == 1 {
-			hash += formHash(d.hash, t.forms[d.from])
+		if d.endBucket-d.firstBucket == 1 {
+			hash += bucketHash(d.hash, t.buckets[d.firstBucket])
 			rules *= d.count
 		} else {
-			t.multiForm = append(t.multiForm, d)
+			t.multiBucket = append(t.multiBucket, d)
 		}
 	}
-	t.countCombinations(t.multiForm, hash, rules)
+	t.countCombinations(t.multiBucket, hash, rules)
 }
 
-// countCombinations counts the combinations of all forms of some dimensions with those that hash and rules stand for.
+// countCombinations counts the rules for each combination of length buckets in the remaining dimensions. hash and rules are the
+// partial shape hash and the number of rules of the dimensions handled so far.
 func (t *tally) countCombinations(remaining []dimension, hash, rules uint64) {
 	if len(remaining) == 0 {
-		number, isNew := t.shapeNumbers.number(hash)
+		number, isNew := t.shapeIDs.id(hash)
 		if isNew {
 			t.shapes = append(t.shapes, shapeCount{dimensions: uint64(len(t.dimensions))})
 		}
@@ -42,12 +44,13 @@
 		return
 	}
 	d := &remaining[0]
-	for _, f := range t.forms[d.from:d.to] {
-		t.countCombinations(remaining[1:], hash+formHash(d.hash, f), rules*f.count)
+	for _, f := range t.buckets[d.firstBucket:d.endBucket] {
+		t.countCombinations(remaining[1:], hash+bucketHash(d.hash, f), rules*f.count)
 	}
 }
 
-// formHash is a form's part of a shape's hash, which is a sum, so that the order of dimensions does not matter.
-func formHash(dimensionHash uint64, f form) uint64 {
+// bucketHash returns the part of a shape hash that a length bucket contributes. A shape hash is the sum of these parts, so that it
+// does not depend on the order of the dimensions.
+func bucketHash(dimensionHash uint64, f lengthBucket) uint64 {
 	return hashing.Combine(dimensionHash, uint64(f.length)+1)
 }
--- a/internal/memestimate/slices.go
+++ b/internal/memestimate/slices.go
@@ -6,7 +6,7 @@
 	"example.org/micafront/internal/routing"
 )
 
-// Types of slices in a set and in a table.
+// Element types of the slices in a set and in a table.
 var (
 	stringSlice = sliceOf[string](true)
 	intSlice    = sliceOf[int](false)
@@ -20,13 +20,14 @@
 	policySlice = sliceOf[routing.Policy](true)
 	zoneSlice   = sliceOf[routing.Zone](true)
 
-	// Types that routing does not export are looked up in its Table, so that they change with it.
+	// The element types that routing does not export are taken from routing.Table by reflection, so that they follow its changes.
 	ruleSlice   = tableSlice("rules")
 	shapeSlice  = tableSlice("shapes")
 	targetSlice = tableSlice("targets")
 )
 
-// tableSlice is the type of a field of routing.Table; the zero one where there is no such field, which a test reports.
+// tableSlice returns the sliceType of a field of routing.Table. It returns the zero sliceType if there is no such field; a test
+// reports that.
 func tableSlice(field string) sliceType {
 	f, ok := reflect.TypeFor[routing.Table]().FieldByName(field)
 	if !ok {
@@ -35,9 +36,9 @@
 	return sliceType{elementBytes: uint64(f.Type.Elem().Size()), hasPointers: true}
 }
 
-// Bytes of a map's key and value, on machines of 64 bits.
+// Bytes of a map's key and value on 64-bit platforms.
 const (
 	listenerSlotBytes  = 32 // two strings
 	conditionSlotBytes = 64 // a string and a routing.StringMatcher
-	numberSlotBytes    = 24 // a string and an int
+	intSlotBytes       = 24 // a string and an int
 )
--- a/internal/memestimate/total.go
+++ b/internal/memestimate/total.go
@@ -9,17 +9,18 @@
 	"example.org/micafront/internal/routing"
 )
 
-// indexBytes is what routing's index uses, without the records.
+// indexBytes is the memory of the routing index in bytes, without the records.
 type indexBytes struct {
 	shapes     uint64 // number of shapes
 	slots      uint64
-	dimensions uint64 // of the shapes' lists of dimensions
-	members    uint64 // of the shapes' lists of rules, while the index is built
+	dimensions uint64 // lists of dimensions of all shapes
+	members    uint64 // lists of rules of all shapes, needed while the index is built
 }
 
-// indexBytes adds up the index shape by shape, or by upper bounds if there are too many shapes.
+// indexBytes adds up the index shape by shape. It uses upper bounds if there are too many shapes.
 func (t *tally) indexBytes() (index indexBytes) {
-	// A rule has less than four slots, and less than two places in its shape's list.
+	// A hash table has fewer than four slots for each of its rules, and a shape's list of rules has a capacity of fewer than two
+	// elements for each of them.
 	const (
 		maxSlotBytesPerRule   = 4 * slotBytes
 		maxMemberBytesPerRule = 2 * memberBytes
@@ -31,7 +32,7 @@
 		index.dimensions = mulSaturating(t.steps, t.appendedBytes(int32Slice, t.dimensionCount()))
 		return index
 	}
-	index.shapes = uint64(t.shapeNumbers.count)
+	index.shapes = uint64(t.shapeIDs.count)
 	for _, s := range t.shapes {
 		index.slots = addSaturating(index.slots, t.objectBytes(slotBytes*(2<<bits.Len64(s.rules)), false))
 		index.dimensions = addSaturating(index.dimensions, t.appendedBytes(int32Slice, s.dimensions))
@@ -42,10 +43,10 @@
 	return index
 }
 
-// dimensionCount is how many dimensions the table has.
+// dimensionCount returns the number of dimensions of the table.
 func (t *tally) dimensionCount() uint64 { return fixedDimensions + uint64(t.fieldNames.count) }
 
-// estimate adds up everything that was counted. fixedBytes is what the table uses beside its routes.
+// estimate computes the Estimate from the tally. fixedBytes is the memory of the table without its routes.
 func (t *tally) estimate(set *routing.Set, fixedBytes uint64) Estimate {
 	index := t.indexBytes()
 	records, previousRecords := t.recordBytes()
@@ -53,7 +54,7 @@
 	routes := sumSaturating(
 		t.arrayBytes(routeSlice, uint64(cap(set.Routes))),
 		t.appendedBytes(targetSlice, routeCount),
-		t.appendedBytes(targetSlice, uint64(t.splitNumbers.count)))
+		t.appendedBytes(targetSlice, uint64(t.splitIDs.count)))
 	rules := sumSaturating(t.appendedBytes(ruleSlice, t.rules), index.slots, index.dimensions,
 		t.appendedBytes(shapeSlice, index.shapes))
 	perRule := t.extendedBytes(int32Slice, t.dimensionCount()) + t.extendedBytes(stringSlice, t.dimensionCount())
@@ -63,7 +64,7 @@
 	e := Estimate{Rules: t.rules}
 	e.LiveBytes = sumSaturating(fixedBytes, routes, t.setBytes, t.targetTotal, rules, rulePatterns, records)
 	expanding := sumSaturating(fixedBytes, routes, t.setBytes, t.targetTotal, rulePatterns, t.expansionBytes())
-	indexing := sumSaturating(e.LiveBytes, index.members, t.mapBytes(numberSlotBytes, uint64(t.splitNumbers.count)),
+	indexing := sumSaturating(e.LiveBytes, index.members, t.mapBytes(intSlotBytes, uint64(t.splitIDs.count)),
 		t.splitTextTotal, previousRecords)
 	e.CompileBytes = max(expanding, indexing) - e.LiveBytes
 
@@ -71,15 +72,15 @@
 	return e
 }
 
-// sharedBytes is what the routes of a table use together.
+// sharedBytes is the memory in bytes that the routes of a table share.
 type sharedBytes struct {
-	routes  uint64 // lists with an element for each route
-	rules   uint64 // lists and index of all rules
+	routes  uint64 // lists with one element per route
+	rules   uint64 // lists of rules and their index
 	records uint64
-	perRule uint64 // lists of each rule
+	perRule uint64 // lists of one rule
 }
 
-// largestRoutes are the largest routes of a set, each with its part of what all use together.
+// largestRoutes returns the largest routes of a set. The size of each includes its part of the shared memory.
 func (t *tally) largestRoutes(set *routing.Set, shared sharedBytes) []RouteSize {
 	if len(t.routeCosts) == 0 {
 		return nil
@@ -98,11 +99,11 @@
 	return largest
 }
 
-// expansionBytes is the peak of the lists of rules while routes are expanded, without the rules' own patterns. It is the
-// larger one of two moments, with the largest route expanded last: when the rules before its last dimension are still there,
-// and when its rules are appended to the list of all, which grows.
+// expansionBytes returns the peak of the lists of rules while routes are expanded, without the patterns of the rules. It assumes
+// that the largest route is expanded last, and returns the larger of two values: the memory while the partial rules without the
+// last dimension are still live, and the memory while the rules are appended to the list of all rules, which is reallocated.
 func (t *tally) expansionBytes() uint64 {
-	ruleBytes := ruleSlice.elementBytes + ruleSlice.elementBytes/8 // an eighth is what the growth of the slice wastes
+	ruleBytes := ruleSlice.elementBytes + ruleSlice.elementBytes/8 // growing the slice leaves an eighth of it unused
 	partialDimensions := t.dimensionCount() - 1
 	partialRuleBytes := ruleBytes + t.extendedBytes(int32Slice, partialDimensions) + t.extendedBytes(stringSlice, partialDimensions)
 	expanded := mulSaturating(t.largestExpansion, ruleBytes)
@@ -113,11 +114,12 @@
 	return max(beforeLast, appending)
 }
 
-// recordBytes is what the records use, and the array before they grew for the last time.
+// recordBytes returns the memory of the records, and that of their backing array before its last reallocation.
 //
-// Texts that are longer than the array at that time shift all its later sizes, depending on the order of the rules, so it
-// uses from just enough to a quarter more. The estimate must not depend on which, lest a further route lower it. What is
-// assumed here is accurate enough as long as the records are at most four fifths of the table.
+// A text that is longer than the array to which it is appended changes all later capacities of the array. The capacities
+// therefore depend on the order of the rules, and the array uses between exactly the needed bytes and a quarter more. The
+// estimate must not depend on that order, because an additional route could then lower it. The fixed spare part assumed here is
+// accurate enough as long as the records are at most four fifths of the table.
 func (t *tally) recordBytes() (current, previous uint64) {
 	needed := addSaturating(t.recordTotal, recordHeaderBytes)
 	spare := needed / 50 * 9 // 18 %
@@ -126,7 +128,7 @@
 	return current, previous
 }
 
-// keepLargest returns the list of the largest routes with a further one, if that is among them.
+// keepLargest inserts a route into the sorted list of the largest routes if it belongs there, and returns the list.
 func keepLargest(largest []RouteSize, route RouteSize) []RouteSize {
 	if n := len(largest); n == maxLargestRoutes && compareSizes(route, largest[n-1]) >= 0 {
 		return largest
@@ -136,7 +138,7 @@
 	return largest[:min(len(largest), maxLargestRoutes)]
 }
 
-// compareSizes orders routes by size, the largest first, and equal ones by name.
+// compareSizes orders routes by descending size, and routes of equal size by name.
 func compareSizes(a, b RouteSize) int {
 	return cmp.Or(cmp.Compare(b.Bytes, a.Bytes), strings.Compare(a.Route, b.Route))
 }
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Candidate is a route that matches a line, and why it does or does not apply.
+// Candidate is a route that matches a connection, and the reason why it does or does not apply.
 type Candidate struct {
 	Route  string `json:"route"`
 	Match  string `json:"match"` // description of the rule that matches
 	Reason string `json:"why"`
 }
 
-// Candidates returns all routes that match a line, the one that applies first.
+// Candidates returns all routes that match a connection, starting with the route that applies. The default route comes last.
 func (t *Table) Candidates(l *ConnectionAttributes) []Candidate {
 	var candidates []Candidate
 	var first *rule
@@ -39,7 +39,7 @@
 	return candidates
 }
 
-// explainOrder says why a rule comes after the first one.
+// explainOrder returns the reason why a rule comes after the first matching one.
 func (t *Table) explainOrder(first, r *rule) string {
 	firstRoute, route := &t.Set.Routes[first.route], &t.Set.Routes[r.route]
 	if firstRoute.Precedence != route.Precedence {
--- a/internal/routing/cells.go
+++ b/internal/routing/cells.go
@@ -7,42 +7,42 @@
 	"strings"
 )
 
-// maxCells bounds the work of one comparison.
+// maxCells is the largest number of cells that one comparison visits.
 const maxCells = 4_000_000
 
-// Sides of a comparison, by which its arrays are indexed.
+// Sides of a comparison, used as array indexes.
 const (
 	oldSide = iota
 	newSide
 	sideCount
 )
 
-// differ compares two tables cell by cell. A cell is a span in each dimension.
+// differ compares two tables cell by cell. A cell consists of one span in each dimension.
 type differ struct {
-	tables       [sideCount]*Table
-	fields       []string               // of both tables, sorted
-	closedValues [][]string             // by dimension, from MatchSpace; none: any text
-	rules        [sideCount][]*diffRule // of the tables, by precedence
-	ruleIDs      map[string]int32       // by the contents of a rule
-	changes      []Change               // found so far
-	cellCount    int
-	visit        func(first *diffRule) // in place of a comparison: gets the old table's rule of each cell, nil: none
+	tables     [sideCount]*Table
+	fields     []string               // of both tables, sorted
+	enumValues [][]string             // possible values by dimension, from MatchSpace; empty: any text
+	rules      [sideCount][]*diffRule // rules of each table, by precedence
+	ruleIDs    map[string]int32       // by rule contents, see ruleID
+	changes    []Change               // found so far
+	cellCount  int
+	visit      func(first *diffRule) // called for each cell instead of comparing, with the rule of the old table or nil
 }
 
-// diffRule is a rule in the common dimensions of both tables.
+// diffRule is a rule expressed in the common dimensions of both tables.
 type diffRule struct {
-	id            int32 // the same for rules with the same conditions and outcomes
+	id            int32 // equal for rules with equal conditions and outcomes
 	lastCondition int   // the last dimension with a condition; -1: none
 	lengths       []int32
 	texts         []string
 	rule          *rule
 }
 
-// newDiffer makes a differ. fields are the sorted field names of both tables, each once.
+// newDiffer returns a differ. fields are the sorted field names of both tables without duplicates.
 func newDiffer(oldTable, newTable *Table, fields []string, space MatchSpace) *differ {
 	d := &differ{tables: [sideCount]*Table{oldSide: oldTable, newSide: newTable}, ruleIDs: map[string]int32{}, fields: fields}
-	d.closedValues = make([][]string, firstFieldDimension+len(fields)+trailingDimensions)
-	trailing := d.closedValues[firstFieldDimension+len(fields):]
+	d.enumValues = make([][]string, firstFieldDimension+len(fields)+trailingDimensions)
+	trailing := d.enumValues[firstFieldDimension+len(fields):]
 	trailing[classOffset] = space.Classes
 	trailing[listenerOffset] = space.Listeners
 	trailing[zoneOffset] = space.Zones
@@ -54,7 +54,7 @@
 	return d
 }
 
-// newRule returns a rule of a table in the common dimensions of both tables.
+// newRule converts a rule of a table to the common dimensions of both tables.
 func (d *differ) newRule(t *Table, r *rule) *diffRule {
 	common := &diffRule{rule: r, lastCondition: -1}
 	add := func(length int32, text string) {
@@ -83,7 +83,7 @@
 	return common
 }
 
-// ruleID returns the number of a rule's conditions and outcomes, which rules with the same ones share.
+// ruleID returns an ID for the conditions and outcomes of a rule. Rules with equal conditions and outcomes share the ID.
 func (d *differ) ruleID(t *Table, r *diffRule) int32 {
 	contents := fmt.Sprintf("%v %q ", r.lengths, r.texts)
 	for i, share := range t.targets[r.rule.route].shares {
@@ -97,19 +97,19 @@
 	return id
 }
 
-// walkAllCells compares or visits all cells. It fails with ErrTooManyCells.
+// walkAllCells compares or visits all cells. It returns ErrTooManyCells if there are more than maxCells.
 func (d *differ) walkAllCells() error {
-	return d.walkCells(0, d.rules, make([]*Span, len(d.closedValues)))
+	return d.walkCells(0, d.rules, make([]*Span, len(d.enumValues)))
 }
 
-// walkCells divides a cell along a dimension and those after it, and compares or visits what results. rules are those that can
-// still match, in their order. The spans of cell from dimension on are nil, before and after the call.
+// walkCells divides a cell along a dimension and all later ones, and compares or visits the resulting cells. rules are the rules
+// that can still match, by precedence. The spans of cell from dimension on are nil before and after the call.
 func (d *differ) walkCells(dimension int, rules [sideCount][]*diffRule, cell []*Span) error {
 	d.cellCount++
 	if d.cellCount > maxCells {
 		return ErrTooManyCells
 	}
-	if d.visit == nil && d.decideAlike(rules) {
+	if d.visit == nil && d.sameDecisions(rules) {
 		return nil
 	}
 	if isDecided(rules[oldSide], dimension) && isDecided(rules[newSide], dimension) {
@@ -135,12 +135,13 @@
 	return nil
 }
 
-// isDecided reports whether the first of the rules applies whatever the texts from a dimension on are.
+// isDecided reports whether the first of the rules applies regardless of the texts in a dimension and all later ones. It also
+// returns true if there are no rules.
 func isDecided(rules []*diffRule, dimension int) bool {
 	return len(rules) == 0 || rules[0].lastCondition < dimension
 }
 
-// firstRule returns the rule that applies where rules are decided; nil: none does.
+// firstRule returns the rule that applies in a cell for which the rules are decided, or nil if none applies.
 func firstRule(rules []*diffRule) *diffRule {
 	if len(rules) == 0 {
 		return nil
@@ -148,8 +149,9 @@
 	return rules[0]
 }
 
-// decideAlike reports whether both tables have the same rules, and, where all of them can fail to match, the same default.
-func (d *differ) decideAlike(rules [sideCount][]*diffRule) bool {
+// sameDecisions reports whether both tables have equal rules in a cell. If the rules may all fail to match, the defaults must be
+// equal too.
+func (d *differ) sameDecisions(rules [sideCount][]*diffRule) bool {
 	oldRules, newRules := rules[oldSide], rules[newSide]
 	if !slices.EqualFunc(oldRules, newRules, func(a, b *diffRule) bool { return a.id == b.id }) {
 		return false
@@ -159,7 +161,7 @@
 	return alwaysMatches || d.sameDefault()
 }
 
-// sameDefault reports whether both tables decide alike where no rule matches.
+// sameDefault reports whether both tables make the same decision for connections that no rule matches.
 func (d *differ) sameDefault() bool {
 	a, b := d.tables[oldSide], d.tables[newSide]
 	if a.defaultRoute < 0 || b.defaultRoute < 0 {
@@ -177,7 +179,7 @@
 	return true
 }
 
-// rulesByText finds rules by their text in one dimension. Numbers are positions in rules.
+// rulesByText is an index of rules by their text in one dimension. The integers are positions in rules.
 type rulesByText struct {
 	rules         []*diffRule
 	unconditional []int
@@ -186,7 +188,7 @@
 	prefixLengths []int32
 }
 
-// newRulesByText indexes rules by their texts in a dimension, which it also adds to two sets.
+// newRulesByText indexes rules by their texts in a dimension. It also adds the texts to exactTexts or prefixTexts.
 func newRulesByText(rules []*diffRule, dimension int, exactTexts, prefixTexts map[string]bool) *rulesByText {
 	b := &rulesByText{rules: rules, exact: map[string][]int{}, prefix: map[string][]int{}}
 	for i, r := range rules {
@@ -208,12 +210,12 @@
 	return b
 }
 
-// matching returns the rules that match the texts of a span, in their order.
+// matching returns the rules that match the texts of a span, by precedence.
 func (b *rulesByText) matching(s *Span) []*diffRule {
 	positions := slices.Clone(b.unconditional)
 	text := s.Prefix
 	if len(s.Texts) > 0 {
-		// Several texts are ones that no rule names, so all rules match them alike.
+		// A span with several texts holds only texts that no rule names, so every rule matches all of them or none.
 		text = s.Texts[0]
 		positions = append(positions, b.exact[text]...)
 	}
@@ -230,26 +232,26 @@
 	return matching
 }
 
-// divideDimension divides a dimension into spans in which all texts satisfy the same conditions of the rules, which it indexes
-// by their texts in that dimension.
+// divideDimension divides a dimension into spans such that all texts of a span satisfy the same conditions of the rules. It also
+// returns an index of the rules of each side by their texts in that dimension.
 func (d *differ) divideDimension(dimension int, rules [sideCount][]*diffRule) (spans []Span, byText [sideCount]*rulesByText) {
 	exact := map[string]bool{}
 	prefixes := map[string]bool{"": true}
 	if dimension == groupDimension {
-		exact[""] = true // without a group the key decides the place in a split
+		exact[""] = true // for connections without a group, the key determines the position in a split
 	}
 	for side := range rules {
 		byText[side] = newRulesByText(rules[side], dimension, exact, prefixes)
 	}
 	name := d.dimensionName(dimension)
-	if values := d.closedValues[dimension]; len(values) > 0 {
-		return closedSpans(name, values, exact), byText
+	if values := d.enumValues[dimension]; len(values) > 0 {
+		return enumSpans(name, values, exact), byText
 	}
-	return openSpans(name, slices.Sorted(maps.Keys(exact)), slices.Sorted(maps.Keys(prefixes))), byText
+	return textSpans(name, slices.Sorted(maps.Keys(exact)), slices.Sorted(maps.Keys(prefixes))), byText
 }
 
-// closedSpans divides a dimension of given values into the texts that rules name and the rest.
-func closedSpans(name string, values []string, exact map[string]bool) (spans []Span) {
+// enumSpans divides a dimension with enumerable values into one span for each text that rules name, and one for the rest.
+func enumSpans(name string, values []string, exact map[string]bool) (spans []Span) {
 	var rest []string
 	for _, text := range values {
 		if exact[text] {
@@ -264,9 +266,9 @@
 	return spans
 }
 
-// openSpans divides a dimension of any texts into the texts that rules name, and for each prefix what begins with it but is
-// in no other span. Both lists are sorted.
-func openSpans(name string, exact, prefixes []string) (spans []Span) {
+// textSpans divides a dimension of arbitrary texts. Each text that rules name becomes a span. Each prefix becomes a span of the
+// texts that begin with it and are in no other span. Both lists must be sorted.
+func textSpans(name string, exact, prefixes []string) (spans []Span) {
 	for _, text := range exact {
 		spans = append(spans, Span{Dimension: name, Texts: []string{text}})
 	}
@@ -295,10 +297,10 @@
 	return t.dimensionName(dimension)
 }
 
-// singlePlace is the number of places in a range where a connection's place is fixed.
-const singlePlace = 1
+// singlePosition is the length of the range of positions in compareSplits if all connections in a cell have the same position.
+const singlePosition = 1
 
-// compareCell adds the changes in a cell for which rules are decided.
+// compareCell adds the changes in a cell for which the rules of both tables are decided.
 func (d *differ) compareCell(rules [sideCount][]*diffRule, cell []*Span) {
 	var routes [sideCount]int // -1: none
 	for side, t := range d.tables {
@@ -307,19 +309,20 @@
 			routes[side] = int(first.rule.route)
 		}
 	}
-	// The place in a split is fixed where the cell has a single group, or no group and a single key.
+	// All connections in the cell have the same split position if the cell has a single group, or no group and a single key.
 	group, hasGroup := singleText(cell[groupDimension])
 	key, hasKey := singleText(cell[keyDimension])
 	switch {
 	case hasGroup && group != "":
-		d.compareSplits(routes, cell, SplitPosition(&ConnectionAttributes{Group: group}), singlePlace)
+		d.compareSplits(routes, cell, SplitPosition(&ConnectionAttributes{Group: group}), singlePosition)
 	case hasGroup && hasKey:
-		d.compareSplits(routes, cell, SplitPosition(&ConnectionAttributes{Key: key}), singlePlace)
+		d.compareSplits(routes, cell, SplitPosition(&ConnectionAttributes{Key: key}), singlePosition)
 	case cell[groupDimension] == nil && hasKey && d.hasSplit(routes):
-		// Not divided by group: connections without a group have the key's place, others that of their group.
+		// The cell is not divided by group. The key determines the position of connections without a group, the group that of
+		// the others.
 		name := d.dimensionName(groupDimension)
 		cell[groupDimension] = &Span{Dimension: name, Texts: []string{""}}
-		d.compareSplits(routes, cell, SplitPosition(&ConnectionAttributes{Key: key}), singlePlace)
+		d.compareSplits(routes, cell, SplitPosition(&ConnectionAttributes{Key: key}), singlePosition)
 		cell[groupDimension] = &Span{Dimension: name, ExceptTexts: []string{""}}
 		d.compareSplits(routes, cell, 0, TotalPPM)
 		cell[groupDimension] = nil
@@ -328,7 +331,7 @@
 	}
 }
 
-// singleText returns the only text of a span; ok is false where it has another number of them. A nil span has any text.
+// singleText returns the only text of a span. ok is false if the span has no texts or several. A nil span holds any text.
 func singleText(s *Span) (text string, ok bool) {
 	if s == nil || len(s.Texts) != 1 {
 		return "", false
@@ -336,7 +339,7 @@
 	return s.Texts[0], true
 }
 
-// hasSplit reports whether one of the tables' routes has several shares.
+// hasSplit reports whether the route of either table has several shares.
 func (d *differ) hasSplit(routes [sideCount]int) bool {
 	for side, t := range d.tables {
 		if routes[side] >= 0 && len(t.targets[routes[side]].shares) > 1 {
@@ -346,11 +349,11 @@
 	return false
 }
 
-// compareSplits compares two routes' splits over a range of places, and adds a change for each part of the range in which the
-// outcomes differ. A range of singlePlace is that of all connections in the cell.
+// compareSplits compares the splits of two routes over a range of positions, and adds a change for each part of the range in
+// which the outcomes differ. If count is singlePosition, the change covers all connections in the cell.
 func (d *differ) compareSplits(routes [sideCount]int, cell []*Span, from, count int) {
 	for place := from; place < from+count; {
-		end := from + count // of the places with the same outcomes
+		end := from + count // end of the positions with the same outcomes
 		var outcomes [sideCount]Outcome
 		for side, t := range d.tables {
 			if routes[side] < 0 {
@@ -363,7 +366,7 @@
 		}
 		if aspects := differences(outcomes[oldSide], outcomes[newSide]); len(aspects) > 0 {
 			c := Change{PPM: end - place, From: place, Old: outcomes[oldSide], New: outcomes[newSide], Aspects: aspects}
-			if count == singlePlace {
+			if count == singlePosition {
 				c.From = 0
 				c.PPM = TotalPPM
 			}
--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// maxRules is how many rules a route may expand to: the product of the numbers of its conditions' alternatives.
-	maxRules = 4096
-	// maxTextBytes is the longest text of a condition; a first line has 4 KiB at most.
+	// maxRulesPerRoute is the limit on the rules that a route expands to: the product of the numbers of alternatives of its
+	// conditions.
+	maxRulesPerRoute = 4096
+	// maxTextBytes is the length limit of a text in a condition, in bytes. The first line of a connection has at most 4 KiB.
 	maxTextBytes = 4 << 10
-	// maxRuleCount is where counting of rules stops, so that the product does not overflow.
-	maxRuleCount = 1 << 20
+	// ruleCountCap is the value at which ruleCount stops counting, so that the product does not overflow.
+	ruleCountCap = 1 << 20
 )
 
-// setChecker collects all errors of a set.
+// setChecker collects all validation errors of a set.
 type setChecker struct {
 	set      *Set
 	errs     []error
@@ -27,8 +28,8 @@
 	routes   map[string]bool
 }
 
-// check returns the joined errors that keep a set from being compiled; nil: there are none. What is legal but probably a
-// mistake is reported by the site language's own checks.
+// check returns the joined errors that prevent a set from being compiled, or nil. internal/sitelang reports what is valid but
+// probably a mistake.
 func (s *Set) check() error {
 	c := &setChecker{set: s, pools: map[string]bool{}, policies: map[string]bool{}, routes: map[string]bool{}}
 	c.checkPools()
@@ -37,47 +38,47 @@
 		c.checkRoute(&s.Routes[i])
 	}
 	if s.Default != "" && !c.routes[s.Default] {
-		c.add(unknownName, "the default route %q does not exist", s.Default)
+		c.addError(unknownName, "the default route %q does not exist", s.Default)
 	}
 	if s.DrainTimeout < 0 {
-		c.add(invalidFigure, "drain_over, the time to drain a removed pool, is %d us, which is below 0", s.DrainTimeout)
+		c.addError(outOfRange, "drain_over, the time to drain a removed pool, is %d us, which is below 0", s.DrainTimeout)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Listeners)) {
 		if name == "" || name == MainListener {
-			c.add(invalidName, "a further listener cannot be named %q", name)
+			c.addError(invalidName, "a further listener cannot be named %q", name)
 		}
 	}
 	return errors.Join(c.errs...)
 }
 
-func (c *setChecker) add(kind *apperror.Kind, format string, args ...any) {
+func (c *setChecker) addError(kind *apperror.Kind, format string, args ...any) {
 	c.errs = append(c.errs, kind.New("", format, args...))
 }
 
-// checkName checks the name of a pool, policy or route, and adds it to those that are defined.
+// checkName checks the name of a pool, policy or route, and adds it to the defined names.
 func (c *setChecker) checkName(what, name string, defined map[string]bool) {
 	if name == "" {
-		c.add(invalidName, "a %s has no name", what)
+		c.addError(invalidName, "a %s has no name", what)
 	} else if defined[name] {
-		c.add(invalidName, "%s %q is named twice", what, name)
+		c.addError(invalidName, "%s %q is defined twice", what, name)
 	}
 	if !IsValidName(name) {
-		c.add(invalidName, "%s %q has a blank or a control character in its name", what, name)
+		c.addError(invalidName, "%s %q has a blank or a control character in its name", what, name)
 	}
 	defined[name] = true
 }
 
 func (c *setChecker) checkPools() {
 	if len(c.set.Pools) == 0 {
-		c.add(unknownName, "there is no pool")
+		c.addError(unknownName, "there is no pool")
 	}
 	for _, pool := range c.set.Pools {
 		c.checkName("pool", pool.Name, c.pools)
 		if pool.MaxOpen < 0 || pool.MaxWaiting < 0 {
-			c.add(invalidFigure, "pool %q has a limit below 0", pool.Name)
+			c.addError(outOfRange, "pool %q has a limit below 0", pool.Name)
 		}
 		if !pool.Select.HasValidSizes() {
-			c.add(invalidFigure, "pool %q selects sizes from %v to %v, which is no range of finite sizes of 0 or more", pool.Name,
+			c.addError(outOfRange, "pool %q selects sizes from %v to %v, which is not a range of finite sizes of 0 or more", pool.Name,
 				pool.Select.SizeFrom, pool.Select.SizeTo)
 		}
 	}
@@ -87,19 +88,19 @@
 	for _, p := range c.set.Policies {
 		c.checkName("policy", p.Name, c.policies)
 		if p.Attempts < 0 || p.Deadline < 0 || p.RetryAfterMin < 0 || p.RetryAfterMax < 0 {
-			c.add(invalidFigure, "policy %q has a figure below 0: attempts %d, deadline %d us, come_back from %d to %d us", p.Name,
+			c.addError(outOfRange, "policy %q has a negative value: attempts %d, deadline %d us, come_back from %d to %d us", p.Name,
 				p.Attempts, p.Deadline, p.RetryAfterMin, p.RetryAfterMax)
 		} else if p.RetryAfterMax > 0 && p.RetryAfterMax < p.RetryAfterMin {
-			c.add(invalidFigure, "policy %q has a come_back range that ends before it begins: from %d to %d us", p.Name,
+			c.addError(outOfRange, "policy %q has a come_back range that ends before it begins: from %d to %d us", p.Name,
 				p.RetryAfterMin, p.RetryAfterMax)
 		}
 		seen := map[string]bool{}
 		for _, pool := range p.Fallback {
 			if !c.pools[pool] {
-				c.add(unknownName, "policy %q falls back to pool %q, which does not exist", p.Name, pool)
+				c.addError(unknownName, "policy %q falls back to pool %q, which does not exist", p.Name, pool)
 			}
 			if seen[pool] {
-				c.add(unknownName, "policy %q falls back to pool %q twice", p.Name, pool)
+				c.addError(unknownName, "policy %q falls back to pool %q twice", p.Name, pool)
 			}
 			seen[pool] = true
 		}
@@ -109,16 +110,16 @@
 func (c *setChecker) checkRoute(r *Route) {
 	c.checkName("route", r.Name, c.routes)
 	if r.MaxOpen < 0 || r.MaxWaiting < 0 {
-		c.add(invalidFigure, "route %q has a limit below 0", r.Name)
+		c.addError(outOfRange, "route %q has a limit below 0", r.Name)
 	}
 	if r.Policy != "" && !c.policies[r.Policy] {
-		c.add(unknownName, "route %q is under policy %q, which does not exist", r.Name, r.Policy)
+		c.addError(unknownName, "route %q uses policy %q, which does not exist", r.Name, r.Policy)
 	}
-	if n := r.Match.ruleCount(); n > maxRules {
-		c.add(tooManyConditions, "route %q has %d combinations of conditions, over %d", r.Name, n, maxRules)
+	if n := r.Match.ruleCount(); n > maxRulesPerRoute {
+		c.addError(tooManyConditions, "route %q has %d combinations of conditions, over %d", r.Name, n, maxRulesPerRoute)
 	}
 	if n := r.Match.longestText(); n > maxTextBytes {
-		c.add(tooManyConditions, "route %q has a condition of %d bytes, over %d", r.Name, n, maxTextBytes)
+		c.addError(tooManyConditions, "route %q has a condition of %d bytes, over %d", r.Name, n, maxTextBytes)
 	}
 	c.checkSplit(r)
 }
@@ -128,35 +129,35 @@
 	seen := map[string]bool{}
 	for _, share := range r.To {
 		if !c.pools[share.Pool] {
-			c.add(unknownName, "route %q goes to pool %q, which does not exist", r.Name, share.Pool)
+			c.addError(unknownName, "route %q goes to pool %q, which does not exist", r.Name, share.Pool)
 		}
 		if seen[share.Pool] {
-			c.add(invalidSplit, "route %q goes to pool %q twice", r.Name, share.Pool)
+			c.addError(invalidSplit, "route %q goes to pool %q twice", r.Name, share.Pool)
 		}
 		if share.PPM < 0 || share.PPM > TotalPPM {
-			c.add(invalidSplit, "route %q gives pool %q a part of %d ppm, which is not from 0 to %d", r.Name, share.Pool, share.PPM, TotalPPM)
+			c.addError(invalidSplit, "route %q gives pool %q a share of %d ppm, which is not from 0 to %d", r.Name, share.Pool, share.PPM, TotalPPM)
 			continue
 		}
 		seen[share.Pool] = true
 		sum += share.PPM
 	}
 	if sum != TotalPPM {
-		c.add(invalidSplit, "the parts of route %q come to %g %%, not to 100 %%", r.Name, float64(sum)/TotalPPM*100)
+		c.addError(invalidSplit, "the parts of route %q come to %g %%, not to 100 %%", r.Name, float64(sum)/TotalPPM*100)
 	}
 }
 
-// IsValidName reports whether a name fits into a line of statistics: it has no spaces and no control characters.
+// IsValidName reports whether a name is usable in a line of statistics, that is, contains no spaces or control characters.
 func IsValidName(name string) bool {
 	const deleteCharacter = 0x7f
 	return !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == deleteCharacter })
 }
 
-// ruleCount returns how many rules a match expands to, at most maxRuleCount.
+// ruleCount returns the number of rules that a match expands to, or ruleCountCap if there are more.
 func (m *Match) ruleCount() int {
 	count := 1
 	multiply := func(s StringMatcher) {
 		if !s.MatchesAll() {
-			count = min(count*len(patterns(s)), maxRuleCount)
+			count = min(count*len(patterns(s)), ruleCountCap)
 		}
 	}
 	multiply(m.Key)
@@ -170,7 +171,7 @@
 	return count
 }
 
-// longestText returns the length of the longest text in the match's conditions, in bytes.
+// longestText returns the length in bytes of the longest text in the conditions of the match.
 func (m *Match) longestText() (length int) {
 	lists := [][]string{m.Class, m.Listener, m.Zone, m.Key.Exact, m.Key.Prefix, m.Group.Exact, m.Group.Prefix}
 	for _, s := range m.Fields {
--- a/internal/routing/conflict.go
+++ b/internal/routing/conflict.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Conflicting reports whether two tables decide differently what becomes of a connection: its pool by name, which endpoints
-// the pool selects, the limits of pool and route, or the contents of the policy. Names of routes and policies alone are no
-// difference. oldLine and newLine are the same connection with Fields in the order of each table. For a single connection it
-// agrees with Diff, whose aspects route and policy are those names. It does not allocate.
+// Conflicting reports whether two tables decide differently on a connection. It compares the name of the pool, the endpoints that
+// the pool selects, the limits of pool and route, and the contents of the policy. A different name of the route or policy alone
+// is not a conflict; Diff reports these as the aspects route and policy, and agrees with Conflicting in all others. oldLine and
+// newLine are the same connection, with Fields in the order of the respective table. Conflicting does not allocate.
 func Conflicting(oldTable, newTable *Table, oldLine, newLine *ConnectionAttributes) bool {
 	if oldTable == newTable {
 		return false
@@ -30,8 +30,8 @@
 	return !samePolicy(oldTable.policyAt(a.Policy), newTable.policyAt(b.Policy))
 }
 
-// samePolicy compares two policies except for their names; nil is none. An empty policy differs from none, as it does for
-// Diff.
+// samePolicy reports whether two policies are equal except for their names; nil means no policy. As in Diff, an empty policy
+// differs from no policy.
 func samePolicy(a, b *Policy) bool {
 	if a == nil || b == nil {
 		return a == b
--- a/internal/routing/conflict_test.go
+++ b/internal/routing/conflict_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// drawNext draws a set that replaces another: a random one, or the same but for one figure or name, so that each aspect in
-// which tables can differ does so alone now and then.
-func drawNext(t *rapid.T, set Set) Set {
+// drawChangedSet draws a set that replaces another one. It is either a random set or the same set with one changed number or name,
+// so that over many draws each aspect also differs alone.
+func drawChangedSet(t *rapid.T, set Set) Set {
 	if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
 		return drawSet(t)
 	}
@@ -49,7 +49,8 @@
 	return next
 }
 
-// Conflicting says of a connection what Diff says of all: a change that is more than a name includes it.
+// TestConflictingAgreesWithDiff checks that Conflicting reports a conflict for a connection exactly if Diff returns a change that
+// contains the connection and differs in more than the names of the route and the policy.
 func TestConflictingAgreesWithDiff(t *testing.T) {
 	seen := map[string]int{}
 	testkit.Property(t, func(rt *rapid.T) {
@@ -58,7 +59,7 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		next, err := New(drawNext(rt, set))
+		next, err := New(drawChangedSet(rt, set))
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -68,11 +69,11 @@
 		}
 		for range 40 {
 			l := drawLine(rt)
-			was, is := lineFor(old, l), lineFor(next, l)
-			place := SplitPosition(was)
+			oldLine, newLine := lineFor(old, l), lineFor(next, l)
+			position := SplitPosition(oldLine)
 			want := false
 			for _, c := range changes {
-				in := place >= c.From && place < c.From+c.PPM
+				in := position >= c.From && position < c.From+c.PPM
 				for _, s := range c.Cell {
 					in = in && s.Contains(l[strings.TrimPrefix(s.Dimension, "field ")])
 				}
@@ -85,17 +86,17 @@
 					}
 				}
 			}
-			if got := Conflicting(old, next, was, is); got != want {
-				rt.Fatalf("%v at %d: conflicting %v, by Diff %v", l, place, got, want)
+			if got := Conflicting(old, next, oldLine, newLine); got != want {
+				rt.Fatalf("%v at split position %d: Conflicting returned %v, Diff implies %v", l, position, got, want)
 			}
-			if Conflicting(next, old, is, was) != want || Conflicting(old, old, was, was) {
-				rt.Fatalf("%v: the order of the tables matters", l)
+			if Conflicting(next, old, newLine, oldLine) != want || Conflicting(old, old, oldLine, oldLine) {
+				rt.Fatalf("%v: Conflicting depends on the order of the tables, or a table conflicts with itself", l)
 			}
 		}
 	})
 	for _, aspect := range []string{"pool", "terms", "limits", "selection", "name alone"} {
 		if seen[aspect] == 0 {
-			t.Errorf("no connection ever conflicted in its %s", aspect)
+			t.Errorf("no drawn connection differed in the aspect %q", aspect)
 		}
 	}
 }
@@ -119,6 +120,6 @@
 			t.Error("equal tables conflict")
 		}
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations per call, want 0", n)
 	}
 }
--- a/internal/routing/describe.go
+++ b/internal/routing/describe.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxListedTexts is how many texts of a Span are listed. Where there is just one more, it is listed too.
+// maxListedTexts is the number of texts of a Span that a description lists. A single additional text is listed too.
 const maxListedTexts = 5
 
 // Percent formats parts per million as a percentage, such as "12.5 %".
@@ -37,7 +37,7 @@
 	return description
 }
 
-// quoteTexts quotes texts. Of many it gives the number of those that it does not list.
+// quoteTexts quotes texts. It replaces the texts beyond maxListedTexts by their number.
 func quoteTexts(texts []string) []string {
 	listed := texts
 	if len(texts) > maxListedTexts+1 {
@@ -69,13 +69,14 @@
 	return subject + ": " + c.DescribeDifference()
 }
 
-// DescribeDifference describes, for operators, what is decided differently on the change's connections, which it does not name.
+// DescribeDifference describes, for operators, how the decisions on the connections of the change differ. It does not describe
+// the connections themselves.
 func (c *Change) DescribeDifference() string {
 	switch {
 	case c.Old.Route == "":
-		return fmt.Sprintf("so far no route; now route %q to pool %q%s", c.New.Route, c.New.Pool, c.New.policyPhrase())
+		return fmt.Sprintf("previously no route; now route %q to pool %q%s", c.New.Route, c.New.Pool, c.New.policyPhrase())
 	case c.New.Route == "":
-		return fmt.Sprintf("so far route %q to pool %q; now no route, so they fail", c.Old.Route, c.Old.Pool)
+		return fmt.Sprintf("previously route %q to pool %q; now no route, so they fail", c.Old.Route, c.Old.Pool)
 	}
 	var clauses []string
 	if c.ChangesPool() {
@@ -89,19 +90,19 @@
 	return strings.Join(clauses, ", ")
 }
 
-// describeAspect describes one aspect of Change.What; "" where another one says it.
+// describeAspect describes one aspect of Change.Aspects. It returns "" if the description of another aspect covers it.
 func (c *Change) describeAspect(aspect string) string {
 	switch {
 	case aspect == aspectRoute:
-		return fmt.Sprintf("by route %q in place of %q", c.New.Route, c.Old.Route)
+		return fmt.Sprintf("by route %q instead of %q", c.New.Route, c.Old.Route)
 	case aspect == aspectPolicy:
-		return fmt.Sprintf("under %s in place of %s", c.New.policyName(), c.Old.policyName())
+		return fmt.Sprintf("under %s instead of %s", c.New.policyName(), c.Old.policyName())
 	case aspect == aspectTerms && !slices.Contains(c.Aspects, aspectPolicy):
-		return fmt.Sprintf("policy %q says something else", c.New.Policy)
+		return fmt.Sprintf("policy %q has other terms", c.New.Policy)
 	case aspect == aspectLimits:
-		return "other limits hold"
+		return "other limits apply"
 	case aspect == aspectSelection && !c.ChangesPool():
-		return fmt.Sprintf("pool %q takes other next hops", c.New.Pool)
+		return fmt.Sprintf("pool %q selects other endpoints", c.New.Pool)
 	}
 	return ""
 }
@@ -113,7 +114,7 @@
 	return fmt.Sprintf("policy %q", o.Policy)
 }
 
-// policyPhrase returns the policy as part of a sentence; "" without one.
+// policyPhrase returns the policy as part of a sentence, or "" if there is none.
 func (o *Outcome) policyPhrase() string {
 	if o.Policy == "" {
 		return ""
--- a/internal/routing/diff.go
+++ b/internal/routing/diff.go
@@ -6,23 +6,24 @@
 	"strings"
 )
 
-// MatchSpace is the values that the enumerable fields of a site's lines can have. A field without values can have any text.
+// MatchSpace lists the values that class, listener and zone of a site's connections can have. An empty list allows any text.
 type MatchSpace struct {
 	Classes   []string
 	Listeners []string
 	Zones     []string
 }
 
-// Span is a set of texts in one dimension: Texts, or else all that begin with Prefix except for those of ExceptTexts and ExceptPrefixes.
+// Span is a set of texts in one dimension. If Texts is empty, the span holds all texts that begin with Prefix, except for
+// ExceptTexts and the texts that begin with one of ExceptPrefixes.
 type Span struct {
 	Dimension      string   `json:"dimension"`
 	Texts          []string `json:"texts,omitempty"`
 	Prefix         string   `json:"prefix,omitempty"`
-	ExceptTexts    []string `json:"except,omitempty"` // texts that are spans of their own
-	ExceptPrefixes []string `json:"beside,omitempty"` // longer prefixes that are spans of their own
+	ExceptTexts    []string `json:"except,omitempty"` // texts that form separate spans
+	ExceptPrefixes []string `json:"beside,omitempty"` // longer prefixes that form separate spans
 }
 
-// Contains reports whether a text is in the span.
+// Contains reports whether the span contains a text.
 func (s *Span) Contains(text string) bool {
 	if len(s.Texts) > 0 {
 		return slices.Contains(s.Texts, text)
@@ -30,34 +31,34 @@
 	return strings.HasPrefix(text, s.Prefix) && !slices.Contains(s.ExceptTexts, text) && !hasAnyPrefix(text, s.ExceptPrefixes)
 }
 
-// isUnbounded reports whether the span holds all texts.
+// isUnbounded reports whether the span contains all texts.
 func (s *Span) isUnbounded() bool {
 	return len(s.Texts) == 0 && s.Prefix == "" && len(s.ExceptTexts) == 0 && len(s.ExceptPrefixes) == 0
 }
 
-// Outcome is what routing decides on a connection, by name and by content.
+// Outcome is the routing decision for a connection, by name and by content.
 type Outcome struct {
-	Route  string `json:"route,omitempty"` // "": none matches
+	Route  string `json:"route,omitempty"` // "": no route matches
 	Pool   string `json:"pool,omitempty"`
 	Policy string `json:"policy,omitempty"`
 
-	// Contents that the names stand for, formatted for comparison.
+	// Contents of the named objects, formatted for comparison.
 	terms     string // of the policy
 	limits    string // of route and pool
 	selection string // of the pool
 }
 
-// Change is a set of connections on which two tables decide differently.
+// Change is a set of connections on which two tables decide differently, with both decisions.
 type Change struct {
-	Cell    []Span   `json:"connections"` // at most one span for each dimension; empty: all connections
+	Cell    []Span   `json:"connections"` // at most one span per dimension; empty: all connections
 	PPM     int      `json:"share_ppm"`   // share of the keys in the cell, in parts per million
-	From    int      `json:"-"`           // the SplitPosition at which the share begins
+	From    int      `json:"-"`           // SplitPosition at which the share begins
 	Old     Outcome  `json:"old"`
 	New     Outcome  `json:"new"`
-	Aspects []string `json:"what"` // the aspects that differ: route, pool, policy, terms, limits, selection
+	Aspects []string `json:"what"` // differing aspects: route, pool, policy, terms, limits, selection
 }
 
-// Aspects of an Outcome, as Change.What names them.
+// Aspects of an Outcome, as listed in Change.Aspects.
 const (
 	aspectRoute     = "route"
 	aspectPool      = "pool"
@@ -70,9 +71,9 @@
 // ChangesPool reports whether the connections go to another pool.
 func (c *Change) ChangesPool() bool { return c.Old.Pool != c.New.Pool }
 
-// Diff returns all sets of connections on which two tables decide differently. It divides the match space into cells. Within a
-// cell each table decides alike on all connections, but for their places in a split; cells on which both tables decide alike
-// are skipped. The result is exact. Diff fails with ErrTooManyCells where there are over 4 million cells.
+// Diff returns all sets of connections on which two tables decide differently. It divides the match space into cells such that
+// each table decides equally on all connections in a cell, except for their positions in a split. It skips cells on which both
+// tables agree. The result is exact. Diff returns ErrTooManyCells if there are over 4 million cells.
 func Diff(oldTable, newTable *Table, space MatchSpace) ([]Change, error) {
 	fields := append(slices.Clone(oldTable.FieldNames), newTable.FieldNames...)
 	slices.Sort(fields)
@@ -83,7 +84,7 @@
 	return d.mergeChanges(d.changes), nil
 }
 
-// outcome returns what routing decides on the connections in a share of a route.
+// outcome returns the outcome for the connections in a share of a route.
 func (t *Table) outcome(route, share int) Outcome {
 	r, to := &t.Set.Routes[route], &t.targets[route]
 	pool := &t.Set.Pools[to.pools[share]]
--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -2,17 +2,17 @@
 
 import "example.org/micafront/internal/apperror"
 
-// Kinds of errors that keep a set from being compiled or compared. The text of each error names the pool, policy, route or
-// listener at fault.
+// Kinds of errors that prevent a set from being compiled or compared. The text of each error names the pool, policy, route or
+// listener that causes it.
 var (
-	// invalidName: a name is missing, taken or not fit for a line of statistics.
+	// invalidName: a name is missing, already used, or not allowed by IsValidName.
 	invalidName = apperror.NewKind("routing/name",
 		"give it a name that no other has, without blanks or control characters, and not main for a further listener")
-	// unknownName: a pool, policy or route is named that is not defined, a fallback names a pool twice, or there is no pool.
+	// unknownName: a name refers to an undefined pool, policy or route, a fallback names a pool twice, or there is no pool.
 	unknownName = apperror.NewKind("routing/unknown-name",
 		"define the pool, policy or route that is named, or correct the name where it is used")
-	// invalidFigure: a figure is out of range.
-	invalidFigure = apperror.NewKind("routing/figure",
+	// outOfRange: a number is out of range.
+	outOfRange = apperror.NewKind("routing/figure",
 		"correct the figure: limits and times are 0 or more, and a range ends no lower than it begins")
 	// invalidSplit: the shares of a route do not add up to TotalPPM, or one is out of range or given twice.
 	invalidSplit = apperror.NewKind("routing/split",
@@ -28,6 +28,6 @@
 		"compare a part of the routes at a time, or look single connections up with micafront config explain")
 )
 
-// ErrTooManyCells means that the match space of the tables that were to be compared divides into more than maxCells cells. It is
-// for errors.Is.
+// ErrTooManyCells means that the match space of the compared tables divides into more than maxCells cells. Test for it with
+// errors.Is.
 var ErrTooManyCells error = tooManyCells.New("", "the match space has over %d cells", maxCells)
--- a/internal/routing/golden_test.go
+++ b/internal/routing/golden_test.go
@@ -8,7 +8,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// goldenSet has every field set, as do the other values here.
+// goldenSet returns a set in which every field is set.
 func goldenSet() Set {
 	return Set{
 		Pools: []Pool{{Name: "thies", Precedence: 3, FormerNames: []string{"senegal"}, MaxOpen: 400, MaxWaiting: 50,
@@ -37,7 +37,7 @@
 		New:  Outcome{Route: "rest", Pool: "dakar", Policy: "brief"}}
 }
 
-// Each JSON form of the package keeps its bytes.
+// TestGoldenEncodings checks that the JSON encodings of the package's types do not change.
 func TestGoldenEncodings(t *testing.T) {
 	for file, check := range map[string]func(t *testing.T, file string){
 		"set.json":       testkit.PinnedEncoding(goldenSet()),
@@ -48,12 +48,12 @@
 	}
 }
 
-// A set whose optional members are absent is encoded without them.
+// TestGoldenSparseSet checks that absent optional fields are omitted from the JSON encoding.
 func TestGoldenSparseSet(t *testing.T) {
 	testkit.CheckEncoding(t, "single.json", SinglePoolSet())
 }
 
-// The decoded set has each member where it belongs, and compiles.
+// TestGoldenSetDecoded checks that decoding restores every field of a set, and that the decoded set compiles.
 func TestGoldenSetDecoded(t *testing.T) {
 	var decoded Set
 	if err := json.Unmarshal(testkit.GoldenFile(t, "set.json"), &decoded); err != nil {
@@ -65,27 +65,27 @@
 	}
 }
 
-// What a comparison and an explanation say of differing sets, as they are encoded for the operator.
+// TestGoldenComparison checks the JSON encodings of a Diff result and of Candidates, which operators see.
 func TestGoldenComparison(t *testing.T) {
 	current, changed := goldenSet(), goldenSet()
 	current.Routes[0].Match = Match{Class: []string{"album-feed"}, Key: goldenStrings("k")}
 	changed.Routes[0].Match = current.Routes[0].Match
 	changed.Routes[0].Policy = ""
 	changed.Pools[0].MaxOpen = 200
-	was, err := New(current)
+	currentTable, err := New(current)
 	if err != nil {
 		t.Fatal(err)
 	}
-	is, err := New(changed)
+	changedTable, err := New(changed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	changes, err := Diff(was, is, MatchSpace{Classes: []string{"album-feed", "album-notes"}, Listeners: []string{"inner"}, Zones: []string{"thies"}})
+	changes, err := Diff(currentTable, changedTable, MatchSpace{Classes: []string{"album-feed", "album-notes"}, Listeners: []string{"inner"}, Zones: []string{"thies"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	line := ConnectionAttributes{Class: "album-feed", Key: "k1"}
-	for file, value := range map[string]any{"diff.json": changes, "candidates.json": was.Candidates(&line)} {
+	for file, value := range map[string]any{"diff.json": changes, "candidates.json": currentTable.Candidates(&line)} {
 		text, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
@@ -94,10 +94,10 @@
 	}
 }
 
-// Error kinds as they are sent.
+// TestGoldenKinds checks the names of the error kinds, which are sent on the wire.
 func TestGoldenKinds(t *testing.T) {
 	for name, kind := range map[string]*apperror.Kind{
-		"routing/name": invalidName, "routing/unknown-name": unknownName, "routing/figure": invalidFigure, "routing/split": invalidSplit,
+		"routing/name": invalidName, "routing/unknown-name": unknownName, "routing/figure": outOfRange, "routing/split": invalidSplit,
 		"routing/ambiguous": ambiguousRoutes, "routing/too-many": tooManyConditions, "routing/too-wide": tooManyCells,
 	} {
 		testkit.Equal(t, "kind", name, kind.Name)
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -9,23 +9,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// shape is the hash table of all rules that have patterns of the same lengths. One lookup finds the rule that matches. What a
-// lookup reads is kept close together, since in a large table each further access is a cache miss.
+// shape is the hash table of all rules whose patterns have the same lengths, as a tuple in tuple space search. A single lookup
+// finds the matching rule. The data that a lookup reads is stored contiguously, because in a large table each further access is a
+// cache miss.
 type shape struct {
 	lengths    []int32
-	dimensions []int32 // those with a condition
-	firstRule  int32   // position of the first of its rules
-	slots      []slot  // open addressing; at least half of them are free
+	dimensions []int32 // dimensions with a condition
+	firstRule  int32   // position of the first rule of the shape in Table.rules
+	slots      []slot  // open addressing; at least half of the slots are free
 }
 
-// slot is a rule by the hash of its texts. Its record is in Table.records.
+// slot refers to the record of a rule in Table.records, by the hash of the rule's texts.
 type slot struct {
 	hash   uint32
 	offset uint32 // 0: free
 }
 
-// A record is the position of the rule, its route and its target in Table.sharedTargets, as 32-bit little-endian integers,
-// followed by the texts of the conditions. The length of an exact text precedes it as a 16-bit integer.
+// A record starts with the positions of the rule in Table.rules, of its route in Set.Routes, and of its target in
+// Table.sharedTargets, as 32-bit little-endian integers. The texts of the conditions follow. The length of an exact text precedes
+// it as a 16-bit little-endian integer.
 const (
 	recordRouteOffset  = 4
 	recordTargetOffset = 8
@@ -33,10 +35,10 @@
 	recordLengthBytes  = 2
 )
 
-// buildIndex makes the shapes and their records from the sorted rules.
+// buildIndex builds the shapes and their records from the sorted rules.
 func (t *Table) buildIndex() {
 	byLengths := map[string]int{} // position in t.shapes
-	var members [][]int32         // rules of each shape
+	var members [][]int32         // positions of the rules of each shape
 	for i := range t.rules {
 		r := &t.rules[i]
 		key := fmt.Sprint(r.lengths)
@@ -60,7 +62,7 @@
 	}
 }
 
-// newShape returns the empty shape of a rule at a position.
+// newShape returns an empty shape for a rule at a position in Table.rules.
 func newShape(r *rule, position int) shape {
 	s := shape{lengths: r.lengths, firstRule: int32(position)}
 	for dimension, length := range r.lengths {
@@ -71,14 +73,14 @@
 	return s
 }
 
-// insert adds a rule to a shape. Rules are inserted in their order: a rule that repeats an earlier one's texts comes behind
-// it and is never found.
+// insert adds a rule to a shape. Rules must be inserted by precedence: a rule with the same texts as an earlier one follows it in
+// the probe sequence, so lookups never return it.
 func (t *Table) insert(s *shape, position int32, sharedTargets map[string]int32) {
 	r := &t.rules[position]
 	offset := uint32(len(t.records))
 	t.records = binary.LittleEndian.AppendUint32(t.records, uint32(position))
 	t.records = binary.LittleEndian.AppendUint32(t.records, uint32(r.route))
-	t.records = binary.LittleEndian.AppendUint32(t.records, uint32(t.shareTarget(&t.targets[r.route], sharedTargets)))
+	t.records = binary.LittleEndian.AppendUint32(t.records, uint32(t.internTarget(&t.targets[r.route], sharedTargets)))
 	hash := uint64(0)
 	for _, dimension := range s.dimensions {
 		text := r.texts[dimension]
@@ -96,8 +98,8 @@
 	s.slots[i] = slot{hash: slotHash(hash), offset: offset}
 }
 
-// shareTarget returns the position of a target in t.sharedTargets, to which it is added where it is new.
-func (t *Table) shareTarget(to *target, positions map[string]int32) int32 {
+// internTarget returns the position of a target in t.sharedTargets. It adds the target if there is no equal one.
+func (t *Table) internTarget(to *target, positions map[string]int32) int32 {
 	key := fmt.Sprint(to.shares, to.policy)
 	position, ok := positions[key]
 	if !ok {
@@ -108,17 +110,18 @@
 	return position
 }
 
-// slotHash returns the upper half of a hash, by which rules in neighboring slots are told apart: the lower bits select the slot.
+// slotHash returns the upper half of a hash. It distinguishes rules in neighboring slots, because the lower bits select the slot.
 func slotHash(hash uint64) uint32 { return uint32(hash >> 32) }
 
-// Decide routes a connection; ok is false where no route matches and there is no default. It does not allocate.
+// Decide returns the routing decision for a connection. ok is false if no route matches and there is no default route. Decide does
+// not allocate.
 func (t *Table) Decide(l *ConnectionAttributes) (d Decision, ok bool) {
 	best := int32(len(t.rules))
 	var found []byte
 	for i := range t.shapes {
 		s := &t.shapes[i]
 		if s.firstRule >= best {
-			break // shapes are in the order of their first rules
+			break // shapes are sorted by their first rules
 		}
 		if record := t.find(s, l); record != nil {
 			if position := int32(binary.LittleEndian.Uint32(record)); position < best {
@@ -146,7 +149,7 @@
 	return d, true
 }
 
-// find returns the record of a shape's rule that matches a line, and all that follows it in t.records; nil where there is none.
+// find returns t.records from the record of the matching rule of a shape on, or nil if no rule of the shape matches.
 func (t *Table) find(s *shape, l *ConnectionAttributes) (record []byte) {
 	hash := uint64(0)
 	for _, dimension := range s.dimensions {
@@ -174,8 +177,8 @@
 	}
 }
 
-// recordMatches reports whether a line has the texts of a record, whose header is left out. The line's texts are no shorter
-// than the shape's prefixes.
+// recordMatches reports whether a connection has the texts of a record. texts is the record without its header. The texts of the
+// connection must be at least as long as the prefixes of the shape.
 func (t *Table) recordMatches(s *shape, texts []byte, l *ConnectionAttributes) bool {
 	for _, dimension := range s.dimensions {
 		text := t.lineText(l, int(dimension))
--- a/internal/routing/merge_changes.go
+++ b/internal/routing/merge_changes.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// mergeChanges merges changes that differ in the texts of one dimension only, until no two of them do, and sorts the result.
+// mergeChanges merges changes that differ only in the texts of one dimension until no such pair is left, and sorts the result.
 func (d *differ) mergeChanges(changes []Change) []Change {
 	for before := -1; before != len(changes); {
 		before = len(changes)
-		for dimension := range d.closedValues {
+		for dimension := range d.enumValues {
 			changes = d.mergeDimension(dimension, changes)
 		}
 	}
@@ -21,15 +21,15 @@
 	return changes
 }
 
-// spanIndex returns the position of a dimension's span in a change's cell; -1: there is none.
+// spanIndex returns the position of the span of a dimension in the cell, or -1 if there is none.
 func (c *Change) spanIndex(dimension string) int {
 	return slices.IndexFunc(c.Cell, func(s Span) bool { return s.Dimension == dimension })
 }
 
-// mergeDimension merges the changes that differ in the texts of this dimension only.
+// mergeDimension merges the changes that differ only in the texts of a dimension.
 func (d *differ) mergeDimension(dimension int, changes []Change) []Change {
 	name := d.dimensionName(dimension)
-	groups := map[string][]Change{} // of changes that are equal in everything else
+	groups := map[string][]Change{} // by signature without this dimension
 	var order []string
 	var merged []Change
 	for _, c := range changes {
@@ -44,18 +44,18 @@
 		groups[key] = append(groups[key], c)
 	}
 	for _, key := range order {
-		merged = append(merged, mergeGroup(name, d.closedValues[dimension], groups[key])...)
+		merged = append(merged, mergeGroup(name, d.enumValues[dimension], groups[key])...)
 	}
 	return merged
 }
 
-// mergeGroup merges changes that differ in one dimension only: their texts become one span, which is left out where the
-// group covers all texts. Changes whose spans are prefixes stay as they are. closedValues are the dimension's possible texts;
-// none: any.
+// mergeGroup merges changes that differ only in one dimension. It joins their texts into one span, and omits that span if the
+// group covers all texts. It keeps changes whose spans are prefixes. enumValues are the possible texts of the dimension; empty
+// means any text.
 func mergeGroup(dimension string, closedValues []string, group []Change) []Change {
 	var texts []string
-	var first *Change   // with texts
-	var others []Change // with prefixes
+	var first *Change   // first change with texts
+	var others []Change // changes with prefixes
 	for i := range group {
 		c := &group[i]
 		span := c.Cell[c.spanIndex(dimension)]
@@ -89,7 +89,8 @@
 	return append(others, merged)
 }
 
-// signature identifies a change by its contents, without the texts of one dimension; "": with all.
+// signature returns a text that identifies the contents of a change, without the texts of one dimension. With "", it includes
+// all dimensions.
 func signature(c *Change, without string) string {
 	var b strings.Builder
 	for _, s := range c.Cell {
--- a/internal/routing/owners.go
+++ b/internal/routing/owners.go
@@ -9,16 +9,16 @@
 	"example.org/micafront/balancer"
 )
 
-// noPool is the position of a pool that there is not.
+// noPool stands in for a pool position and means no pool.
 const noPool = -1
 
-// EndpointEntry is an endpoint of a list, with the attributes that only pools look at.
+// EndpointEntry is an endpoint of a list, with the attributes that only pool selectors use.
 type EndpointEntry struct {
 	balancer.Endpoint
 	MachineType string
 }
 
-// Attributes returns what pools look at. A size that is not given is 1.
+// Attributes returns the attributes that pool selectors use. A missing size defaults to 1.
 func (e *EndpointEntry) Attributes() EndpointAttributes {
 	size := e.Size
 	if size == 0 {
@@ -27,36 +27,37 @@
 	return EndpointAttributes{ID: e.ID, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, Size: size}
 }
 
-// PoolUpdate is the part of a list that concerns one pool.
+// PoolUpdate is the part of an endpoint list that concerns one pool.
 type PoolUpdate struct {
 	Pool    int
 	Members balancer.EndpointUpdate
 }
 
-// PoolMembership assigns each endpoint to one pool at most at any time. A pool is given as its position in the Set's list, -1 for none.
+// PoolMembership assigns each endpoint to at most one pool at any time. Pools are identified by their positions in Set.Pools; -1
+// means no pool.
 //
-// An endpoint that changes pools during its slow start belongs to neither pool until it has warmed up or restarted: what the
-// former pool has sent it still counts in its slow-start budget, and the new pool would begin another budget. That time is
-// its reservation.
+// An endpoint that changes pools during its slow start belongs to neither pool until it has warmed up or restarted, because the
+// requests from the former pool still count against its slow-start budget and the new pool would start a second budget. During
+// that time the endpoint is reserved.
 type PoolMembership struct {
-	set       *Set
-	poolOrder []int                       // positions in set.Pools by precedence
-	warmUp    time.Duration               // of an endpoint after its start
-	endpoints map[string]*ownership       // by id
-	restored  map[string]balancer.Instant // reservations of an earlier process, by id, for endpoints that are not listed yet
-	lists     int                         // that were applied
-	notes     []MembershipEvent           // since TakeEvents was last called
+	set                  *Set
+	poolOrder            []int                       // positions in set.Pools, by precedence
+	warmUp               time.Duration               // duration of the slow start of an endpoint
+	endpoints            map[string]*member          // by id
+	restoredReservations map[string]balancer.Instant // ends of reservations of the predecessor process, by id, for newly listed endpoints
+	listCount            int                         // number of applied lists
+	events               []MembershipEvent           // events since the last call of TakeEvents
 }
 
-// MembershipEvent is something that PoolMembership did with an endpoint and that operators should know of.
+// MembershipEvent reports an assignment of an endpoint that is relevant to operators.
 type MembershipEvent struct {
 	Type     MembershipEventType
 	Endpoint string // id
-	From     string // name of the pool that had the endpoint; "": none, or one that was removed
-	To       string // name of the pool that has the endpoint, or will have it; "": none
+	From     string // name of the former pool; "": none, or a removed pool
+	To       string // name of the current or future pool; "": none
 }
 
-// MembershipEventType is what a MembershipEvent is about: the message of a log line.
+// MembershipEventType is the type of a MembershipEvent. Its text is the message of a log line.
 type MembershipEventType string
 
 // Types of membership events.
@@ -68,19 +69,19 @@
 	Released          MembershipEventType = "endpoint is warm and moved to its pool"
 )
 
-// ownership is what PoolMembership knows of an endpoint.
-type ownership struct {
+// member is the state of an endpoint in a PoolMembership.
+type member struct {
 	entry            EndpointEntry
-	pool             int              // or noPool
-	servedSinceStart bool             // a pool has had it since its latest start
-	reservedUntil    balancer.Instant // 0: it is not reserved
-	listedBy         int              // which of the lists named it last
+	pool             int              // position in Set.Pools, or noPool
+	servedSinceStart bool             // the endpoint has belonged to a pool since its last start
+	reservedUntil    balancer.Instant // 0: not reserved
+	lastList         int              // number of the last list that contained the endpoint
 }
 
-// updateBuilder collects the parts of a list by pool.
+// updateBuilder collects the parts of an endpoint list by pool.
 type updateBuilder []PoolUpdate
 
-// newUpdateBuilder has an empty update for each pool.
+// newUpdateBuilder returns an updateBuilder with an empty update for each pool.
 func newUpdateBuilder(pools int, template balancer.EndpointUpdate) updateBuilder {
 	updates := make(updateBuilder, pools)
 	for i := range updates {
@@ -93,15 +94,16 @@
 	u[pool].Members.Entries = append(u[pool].Members.Entries, e)
 }
 
-// NewPoolMembership makes a PoolMembership without endpoints. warmUp is how long an endpoint's slow start takes. The set must not be changed.
+// NewPoolMembership returns a PoolMembership without endpoints. warmUp is the duration of an endpoint's slow start. The caller must not
+// modify set.
 func NewPoolMembership(set *Set, warmUp time.Duration) *PoolMembership {
-	o := &PoolMembership{endpoints: map[string]*ownership{}}
-	o.usePools(set, warmUp)
+	o := &PoolMembership{endpoints: map[string]*member{}}
+	o.setPools(set, warmUp)
 	return o
 }
 
-// usePools sets the pools among which endpoints are divided from now on.
-func (o *PoolMembership) usePools(set *Set, warmUp time.Duration) {
+// setPools replaces the pools among which endpoints are divided.
+func (o *PoolMembership) setPools(set *Set, warmUp time.Duration) {
 	o.set = set
 	o.warmUp = warmUp
 	o.poolOrder = nil
@@ -111,27 +113,27 @@
 	slices.SortFunc(o.poolOrder, func(a, b int) int { return comparePools(&set.Pools[a], &set.Pools[b]) })
 }
 
-// SetWarmUp changes how long an endpoint's slow start takes.
+// SetWarmUp changes the duration of an endpoint's slow start.
 func (o *PoolMembership) SetWarmUp(warmUp time.Duration) { o.warmUp = warmUp }
 
-// sorted returns all endpoints by id.
-func (o *PoolMembership) sorted() []*ownership {
-	return slices.SortedFunc(maps.Values(o.endpoints), compareOwnerships)
+// sortedMembers returns all endpoints, sorted by id.
+func (o *PoolMembership) sortedMembers() []*member {
+	return slices.SortedFunc(maps.Values(o.endpoints), compareMembers)
 }
 
-// reserved returns the endpoints that are reserved, by id.
-func (o *PoolMembership) reserved() []*ownership {
-	var reserved []*ownership
+// reservedMembers returns the reserved endpoints, sorted by id.
+func (o *PoolMembership) reservedMembers() []*member {
+	var reserved []*member
 	for _, e := range o.endpoints {
 		if e.reservedUntil > 0 {
 			reserved = append(reserved, e)
 		}
 	}
-	slices.SortFunc(reserved, compareOwnerships)
+	slices.SortFunc(reserved, compareMembers)
 	return reserved
 }
 
-func compareOwnerships(a, b *ownership) int { return cmp.Compare(a.entry.ID, b.entry.ID) }
+func compareMembers(a, b *member) int { return cmp.Compare(a.entry.ID, b.entry.ID) }
 
 // AnyReserved reports whether any endpoint is reserved.
 func (o *PoolMembership) AnyReserved() bool {
@@ -143,7 +145,8 @@
 	return false
 }
 
-// choosePool returns the first pool by precedence that selects an endpoint, or noPool, and whether others select it too.
+// choosePool returns the first pool by precedence that selects an endpoint, or noPool. several reports whether other pools select
+// it too.
 func (o *PoolMembership) choosePool(attributes EndpointAttributes) (pool int, several bool) {
 	pool = noPool
 	for _, i := range o.poolOrder {
@@ -158,7 +161,8 @@
 	return pool, false
 }
 
-// PoolOf returns the pool that has an endpoint now; -1: none, since no pool selects it, it is reserved, or it is not listed.
+// PoolOf returns the pool to which an endpoint belongs. It returns -1 if no pool selects the endpoint, if the endpoint is reserved,
+// or if it is not listed.
 func (o *PoolMembership) PoolOf(id string) int {
 	if e := o.endpoints[id]; e != nil && e.reservedUntil == 0 {
 		return e.pool
@@ -166,7 +170,7 @@
 	return noPool
 }
 
-// poolName returns a pool's name; "" for noPool.
+// poolName returns the name of a pool, or "" for noPool.
 func (o *PoolMembership) poolName(pool int) string {
 	if pool == noPool {
 		return ""
@@ -174,34 +178,35 @@
 	return o.set.Pools[pool].Name
 }
 
-func (o *PoolMembership) note(event MembershipEventType, endpoint string, from, to int) {
-	o.notes = append(o.notes, MembershipEvent{Type: event, Endpoint: endpoint, From: o.poolName(from), To: o.poolName(to)})
+func (o *PoolMembership) addEvent(event MembershipEventType, endpoint string, from, to int) {
+	o.events = append(o.events, MembershipEvent{Type: event, Endpoint: endpoint, From: o.poolName(from), To: o.poolName(to)})
 }
 
-// noteMove notes that an endpoint is another pool's, now or once its reservation has ended.
-func (o *PoolMembership) noteMove(e *ownership, from, to int) {
+// addMoveEvent adds an event about an endpoint that moves to another pool, either now or at the end of its reservation.
+func (o *PoolMembership) addMoveEvent(e *member, from, to int) {
 	event := Moved
 	if e.reservedUntil > 0 && to != noPool {
 		event = Reserved
 	}
-	o.note(event, e.entry.ID, from, to)
+	o.addEvent(event, e.entry.ID, from, to)
 }
 
-// TakeEvents returns what has happened since the last call, and forgets it: changes of owners, and endpoints that no pool or
+// TakeEvents returns the events since the last call and clears them. They report changes of pools, and endpoints that no pool or
 // several pools select.
 func (o *PoolMembership) TakeEvents() []MembershipEvent {
-	notes := o.notes
-	o.notes = nil
+	notes := o.events
+	o.events = nil
 	return notes
 }
 
-// ApplyList divides a list, or changes of it (DeltaList), among the pools. Every pool gets an update, even an empty one.
+// ApplyList divides a list, or the changes to it (DeltaList), among the pools. It returns an update for every pool, even if that
+// is empty.
 func (o *PoolMembership) ApplyList(now balancer.Instant, kind balancer.ListKind, version int64, entries []EndpointEntry) []PoolUpdate {
 	updates := newUpdateBuilder(len(o.set.Pools), balancer.EndpointUpdate{Kind: kind, Version: version})
 	isDelta := kind == balancer.DeltaList
-	o.lists++
+	o.listCount++
 	if len(o.endpoints) == 0 {
-		o.endpoints = make(map[string]*ownership, len(entries)) // of this size at once
+		o.endpoints = make(map[string]*member, len(entries)) // preallocate for the first list
 	}
 	if len(updates) == 1 {
 		updates[0].Members.Entries = make([]balancer.Endpoint, 0, len(entries))
@@ -210,13 +215,13 @@
 		o.placeEndpoint(now, entries[i], updates, isDelta)
 	}
 	if !isDelta {
-		maps.DeleteFunc(o.endpoints, func(_ string, e *ownership) bool { return e.listedBy != o.lists })
+		maps.DeleteFunc(o.endpoints, func(_ string, e *member) bool { return e.lastList != o.listCount })
 	}
 	return updates
 }
 
-// placeEndpoint adds an entry to the update of its pool. addRemoval says that a former pool's update names it as removed; in
-// updates that are whole lists it is enough that it is missing.
+// placeEndpoint adds an entry to the update of its pool. If addRemoval is set, the update of its former pool lists the endpoint as
+// removed. Updates that are full lists need no such entry, because a missing endpoint counts as removed.
 func (o *PoolMembership) placeEndpoint(now balancer.Instant, e EndpointEntry, updates updateBuilder, addRemoval bool) {
 	pool, several := o.choosePool(e.Attributes())
 	if e.Phase == balancer.Removed {
@@ -227,12 +232,12 @@
 	if known == nil {
 		known = o.addEndpoint(now, e, pool, several)
 	}
-	if e.StartedAt != known.entry.StartedAt && known.entry.ID != "" { // it has restarted
+	if e.StartedAt != known.entry.StartedAt && known.entry.ID != "" { // the endpoint has restarted
 		known.servedSinceStart = false
 		known.reservedUntil = 0
 	}
 	known.entry = e
-	known.listedBy = o.lists
+	known.lastList = o.listCount
 	if known.pool != pool {
 		o.changePool(now, known, pool, updates, addRemoval)
 	} else if known.reservedUntil > 0 {
@@ -244,8 +249,8 @@
 	}
 }
 
-// removeEndpoint forgets an endpoint, and adds its removal to the update of the pool that has it, or else of the one that
-// selects it.
+// removeEndpoint deletes an endpoint, and adds its removal to the update of the pool to which it belongs, or else to the update of
+// the pool that selects it.
 func (o *PoolMembership) removeEndpoint(e EndpointEntry, selecting int, updates updateBuilder) {
 	pool := selecting
 	if known := o.endpoints[e.ID]; known != nil && known.pool != noPool {
@@ -257,26 +262,26 @@
 	}
 }
 
-// addEndpoint adds an endpoint that was not listed before. It is reserved where it was in an earlier process. several says
-// that other pools select it too.
-func (o *PoolMembership) addEndpoint(now balancer.Instant, e EndpointEntry, pool int, several bool) *ownership {
-	added := &ownership{pool: pool}
-	if o.restored[e.ID] > now {
+// addEndpoint adds an endpoint that was not listed before. The endpoint is reserved if it was reserved in the predecessor process.
+// several means that other pools select it too.
+func (o *PoolMembership) addEndpoint(now balancer.Instant, e EndpointEntry, pool int, several bool) *member {
+	added := &member{pool: pool}
+	if o.restoredReservations[e.ID] > now {
 		added.servedSinceStart = true
 		added.reservedUntil = o.warmUpEnd(now, e)
 	}
 	o.endpoints[e.ID] = added
 	if pool == noPool {
-		o.note(NotSelected, e.ID, noPool, noPool)
+		o.addEvent(NotSelected, e.ID, noPool, noPool)
 	} else if several {
-		o.note(SelectedBySeveral, e.ID, noPool, pool)
+		o.addEvent(SelectedBySeveral, e.ID, noPool, pool)
 	}
 	return added
 }
 
-// changePool moves an endpoint to another pool, or to none, and reserves it where it is in its slow start. addRemoval is that of
+// changePool moves an endpoint to another pool or to none, and reserves it if it is in its slow start. addRemoval is as in
 // placeEndpoint.
-func (o *PoolMembership) changePool(now balancer.Instant, e *ownership, pool int, updates updateBuilder, addRemoval bool) {
+func (o *PoolMembership) changePool(now balancer.Instant, e *member, pool int, updates updateBuilder, addRemoval bool) {
 	former := e.pool
 	e.pool = pool
 	if former != noPool && e.reservedUntil == 0 && addRemoval {
@@ -287,10 +292,10 @@
 	if e.servedSinceStart {
 		e.reservedUntil = o.warmUpEnd(now, e.entry)
 	}
-	o.noteMove(e, former, pool)
+	o.addMoveEvent(e, former, pool)
 }
 
-// warmUpEnd returns when an endpoint's slow start ends; 0: it has ended, or the start is unknown.
+// warmUpEnd returns the time at which the slow start of an endpoint ends, or 0 if it has ended or the start time is unknown.
 func (o *PoolMembership) warmUpEnd(now balancer.Instant, e EndpointEntry) balancer.Instant {
 	if end := e.StartedAt + o.warmUp; e.StartedAt > 0 && end > now {
 		return end
@@ -298,9 +303,10 @@
 	return 0
 }
 
-// ReleaseDue gives pools the endpoints whose reservations have ended, and returns when the next one ends; 0: there is none.
+// ReleaseDue assigns the endpoints whose reservations have ended to their pools. next is the time at which the next reservation
+// ends, or 0 if there is none.
 func (o *PoolMembership) ReleaseDue(now balancer.Instant) (updates []PoolUpdate, next balancer.Instant) {
-	for _, e := range o.reserved() {
+	for _, e := range o.reservedMembers() {
 		switch {
 		case e.reservedUntil <= now:
 			e.reservedUntil = 0
@@ -308,7 +314,7 @@
 				continue
 			}
 			e.servedSinceStart = true
-			o.note(Released, e.entry.ID, noPool, e.pool)
+			o.addEvent(Released, e.entry.ID, noPool, e.pool)
 			updates = append(updates, PoolUpdate{
 				Pool:    e.pool,
 				Members: balancer.EndpointUpdate{Kind: balancer.DeltaList, Entries: []balancer.Endpoint{e.entry.Endpoint}},
@@ -320,10 +326,10 @@
 	return updates, next
 }
 
-// Entries returns the endpoints that a pool has, by id.
+// Entries returns the endpoints that belong to a pool, sorted by id.
 func (o *PoolMembership) Entries(pool int) []balancer.Endpoint {
 	var endpoints []balancer.Endpoint
-	for _, e := range o.sorted() {
+	for _, e := range o.sortedMembers() {
 		if e.pool == pool && e.reservedUntil == 0 {
 			endpoints = append(endpoints, e.entry.Endpoint)
 		}
@@ -331,12 +337,12 @@
 	return endpoints
 }
 
-// Reconfigure changes to another set. successors is the pool of the new set that continues each pool of the old one, -1 where
-// none does (SuccessorPools). Every pool of the new set gets a whole list.
+// Reconfigure replaces the set. successors contains, for each pool of the old set, the position of the pool in the new set that
+// continues it, or -1 (see SuccessorPools). Reconfigure returns a full list for every pool of the new set.
 func (o *PoolMembership) Reconfigure(now balancer.Instant, set *Set, warmUp time.Duration, successors []int) []PoolUpdate {
-	o.usePools(set, warmUp)
+	o.setPools(set, warmUp)
 	updates := newUpdateBuilder(len(set.Pools), balancer.EndpointUpdate{Kind: balancer.FullList})
-	for _, e := range o.sorted() {
+	for _, e := range o.sortedMembers() {
 		if e.pool != noPool {
 			e.pool = successors[e.pool]
 			if e.pool == noPool {
@@ -348,8 +354,9 @@
 	return updates
 }
 
-// reassign gives an endpoint whose pool was removed to another pool. What the removed pool has sent it still counts.
-func (o *PoolMembership) reassign(now balancer.Instant, e *ownership) {
+// reassign assigns an endpoint whose pool was removed to another pool. It reserves the endpoint during its slow start, because the
+// requests from the removed pool still count against the slow-start budget.
+func (o *PoolMembership) reassign(now balancer.Instant, e *member) {
 	pool, _ := o.choosePool(e.entry.Attributes())
 	if pool == noPool {
 		return
@@ -358,10 +365,10 @@
 	if e.servedSinceStart {
 		e.reservedUntil = o.warmUpEnd(now, e.entry)
 	}
-	o.noteMove(e, noPool, pool)
+	o.addMoveEvent(e, noPool, pool)
 }
 
-// Reservations returns until when endpoints are reserved, by id, for a successor process.
+// Reservations returns the ends of all reservations by endpoint id, for a successor process.
 func (o *PoolMembership) Reservations() map[string]balancer.Instant {
 	reservations := map[string]balancer.Instant{}
 	for id, e := range o.endpoints {
@@ -372,5 +379,7 @@
 	return reservations
 }
 
-// RestoreReservations takes over the Reservations of a predecessor process. It is called before the first list is applied.
-func (o *PoolMembership) RestoreReservations(until map[string]balancer.Instant) { o.restored = until }
+// RestoreReservations restores the Reservations of a predecessor process. It must be called before the first ApplyList.
+func (o *PoolMembership) RestoreReservations(until map[string]balancer.Instant) {
+	o.restoredReservations = until
+}
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// Pool is a set of endpoints among which one decision module balances.
+// Pool is a set of endpoints. Each pool has a separate balancer.
 type Pool struct {
 	Name        string           `json:"name"`
 	Select      EndpointSelector `json:"select"`
-	Precedence  int              `json:"precedence,omitempty"`  // of the pools that select an endpoint, the highest gets it
+	Precedence  int              `json:"precedence,omitempty"`  // the pool with the highest precedence gets an endpoint
 	FormerNames []string         `json:"was,omitempty"`         // former names of the pool
 	MaxOpen     int              `json:"max_open,omitempty"`    // established and waiting connections; 0: no limit
 	MaxWaiting  int              `json:"max_waiting,omitempty"` // waiting connections; 0: no limit
 }
 
-// EndpointSelector says which endpoints a pool selects: those that satisfy all conditions, each by one of its values. A condition
-// without values holds for every endpoint.
+// EndpointSelector selects the endpoints of a pool. An endpoint must satisfy all conditions. It satisfies a condition if it matches
+// one of the values. A condition without values matches every endpoint.
 type EndpointSelector struct {
 	Zones        []string `json:"zones,omitempty"`
 	MachineTypes []string `json:"machine_types,omitempty"`
@@ -28,7 +28,7 @@
 	SizeTo       float64  `json:"size_to,omitempty"`   // inclusive; 0: no upper bound
 }
 
-// EndpointAttributes are the attributes of an endpoint that EndpointSelector looks at.
+// EndpointAttributes are the attributes of an endpoint that an EndpointSelector uses.
 type EndpointAttributes struct {
 	ID          string
 	Zone        string
@@ -37,7 +37,7 @@
 	Size        float64
 }
 
-// Matches reports whether an endpoint satisfies all conditions.
+// Matches reports whether the endpoint satisfies all conditions.
 func (s *EndpointSelector) Matches(e EndpointAttributes) bool {
 	return (len(s.Zones) == 0 || slices.Contains(s.Zones, e.Zone)) &&
 		(len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, e.MachineType)) &&
@@ -47,20 +47,20 @@
 		(s.SizeTo == 0 || e.Size <= s.SizeTo)
 }
 
-// HasValidSizes reports whether SizeFrom and SizeTo are a range: finite, 0 or more, and in order.
+// HasValidSizes reports whether SizeFrom and SizeTo form a valid range: both finite, not negative, and in order.
 func (s *EndpointSelector) HasValidSizes() bool {
 	return s.SizeFrom >= 0 && s.SizeTo >= 0 && !math.IsInf(s.SizeFrom, 0) && !math.IsInf(s.SizeTo, 0) &&
 		(s.SizeTo == 0 || s.SizeTo >= s.SizeFrom)
 }
 
-// Equal reports whether both select the same, written in the same order.
+// Equal reports whether both selectors have the same conditions with their values in the same order.
 func (s *EndpointSelector) Equal(other *EndpointSelector) bool {
 	return s.SizeFrom == other.SizeFrom && s.SizeTo == other.SizeTo && slices.Equal(s.Zones, other.Zones) &&
 		slices.Equal(s.MachineTypes, other.MachineTypes) && slices.Equal(s.Cells, other.Cells) &&
 		slices.Equal(s.IDPrefixes, other.IDPrefixes)
 }
 
-// Equal reports whether two pools are equal in every field.
+// Equal reports whether both pools are equal in every field.
 func (p *Pool) Equal(other *Pool) bool {
 	return p.Name == other.Name && p.Precedence == other.Precedence && p.MaxOpen == other.MaxOpen &&
 		p.MaxWaiting == other.MaxWaiting && slices.Equal(p.FormerNames, other.FormerNames) && p.Select.Equal(&other.Select)
@@ -70,7 +70,7 @@
 	return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(text, prefix) })
 }
 
-// Overlap returns the attributes of an endpoint that both would select; ok is false where there can be none.
+// Overlap returns the attributes of an endpoint that both selectors would select. ok is false if there is no such endpoint.
 func (s *EndpointSelector) Overlap(other *EndpointSelector) (e EndpointAttributes, ok bool) {
 	if e.Zone, ok = commonValue(s.Zones, other.Zones); !ok {
 		return e, false
@@ -91,7 +91,7 @@
 			return e, false
 		}
 	}
-	if e.Size == 0 { // no lower bound: any size within the upper ones
+	if e.Size == 0 { // without a lower bound, choose any size within the upper bounds
 		e.Size = 1
 		for _, bound := range upperBounds {
 			if bound != 0 {
@@ -102,7 +102,7 @@
 	return e, true
 }
 
-// commonValue returns a value that satisfies both conditions; an empty one holds for all values.
+// commonValue returns a value that satisfies both conditions. An empty condition matches all values.
 func commonValue[T comparable](a, b []T) (value T, ok bool) {
 	switch {
 	case len(a) == 0 && len(b) == 0:
@@ -119,7 +119,7 @@
 	return a[i], true
 }
 
-// commonPrefix returns a text that begins with a prefix of both lists; an empty one holds for all texts.
+// commonPrefix returns a text that begins with a prefix of each list. An empty list matches all texts.
 func commonPrefix(a, b []string) (text string, ok bool) {
 	if len(a) == 0 || len(b) == 0 {
 		return commonValue(a, b)
@@ -137,7 +137,7 @@
 	return "", false
 }
 
-// comparePools orders pools as they get endpoints that several select: by descending precedence, then by name.
+// comparePools orders pools by descending precedence, then by name. An endpoint that several pools select goes to the first one.
 func comparePools(a, b *Pool) int {
 	return cmp.Or(cmp.Compare(b.Precedence, a.Precedence), cmp.Compare(a.Name, b.Name))
 }
--- a/internal/routing/request_progress.go
+++ b/internal/routing/request_progress.go
@@ -2,63 +2,63 @@
 
 import "time"
 
-// Usage is how many connections a route or a pool has at a moment.
+// Usage is the current number of connections of a route or a pool.
 type Usage struct {
 	Open    int // established
 	Waiting int // not established yet
 }
 
-// Full reports whether no further connection fits into these limits; 0: no limit.
+// Full reports whether either limit is reached, so that no further connection is accepted. A limit of 0 means no limit.
 func (u Usage) Full(maxOpen, maxWaiting int) bool {
 	openFull := maxOpen > 0 && u.Open+u.Waiting >= maxOpen
 	waitingFull := maxWaiting > 0 && u.Waiting >= maxWaiting
 	return openFull || waitingFull
 }
 
-// RequestProgress is the progress of one request through the pools that its policy names. Attempts and deadline are those of
-// the request as a whole, whatever number of pools it is sent to.
+// RequestProgress is the progress of one request through the pools of its policy. Attempts and deadline apply to the request as a
+// whole, regardless of how many pools it is sent to.
 type RequestProgress struct {
-	Decision               // Pool is the current one
-	Policy          Policy // the zero one where the decision has none
+	Decision               // its Pool is the current pool
+	Policy          Policy // zero value if the decision has none
 	fallbacks       []int  // pools that have not been tried yet
 	earlierAttempts int    // in pools before the current one
 	poolAttempts    int    // in the current pool
 	mayHaveRun      bool   // an attempt may have been executed
 }
 
-// Verdict says what becomes of a request that begins or that its pool has rejected.
+// Verdict is the decision on a request that begins or that a pool has rejected.
 type Verdict int
 
 // Verdicts.
 const (
-	Proceed   Verdict = iota // send it to the current pool
-	RouteFull                // reject it: its route is at its limits
-	PoolFull                 // reject it: each of its pools is at its limits
-	Exhausted                // reject it: no pool, attempt or time is left
+	Proceed   Verdict = iota // send the request to the current pool
+	RouteFull                // reject the request: its route is at a limit
+	PoolFull                 // reject the request: each of its pools is at a limit
+	Exhausted                // reject the request: no pool, attempt or time is left
 )
 
-// BeginRequest starts a request of a route with that usage. Where its pool is at its limits it falls back to the policy's next
-// one that is not. poolUsage returns the usage of a pool.
+// BeginRequest starts a request. route is the usage of its route, and poolUsage returns the usage of a pool. If the pool of the
+// decision is at a limit, the request falls back to the first pool of the policy that is not.
 func (t *Table) BeginRequest(d Decision, route Usage, poolUsage func(pool int) Usage) (RequestProgress, Verdict) {
 	p := RequestProgress{Decision: d, Policy: t.Policy(d), fallbacks: t.Fallbacks(d)}
 	r := &t.Set.Routes[d.Route]
 	if route.Full(r.MaxOpen, r.MaxWaiting) {
 		return p, RouteFull
 	}
-	if t.poolFull(d.Pool, poolUsage) && !p.advance(t, poolUsage) {
+	if t.poolFull(d.Pool, poolUsage) && !p.nextFallback(t, poolUsage) {
 		return p, PoolFull
 	}
 	return p, Proceed
 }
 
-// poolFull reports whether a pool is at its limits.
+// poolFull reports whether a pool is at a limit.
 func (t *Table) poolFull(pool int, poolUsage func(pool int) Usage) bool {
 	limits := &t.Set.Pools[pool]
 	return poolUsage(pool).Full(limits.MaxOpen, limits.MaxWaiting)
 }
 
-// advance goes on to the first fallback that is not at its limits, and reports whether there is one.
-func (p *RequestProgress) advance(t *Table, poolUsage func(pool int) Usage) bool {
+// nextFallback moves to the first remaining fallback pool that is not at a limit, and reports whether there is one.
+func (p *RequestProgress) nextFallback(t *Table, poolUsage func(pool int) Usage) bool {
 	for len(p.fallbacks) > 0 {
 		p.Pool = p.fallbacks[0]
 		p.fallbacks = p.fallbacks[1:]
@@ -69,16 +69,17 @@
 	return false
 }
 
-// AttemptSent notes that an attempt was sent.
+// AttemptSent counts an attempt that was sent to the current pool.
 func (p *RequestProgress) AttemptSent() { p.poolAttempts++ }
 
-// AttemptEnded notes that an attempt ended, and whether it certainly was not executed.
+// AttemptEnded records the end of an attempt. neverRan means that the endpoint certainly did not execute it.
 func (p *RequestProgress) AttemptEnded(neverRan bool) { p.mayHaveRun = p.mayHaveRun || !neverRan }
 
-// MayHaveRun reports whether an attempt may have been executed.
+// MayHaveRun reports whether an endpoint may have executed an attempt.
 func (p *RequestProgress) MayHaveRun() bool { return p.mayHaveRun }
 
-// AttemptsLeft returns how many further attempts the request may make, where limit is that of the settings for all of them.
+// AttemptsLeft returns the number of further attempts that the request may make. limit is the limit in the settings on all attempts
+// of a request.
 func (p *RequestProgress) AttemptsLeft(limit int) int {
 	if p.Policy.Attempts > 0 {
 		limit = min(limit, p.Policy.Attempts)
@@ -86,24 +87,24 @@
 	return max(limit-p.earlierAttempts-p.poolAttempts, 0)
 }
 
-// AttemptInPool returns the number within the current pool of an attempt, given its number within the request.
+// AttemptInPool returns the number of an attempt within the current pool, given its number within the request.
 func (p *RequestProgress) AttemptInPool(attempt int) int { return attempt - p.earlierAttempts }
 
-// Rejection is what NextPool needs to know of a request that its pool has rejected.
+// Rejection describes a request that its pool has rejected, for NextPool.
 type Rejection struct {
 	Remaining    time.Duration // until the request's deadline
-	MinRemaining time.Duration // with no more than this remaining, no further pool is tried
-	AttemptLimit int           // the settings' limit, as for Attempts
-	RetryIsSafe  bool          // a further attempt is harmless although an earlier one may have been executed
+	MinRemaining time.Duration // no further pool is tried unless more time than this remains
+	AttemptLimit int           // limit in the settings, as for AttemptsLeft
+	RetryIsSafe  bool          // the request may be executed more than once
 	InFlight     bool          // an attempt is in flight
 }
 
-// NextPool decides whether a request that its pool has rejected goes on to another one. Where a repeat is not safe it does
-// only if no attempt may have been executed, since another pool does not recognize a retry.
+// NextPool decides whether a request that its pool has rejected is sent to another pool. If a retry is not safe, this requires that
+// no attempt can have been executed, because another pool does not recognize a retry.
 func (p *RequestProgress) NextPool(t *Table, r Rejection, poolUsage func(pool int) Usage) Verdict {
-	mayRepeat := r.RetryIsSafe || !p.mayHaveRun
+	mayRetry := r.RetryIsSafe || !p.mayHaveRun
 	noAttemptLeft := p.AttemptsLeft(r.AttemptLimit) == 0
-	if r.InFlight || r.Remaining <= r.MinRemaining || noAttemptLeft || !mayRepeat || !p.advance(t, poolUsage) {
+	if r.InFlight || r.Remaining <= r.MinRemaining || noAttemptLeft || !mayRetry || !p.nextFallback(t, poolUsage) {
 		return Exhausted
 	}
 	p.earlierAttempts += p.poolAttempts
@@ -111,7 +112,7 @@
 	return Proceed
 }
 
-// Deadline returns the time by which the request must have its response: the client's deadline, or the policy's where that is
+// Deadline returns the time by which the client must receive the response: the client's deadline, or that of the policy if it is
 // earlier.
 func (p *RequestProgress) Deadline(now, clientDeadline time.Duration) time.Duration {
 	if limit := p.Policy.Deadline.Duration(); limit > 0 {
@@ -120,7 +121,7 @@
 	return clientDeadline
 }
 
-// BoundRetryAfter returns a rejection's Retry-After within the bounds of the policy.
+// BoundRetryAfter returns the Retry-After of a rejection, limited to the bounds of the policy.
 func (p *RequestProgress) BoundRetryAfter(retryAfter time.Duration) time.Duration {
 	retryAfter = max(retryAfter, p.Policy.RetryAfterMin.Duration())
 	if limit := p.Policy.RetryAfterMax.Duration(); limit > 0 {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -20,6 +20,7 @@
 	space       = MatchSpace{Classes: classes, Listeners: []string{"main", "lan"}, Zones: []string{"thies", "dakar"}}
 )
 
+// drawSubset draws up to most different elements of a list.
 func drawSubset(t *rapid.T, from []string, most int, label string) []string {
 	return rapid.SliceOfNDistinct(rapid.SampledFrom(from), 0, most, rapid.ID[string]).Draw(t, label)
 }
@@ -31,7 +32,7 @@
 	return StringMatcher{Exact: drawSubset(t, append([]string{""}, sampleTexts...), 2, label+" exact"), Prefix: drawSubset(t, sampleTexts, 2, label+" prefix")}
 }
 
-// drawSet draws a set with few texts, so that rules often overlap.
+// drawSet draws a set with few different texts, so that rules often overlap.
 func drawSet(t *rapid.T) Set {
 	set := Set{Pools: []Pool{{Name: "p0"}, {Name: "p1"}, {Name: "p2", MaxOpen: rapid.IntRange(0, 1).Draw(t, "limit")}},
 		Policies: []Policy{{Name: "q", Attempts: rapid.IntRange(1, 2).Draw(t, "attempts"), Fallback: []string{"p1"}}}}
@@ -54,6 +55,7 @@
 	return set
 }
 
+// drawLine draws a connection as a map from field names to texts. It includes texts that no rule of drawSet contains.
 func drawLine(t *rapid.T) map[string]string {
 	text := rapid.OneOf(rapid.SampledFrom(append([]string{"", "abcd", "zz", "aa"}, sampleTexts...)), rapid.StringMatching("[a-c]{1,4}"))
 	l := map[string]string{}
@@ -66,6 +68,7 @@
 	return l
 }
 
+// lineFor converts a drawn connection to the field order of a table.
 func lineFor(t *Table, l map[string]string) *ConnectionAttributes {
 	out := &ConnectionAttributes{Class: l["class"], Key: l["key"], Group: l["group"], Zone: l["zone"], Listener: l["listener"]}
 	for _, name := range t.FieldNames {
@@ -74,14 +77,14 @@
 	return out
 }
 
-// decidePlainly decides as the manual describes it: it looks at all routes in turn, without an index.
-func decidePlainly(set *Set, l map[string]string) (route string) {
+// referenceDecide returns the name of the route that applies according to the manual. It checks all routes without an index.
+func referenceDecide(set *Set, l map[string]string) (route string) {
 	var best []int
 	for i := range set.Routes {
 		r := &set.Routes[i]
 		m := &r.Match
-		isIn := func(list []string, text string) bool { return len(list) == 0 || slices.Contains(list, text) }
-		ok := isIn(m.Class, l["class"]) && isIn(m.Zone, l["zone"]) && isIn(m.Listener, l["listener"]) &&
+		matchesList := func(list []string, text string) bool { return len(list) == 0 || slices.Contains(list, text) }
+		ok := matchesList(m.Class, l["class"]) && matchesList(m.Zone, l["zone"]) && matchesList(m.Listener, l["listener"]) &&
 			m.Key.Matches(l["key"]) && m.Group.Matches(l["group"])
 		rank := []int{r.Precedence, specificity(m.Key, l["key"]), specificity(m.Group, l["group"])}
 		for _, name := range []string{"x", "y"} {
@@ -102,7 +105,7 @@
 	return route
 }
 
-// specificity ranks a condition that is satisfied by a text.
+// specificity returns the rank of a condition that matches a text: exact text, longer prefix, shorter prefix, no condition.
 func specificity(s StringMatcher, text string) int {
 	if s.MatchesAll() {
 		return -1
@@ -119,7 +122,7 @@
 	return best
 }
 
-func TestDecideAgreesWithTheManual(t *testing.T) {
+func TestDecideAgreesWithReference(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		set := drawSet(rt)
 		table, err := New(set)
@@ -133,15 +136,15 @@
 			if ok {
 				got = set.Routes[d.Route].Name
 			}
-			if want := decidePlainly(&set, l); got != want {
-				rt.Fatalf("%v is routed by %q, not %q", l, got, want)
+			if want := referenceDecide(&set, l); got != want {
+				rt.Fatalf("%v: got route %q, want %q", l, got, want)
 			}
 		}
 	})
 }
 
-// What Diff predicts to change is what decides differently, on lines drawn at random and on those at the edges of
-// every cell.
+// TestDiffAgreesWithDecisions checks for random connections that exactly one change of Diff contains a connection if the decisions
+// of both tables differ on it, and none otherwise.
 func TestDiffAgreesWithDecisions(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		old, err := New(drawSet(rt))
@@ -158,35 +161,35 @@
 		}
 		for range 60 {
 			l := drawLine(rt)
-			var o [2]Outcome
+			var outcomes [2]Outcome
 			for side, table := range []*Table{old, next} {
 				line := lineFor(table, l)
 				if d, ok := table.Decide(line); ok {
-					o[side] = table.outcome(d.Route, table.targets[d.Route].shareAt(d.SplitPosition))
+					outcomes[side] = table.outcome(d.Route, table.targets[d.Route].shareAt(d.SplitPosition))
 				}
 			}
-			place := SplitPosition(&ConnectionAttributes{Key: l["key"], Group: l["group"]})
-			var hits []Change
+			position := SplitPosition(&ConnectionAttributes{Key: l["key"], Group: l["group"]})
+			var matching []Change
 			for _, c := range changes {
-				in := place >= c.From && place < c.From+c.PPM
+				in := position >= c.From && position < c.From+c.PPM
 				for _, s := range c.Cell {
 					in = in && s.Contains(l[strings.TrimPrefix(s.Dimension, "field ")])
 				}
 				if in {
-					hits = append(hits, c)
+					matching = append(matching, c)
 				}
 			}
-			if differ := len(differences(o[0], o[1])) > 0; differ != (len(hits) == 1) || len(hits) > 1 {
-				rt.Fatalf("%v at %d: differs %v, predicted by %d changes", l, place, differ, len(hits))
+			if differ := len(differences(outcomes[0], outcomes[1])) > 0; differ != (len(matching) == 1) || len(matching) > 1 {
+				rt.Fatalf("%v at split position %d: decisions differ: %v, but %d changes contain the connection", l, position, differ, len(matching))
 			}
-			if len(hits) == 1 && (hits[0].Old != o[0] || hits[0].New != o[1]) {
-				rt.Fatalf("%v: predicted %+v -> %+v, is %+v -> %+v", l, hits[0].Old, hits[0].New, o[0], o[1])
+			if len(matching) == 1 && (matching[0].Old != outcomes[0] || matching[0].New != outcomes[1]) {
+				rt.Fatalf("%v: Diff returned %+v -> %+v, decisions are %+v -> %+v", l, matching[0].Old, matching[0].New, outcomes[0], outcomes[1])
 			}
 		}
 	})
 }
 
-// The order of routes and pools does not matter: a set does not differ from itself.
+// TestDiffOfEqualSets checks that a set does not differ from itself, regardless of the order of its routes and pools.
 func TestDiffOfEqualSets(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		set := drawSet(rt)
@@ -203,13 +206,14 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		if c, err := Diff(a, b, space); err != nil || len(c) > 0 {
-			rt.Fatalf("%+v %v", c, err)
+		if changes, err := Diff(a, b, space); err != nil || len(changes) > 0 {
+			rt.Fatalf("changes %+v, error %v; want neither", changes, err)
 		}
 	})
 }
 
-// A share that grows while no other one does keeps every key that it has.
+// TestSplitIsStable checks that a share that grows while no other share does keeps all its keys, and that about as many keys move
+// as Diff predicts.
 func TestSplitIsStable(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(rt, "parts")
@@ -248,7 +252,7 @@
 			a, _ := tables[0].Decide(l)
 			b, _ := tables[1].Decide(l)
 			if a.Pool == grown && b.Pool != grown {
-				rt.Fatalf("key %d left the share that grew: %v -> %v", k, before, after)
+				rt.Fatalf("key %d left the growing share: %v -> %v", k, before, after)
 			}
 			if a.Pool != b.Pool {
 				moved++
@@ -263,7 +267,7 @@
 			share += c.PPM
 		}
 		if got := float64(moved) / 500; got > float64(share)/TotalPPM+0.12 || got < float64(share)/TotalPPM-0.12 {
-			rt.Fatalf("%v of the keys moved, predicted were %v", got, float64(share)/TotalPPM)
+			rt.Fatalf("a part of %v of the keys moved, Diff implies %v", got, float64(share)/TotalPPM)
 		}
 	})
 }
@@ -273,16 +277,16 @@
 	whole := []SplitShare{{Pool: "a", PPM: TotalPPM}}
 	for want, set := range map[string]Set{
 		"there is no pool":                           {},
-		`pool "a" is named twice`:                    {Pools: []Pool{{Name: "a"}, {Name: "a"}}},
+		`pool "a" is defined twice`:                  {Pools: []Pool{{Name: "a"}, {Name: "a"}}},
 		`pool "a b" has a blank or a control`:        {Pools: []Pool{{Name: "a b"}}},
 		`a pool has no name`:                         {Pools: []Pool{{}}},
 		`pool "a" has a limit below 0`:               {Pools: []Pool{{Name: "a", MaxOpen: -1}}},
 		`pool "a" selects sizes from 2 to 1`:         {Pools: []Pool{{Name: "a", Select: EndpointSelector{SizeFrom: 2, SizeTo: 1}}}},
 		`falls back to pool "c", which does not`:     {Pools: pool, Policies: []Policy{{Name: "q", Fallback: []string{"c"}}}},
-		`policy "q" has a figure`:                    {Pools: pool, Policies: []Policy{{Name: "q", Deadline: -1}}},
+		`policy "q" has a negative value`:            {Pools: pool, Policies: []Policy{{Name: "q", Deadline: -1}}},
 		`goes to pool "c", which does not exist`:     {Pools: pool, Routes: []Route{{Name: "r", To: []SplitShare{{Pool: "c", PPM: TotalPPM}}}}},
 		`come to 50 %, not to 100 %`:                 {Pools: pool, Routes: []Route{{Name: "r", To: []SplitShare{{Pool: "a", PPM: TotalPPM / 2}}}}},
-		`is under policy "x", which does not exist`:  {Pools: pool, Routes: []Route{{Name: "r", To: whole, Policy: "x"}}},
+		`uses policy "x", which does not exist`:      {Pools: pool, Routes: []Route{{Name: "r", To: whole, Policy: "x"}}},
 		`the default route "r" does not exist`:       {Pools: pool, Default: "r"},
 		`a further listener cannot be named "main"`:  {Pools: pool, Listeners: map[string]string{"main": ""}},
 		`both claim class "feed", no group`:          {Pools: pool, Routes: []Route{{Name: "r", To: whole, Match: Match{Class: []string{"feed"}, Group: StringMatcher{Exact: []string{""}}}}, {Name: "s", To: whole, Match: Match{Class: []string{"feed", "x"}, Group: StringMatcher{Exact: []string{"g", ""}}}}}},
@@ -295,12 +299,12 @@
 	}
 }
 
-// containsParts reports whether a text contains another, or its parts in any order.
+// containsParts reports whether text contains want, or all comma-separated parts of want in any order.
 func containsParts(text, want string) bool {
 	if strings.Contains(text, want) {
 		return true
 	}
-	for _, part := range strings.Split(want, ", ") { // the order of dimensions is the table's
+	for _, part := range strings.Split(want, ", ") { // the error lists the conditions in the order of the table's dimensions
 		if !strings.Contains(text, strings.TrimPrefix(part, "both claim ")) {
 			return false
 		}
@@ -331,14 +335,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.Equal(t, "unreached", map[string][]string{"never": {"feeds", "late", "rest"}}, got)
+	testkit.Equal(t, "unreached routes", map[string][]string{"never": {"feeds", "late", "rest"}}, got)
 }
 
 func newEntry(id, zone string, started time.Duration) EndpointEntry {
 	return EndpointEntry{Endpoint: balancer.Endpoint{ID: id, Zone: zone, StartedAt: started}}
 }
 
-// endpointsByPool is the ids in each pool's update; removals are marked by "-".
+// endpointsByPool returns the endpoint ids in the update of each pool, with a "-" before the ids of removed endpoints.
 func endpointsByPool(updates []PoolUpdate) map[int][]string {
 	ids := map[int][]string{}
 	for _, update := range updates {
@@ -352,9 +356,9 @@
 	return ids
 }
 
-// An endpoint that changes pools during its slow start belongs to neither until it has warmed up, so that one slow-start
-// budget applies.
-func TestOwnersReserveEndpointsInSlowStart(t *testing.T) {
+// TestMembershipReservesEndpointsInSlowStart checks that an endpoint that changes pools during its slow start belongs to neither
+// pool until it has warmed up. Otherwise it would get a second slow-start budget.
+func TestMembershipReservesEndpointsInSlowStart(t *testing.T) {
 	set := Set{Pools: []Pool{{Name: "t", Select: EndpointSelector{Zones: []string{"thies"}}}, {Name: "d", Select: EndpointSelector{Zones: []string{"dakar"}}}}}
 	o := NewPoolMembership(&set, 10*time.Second)
 	now := 100 * time.Second
@@ -362,37 +366,38 @@
 	testkit.Equal(t, "first list", map[int][]string{0: {"warm", "cold"}}, endpointsByPool(first))
 	moved := []EndpointEntry{newEntry("warm", "dakar", 0), newEntry("cold", "dakar", 95*time.Second)}
 	testkit.Equal(t, "moved", map[int][]string{0: {"-warm", "-cold"}, 1: {"warm"}}, endpointsByPool(o.ApplyList(now+time.Second, balancer.DeltaList, 2, moved)))
-	testkit.Equal(t, "owners", []int{1, -1, -1}, []int{o.PoolOf("warm"), o.PoolOf("cold"), o.PoolOf("x")})
+	testkit.Equal(t, "pools of the endpoints", []int{1, -1, -1}, []int{o.PoolOf("warm"), o.PoolOf("cold"), o.PoolOf("x")})
 	_, next := o.ReleaseDue(now + 4*time.Second)
-	testkit.Equal(t, "due again", 105*time.Second, next)
-	// A list that comes before that does not release it either.
+	testkit.Equal(t, "end of the next reservation", 105*time.Second, next)
+	// A full list before the end of the reservation does not release the endpoint either.
 	testkit.Equal(t, "full list", map[int][]string{1: {"warm"}}, endpointsByPool(o.ApplyList(now+4*time.Second, balancer.FullList, 3, moved)))
 	due, next := o.ReleaseDue(now + 4500*time.Millisecond)
-	testkit.Equal(t, "not yet", []any{0, 105 * time.Second}, []any{len(due), next})
+	testkit.Equal(t, "releases before the end of the reservation", []any{0, 105 * time.Second}, []any{len(due), next})
 	due, next = o.ReleaseDue(now + 5*time.Second)
-	testkit.Equal(t, "warm", []any{map[int][]string{1: {"cold"}}, time.Duration(0)}, []any{endpointsByPool(due), next})
-	testkit.Equal(t, "notes", []MembershipEvent{{Type: NotSelected, Endpoint: "x"}, {Type: Moved, Endpoint: "warm", From: "t", To: "d"},
+	testkit.Equal(t, "releases after warm-up", []any{map[int][]string{1: {"cold"}}, time.Duration(0)}, []any{endpointsByPool(due), next})
+	testkit.Equal(t, "events", []MembershipEvent{{Type: NotSelected, Endpoint: "x"}, {Type: Moved, Endpoint: "warm", From: "t", To: "d"},
 		{Type: Reserved, Endpoint: "cold", From: "t", To: "d"}, {Type: Released, Endpoint: "cold", To: "d"}}, o.TakeEvents())
-	// One that changes pools with a restart belongs to the new pool at once.
+	// An endpoint that restarts and changes pools at the same time belongs to the new pool immediately.
 	restarted := newEntry("cold", "thies", 110*time.Second)
 	testkit.Equal(t, "restarted", map[int][]string{0: {"cold"}, 1: {"-cold"}}, endpointsByPool(o.ApplyList(now+11*time.Second, balancer.DeltaList, 4, []EndpointEntry{restarted})))
-	testkit.Equal(t, "selected by the pool that never had it", map[int][]string{0: {"x"}},
+	testkit.Equal(t, "endpoint that never belonged to a pool", map[int][]string{0: {"x"}},
 		endpointsByPool(o.ApplyList(now+11*time.Second, balancer.DeltaList, 5, []EndpointEntry{newEntry("x", "thies", 110*time.Second)})))
 }
 
-// ownerObserver applies the updates of pools and checks that no endpoint is in two of them.
-type ownerObserver struct {
+// membershipChecker applies pool updates. It checks that no endpoint belongs to two pools, and that none changes pools during its
+// slow start.
+type membershipChecker struct {
 	t       *rapid.T
 	warmUp  time.Duration
-	current map[string]string        // pool by endpoint
-	last    map[string]string        // the last pool since the endpoint's start
-	started map[string]time.Duration // by endpoint
+	current map[string]string        // pool by endpoint id
+	last    map[string]string        // last pool since the start of the endpoint, by endpoint id
+	started map[string]time.Duration // start time by endpoint id
 }
 
-// apply applies the updates of one step: removals come first. whole says that they are whole lists.
-func (o *ownerObserver) apply(now time.Duration, set *Set, updates []PoolUpdate, whole bool) {
+// apply applies the updates of one step, removals first. isFullList means that the updates are full lists.
+func (o *membershipChecker) apply(now time.Duration, set *Set, updates []PoolUpdate, isFullList bool) {
 	o.t.Helper()
-	if whole {
+	if isFullList {
 		for _, update := range updates {
 			pool := set.Pools[update.Pool].Name
 			maps.DeleteFunc(o.current, func(_, current string) bool { return current == pool })
@@ -414,21 +419,21 @@
 	}
 }
 
-func (o *ownerObserver) add(now time.Duration, pool, id string) {
+func (o *membershipChecker) add(now time.Duration, pool, id string) {
 	o.t.Helper()
 	if current, ok := o.current[id]; ok && current != pool {
-		o.t.Fatalf("%s is in %s and %s", id, current, pool)
+		o.t.Fatalf("endpoint %s belongs to pools %s and %s", id, current, pool)
 	}
 	if last := o.last[id]; last != "" && last != pool && o.started[id] > 0 && now < o.started[id]+o.warmUp {
-		o.t.Fatalf("%s came from %s to %s during its slow start", id, last, pool)
+		o.t.Fatalf("endpoint %s moved from pool %s to %s during its slow start", id, last, pool)
 	}
 	o.current[id] = pool
 	o.last[id] = pool
 }
 
-// Whatever lists and sets follow one another, no endpoint is ever in two pools, and none gets to a second pool during its
-// slow start.
-func TestOwnersNeverShareEndpoints(t *testing.T) {
+// TestMembershipNeverSharesEndpoints checks for random sequences of lists and sets that no endpoint belongs to two pools at once,
+// and that no endpoint moves to another pool during its slow start.
+func TestMembershipNeverSharesEndpoints(t *testing.T) {
 	const warmUp = 10 * time.Second
 	zones := []string{"a", "b", "c"}
 	drawPools := func(rt *rapid.T) *Set {
@@ -442,7 +447,7 @@
 		set := drawPools(rt)
 		o := NewPoolMembership(set, warmUp)
 		now := 100 * time.Second
-		observer := &ownerObserver{t: rt, warmUp: warmUp, current: map[string]string{}, last: map[string]string{}, started: map[string]time.Duration{}}
+		observer := &membershipChecker{t: rt, warmUp: warmUp, current: map[string]string{}, last: map[string]string{}, started: map[string]time.Duration{}}
 		for range rapid.IntRange(1, 15).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms")) * time.Millisecond
 			var entries []EndpointEntry
@@ -459,7 +464,7 @@
 			switch step {
 			case 0:
 				observer.apply(now, set, o.ApplyList(now, balancer.FullList, 1, entries), true)
-				maps.DeleteFunc(observer.last, func(id, _ string) bool { // one that is not listed any more starts over
+				maps.DeleteFunc(observer.last, func(id, _ string) bool { // an endpoint that is no longer listed starts over
 					return !slices.ContainsFunc(entries, func(e EndpointEntry) bool { return e.ID == id })
 				})
 			case 1:
@@ -485,7 +490,8 @@
 	testkit.Equal(t, "successors", []int{3, 2, 1, -1}, SuccessorPools(&old, &next))
 }
 
-// Whatever the pools answer, the attempts of all pools together stay within the policy, and no pool is tried twice.
+// TestRequestProgress checks for random pool responses that the attempts in all pools together stay within the limits, and that no
+// pool is tried twice.
 func TestRequestProgress(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(1, 6).Draw(rt, "limit")
@@ -505,7 +511,7 @@
 		route := Usage{Open: rapid.IntRange(0, 10).Draw(rt, "open")}
 		progress, verdict := table.BeginRequest(d, route, use)
 		if (verdict == RouteFull) != (route.Open >= 9) {
-			rt.Fatalf("%v with %v on the route", verdict, route)
+			rt.Fatalf("got verdict %v for route usage %+v", verdict, route)
 		}
 		if verdict != Proceed {
 			return
@@ -516,12 +522,12 @@
 		ran := false
 		for {
 			if seen[progress.Pool] || table.poolFull(progress.Pool, use) {
-				rt.Fatalf("pool %d is tried twice, or full", progress.Pool)
+				rt.Fatalf("pool %d was tried twice or is at a limit", progress.Pool)
 			}
 			seen[progress.Pool] = true
 			for n := rapid.IntRange(0, progress.AttemptsLeft(limit)).Draw(rt, "tries"); n > 0; n-- {
 				if got := progress.AttemptInPool(total); got < 0 || got != progress.poolAttempts {
-					rt.Fatalf("attempt %d has number %d", total, got)
+					rt.Fatalf("attempt %d has number %d within the pool, want %d", total, got, progress.poolAttempts)
 				}
 				progress.AttemptSent()
 				total++
@@ -533,14 +539,14 @@
 			before := progress.AttemptsLeft(limit)
 			v := progress.NextPool(table, Rejection{Remaining: left, MinRemaining: 5, AttemptLimit: limit, RetryIsSafe: safe}, use)
 			if v == Proceed && (left <= 5 || before == 0 || ran && !safe) {
-				rt.Fatalf("goes on with %v left, %d attempts, ran %v", left, before, ran)
+				rt.Fatalf("request proceeds with %v remaining, %d attempts left, attempt may have run: %v", left, before, ran)
 			}
 			if v != Proceed {
 				break
 			}
 		}
 		if total > limit || most > 0 && total > most {
-			rt.Fatalf("%d attempts of %d and %d", total, limit, most)
+			rt.Fatalf("%d attempts, limits are %d (settings) and %d (policy)", total, limit, most)
 		}
 	})
 }
@@ -549,7 +555,7 @@
 	progress := RequestProgress{Policy: Policy{Deadline: 2_000_000, RetryAfterMin: 500_000, RetryAfterMax: 800_000}}
 	testkit.Equal(t, "deadlines", []time.Duration{3 * time.Second, 1500 * time.Millisecond},
 		[]time.Duration{progress.Deadline(time.Second, 60*time.Second), progress.Deadline(time.Second, 1500*time.Millisecond)})
-	testkit.Equal(t, "advice", []time.Duration{500 * time.Millisecond, 600 * time.Millisecond, 800 * time.Millisecond},
+	testkit.Equal(t, "Retry-After", []time.Duration{500 * time.Millisecond, 600 * time.Millisecond, 800 * time.Millisecond},
 		[]time.Duration{progress.BoundRetryAfter(0), progress.BoundRetryAfter(600 * time.Millisecond), progress.BoundRetryAfter(time.Minute)})
 }
 
@@ -568,7 +574,7 @@
 	} {
 		e, ok := c.a.Overlap(&c.b)
 		if ok != c.want || ok && (!c.a.Matches(e) || !c.b.Matches(e)) {
-			t.Errorf("%+v and %+v: %v, %+v", c.a, c.b, ok, e)
+			t.Errorf("Overlap of %+v and %+v: got %v, %+v", c.a, c.b, ok, e)
 		}
 	}
 }
@@ -588,12 +594,12 @@
 			want = 1
 		}
 		if !ok || d.Route != want {
-			t.Errorf("%q %q %q is routed by %d, %v", key, group, x, d.Route, ok)
+			t.Errorf("key %q, group %q, x %q: got route %d, %v, want route %d", key, group, x, d.Route, ok, want)
 		}
 	})
 }
 
-// largeTable has n routes, each for a prefix of groups and a class.
+// largeTable returns a table with n routes. Each route matches a group prefix and a class.
 func largeTable(n int) *Table {
 	set := Set{Default: "r0", Pools: []Pool{{Name: "a"}, {Name: "b"}}}
 	for i := range n {
@@ -611,7 +617,7 @@
 	table := largeTable(1000)
 	l := &ConnectionAttributes{Class: "feed", Group: "00000301", Key: "k"}
 	if n := testing.AllocsPerRun(100, func() { table.Decide(l) }); n != 0 {
-		t.Errorf("%v allocations per decision", n)
+		t.Errorf("%v allocations per decision, want 0", n)
 	}
 }
 
