--- a/internal/routing/rules.go
+++ b/internal/routing/rules.go
@@ -10,31 +10,31 @@
 
 // Rules and their precedence.
 //
-// A route expands to as many rules as its conditions have combinations; each has one pattern in each dimension. The rule of
-// the route with the highest precedence applies. At equal precedence the most specific one does: the dimensions are compared
-// in the order key, group, further fields by name, class, listener, zone, and in each of them an exact text precedes a longer
-// prefix, that a shorter one, and that no condition at all. Two rules that are equal in all of this are the same rule twice,
-// which New rejects where their routes differ.
+// A route expands to one rule for each combination of the alternatives of its conditions. A rule has one pattern in each
+// dimension. Of the matching rules, the rule of the route with the highest precedence applies. At equal precedence, the most
+// specific rule applies: the dimensions are compared in the order key, group, further fields by name, class, listener, zone. In
+// each dimension, an exact text precedes a prefix, a longer prefix precedes a shorter one, and any prefix precedes no condition.
+// Rules with the same precedence and the same patterns are duplicates. New rejects duplicates from different routes.
 
-// Dimensions of a rule. Those of class, listener and zone follow that of the last field.
+// Dimensions of a rule. Class, listener and zone follow the last field.
 const (
 	keyDimension = iota
 	groupDimension
 	firstFieldDimension // one dimension for each of Table.FieldNames
 )
 
-// Dimensions after that of the last field, counted from there.
+// Dimensions after the last field, as offsets from the end of the fields.
 const (
 	classOffset = iota
 	listenerOffset
 	zoneOffset
-	trailingDimensions // how many there are
+	trailingDimensions // number of these dimensions
 )
 
-// trailingNames are the names of the dimensions after that of the last field.
+// trailingNames are the names of the dimensions after the last field.
 var trailingNames = [trailingDimensions]string{classOffset: "class", listenerOffset: "listener", zoneOffset: "zone"}
 
-// Lengths of a pattern, beside that of a prefix.
+// Special lengths of a pattern. The length of a prefix pattern is the length of the prefix in bytes.
 const (
 	anyText   = -1
 	exactText = 1 << 20 // longer than any prefix
@@ -43,17 +43,18 @@
 // rule is one combination of a route's conditions.
 type rule struct {
 	route   int32
-	lengths []int32 // of the pattern, by dimension
+	lengths []int32 // of the patterns, by dimension; see pattern
 	texts   []string
 }
 
 // pattern is one alternative of a condition.
 type pattern struct {
-	length int32 // of a prefix, or anyText or exactText
+	length int32 // length of a prefix, or anyText or exactText
 	text   string
 }
 
-// patterns returns a condition's alternatives, sorted and each once. A condition that always holds has one, of any text.
+// patterns returns the alternatives of a condition, sorted and without duplicates. A condition that matches every text has a single
+// alternative with the length anyText.
 func patterns(s StringMatcher) []pattern {
 	if s.MatchesAll() {
 		return []pattern{{length: anyText}}
@@ -71,7 +72,7 @@
 	return slices.Compact(alternatives)
 }
 
-// conditions returns the alternatives of a match's conditions by dimension.
+// conditions returns the alternatives of the conditions of a match, by dimension.
 func (t *Table) conditions(m *Match) [][]pattern {
 	byDimension := [][]pattern{patterns(m.Key), patterns(m.Group)}
 	for _, name := range t.FieldNames {
@@ -81,7 +82,8 @@
 		patterns(StringMatcher{Exact: m.Zone}))
 }
 
-// expandRoute returns the rules of a route: one for each combination of its conditions' alternatives. Their route is not set.
+// expandRoute returns the rules of a route, one for each combination of the alternatives of its conditions. It does not set
+// rule.route.
 func (t *Table) expandRoute(r *Route) []rule {
 	rules := []rule{{}}
 	for _, alternatives := range t.conditions(&r.Match) {
@@ -99,7 +101,7 @@
 	return rules
 }
 
-// compareRules orders rules by precedence, the one that applies first.
+// compareRules orders rules by descending precedence.
 func (t *Table) compareRules(a, b rule) int {
 	return cmp.Or(
 		cmp.Compare(t.Set.Routes[b.route].Precedence, t.Set.Routes[a.route].Precedence),
@@ -108,7 +110,7 @@
 		cmp.Compare(t.Set.Routes[a.route].Name, t.Set.Routes[b.route].Name))
 }
 
-// AmbiguityError is the error of two routes that claim the same connections at the same precedence.
+// AmbiguityError reports two routes that claim the same connections at the same precedence.
 type AmbiguityError struct {
 	RouteA      string // names of the routes
 	RouteB      string
@@ -122,13 +124,13 @@
 // Unwrap returns the error's kind.
 func (a AmbiguityError) Unwrap() error { return ambiguousRoutes.New("", "") }
 
-// routePair is two routes, which are reported once even where several of their rules are equal.
+// routePair identifies two routes, so that they are reported once even if several of their rules are equal.
 type routePair struct {
 	first  int32
 	second int32
 }
 
-// checkAmbiguities finds equal rules of different routes, which are neighbors once the rules are sorted.
+// checkAmbiguities returns an error for each pair of routes with equal rules. Equal rules are adjacent because the rules are sorted.
 func (t *Table) checkAmbiguities() error {
 	var errs []error
 	reported := map[routePair]bool{}
@@ -184,7 +186,7 @@
 	return strings.Join(conditions, ", ")
 }
 
-// matches reports whether a rule matches a line.
+// matches reports whether a rule matches a connection.
 func (t *Table) matches(r *rule, l *ConnectionAttributes) bool {
 	for dimension, length := range r.lengths {
 		text := t.lineText(l, dimension)
@@ -199,7 +201,7 @@
 	return true
 }
 
-// lineText returns a line's text in a dimension; "" for a field that the line lacks.
+// lineText returns the text of a connection in a dimension, or "" for a missing field.
 func (t *Table) lineText(l *ConnectionAttributes, dimension int) string {
 	switch dimension {
 	case keyDimension:
--- a/internal/routing/set.go
+++ b/internal/routing/set.go
@@ -7,11 +7,11 @@
 	Pools    []Pool   `json:"pools"`
 	Policies []Policy `json:"policies,omitempty"`
 	Routes   []Route  `json:"routes,omitempty"`
-	Default  string   `json:"default,omitempty"` // name of the route that applies where no other matches; "": such a request fails
-	Zones    []Zone   `json:"zones,omitempty"`   // of the site; none: any
-	// Listeners are the addresses of further listeners, by the names that matches use.
+	Default  string   `json:"default,omitempty"` // name of the route that applies if no route matches; "": such requests fail
+	Zones    []Zone   `json:"zones,omitempty"`   // zones of the site; empty: any
+	// Listeners maps the names of further listeners, as used in Match.Listener, to their addresses.
 	Listeners map[string]string `json:"listeners,omitempty"`
-	// DrainTimeout is how long connections have to drain when their pool is removed; 0: 30 s.
+	// DrainTimeout is the time that connections have to drain when their pool is removed; 0: 30 s.
 	DrainTimeout Microseconds `json:"drain_over_us,omitempty"`
 }
 
@@ -24,27 +24,28 @@
 // Microseconds is a duration in whole microseconds.
 type Microseconds int64
 
-// Duration returns it as a time.Duration.
+// Duration converts m to a time.Duration.
 func (m Microseconds) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// TotalPPM is the sum of a split's shares, in parts per million.
+// TotalPPM is the sum of the shares of a split, in parts per million.
 const TotalPPM = 1_000_000
 
 // MainListener is the name of the listener that every proxy has.
 const MainListener = "main"
 
-// defaultDrain is how long connections of a removed pool have to drain where a set does not say.
-const defaultDrain = 30 * time.Second
+// defaultDrainTimeout is the value of DrainTimeout if a set has none.
+const defaultDrainTimeout = 30 * time.Second
 
-// EffectiveDrainTimeout returns how long connections have to drain when their pool is removed: DrainTimeout, or its default.
+// EffectiveDrainTimeout returns the time that connections have to drain when their pool is removed: DrainTimeout, or its
+// default.
 func (s *Set) EffectiveDrainTimeout() time.Duration {
 	if s.DrainTimeout > 0 {
 		return s.DrainTimeout.Duration()
 	}
-	return defaultDrain
+	return defaultDrainTimeout
 }
 
-// WithDefaults returns the set as a proxy uses it: one without pools and routes gets those of SinglePoolSet.
+// WithDefaults returns the set that a proxy uses. A set without pools and routes gets the pool and route of SinglePoolSet.
 func (s Set) WithDefaults() Set {
 	if len(s.Pools) == 0 && len(s.Routes) == 0 {
 		single := SinglePoolSet()
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -12,36 +12,36 @@
 // Table is a compiled Set. It is immutable.
 type Table struct {
 	Set        Set
-	FieldNames []string // the fields of Match.Fields that ConnectionAttributes.Fields has to bring, in this order
+	FieldNames []string // names of the fields that ConnectionAttributes.Fields must contain, in this order
 
 	rules         []rule         // by precedence
 	shapes        []shape        // index of the rules, in the order of their first rules
-	records       []byte         // the shapes' records one after the other, see recordHeaderBytes
-	targets       []target       // of the routes, as Set.Routes
-	sharedTargets []target       // the same, equal ones once
+	records       []byte         // concatenated records of the shapes, see recordHeaderBytes
+	targets       []target       // targets of the routes, in the order of Set.Routes
+	sharedTargets []target       // the same targets without duplicates
 	defaultRoute  int            // position in Set.Routes; -1: none
 	poolIndexes   map[string]int // position in Set.Pools by name
 }
 
-// target is where a route's connections go.
+// target describes where the connections of a route go.
 type target struct {
-	policy    int          // -1: none
-	shares    []SplitShare // by pool name
-	pools     []int        // of the shares
-	ends      []uint32     // of the shares' intervals, in parts per million
-	fallbacks []int        // the policy's fallback pools
+	policy    int          // position in Set.Policies; -1: none
+	shares    []SplitShare // sorted by pool name
+	pools     []int        // pools of the shares
+	ends      []uint32     // ends of the intervals of the shares, in parts per million
+	fallbacks []int        // fallback pools of the policy
 }
 
-// Decision is where a connection goes. Numbers are positions in the Set's lists.
+// Decision is the routing decision for a connection. Route, Pool and Policy are positions in the lists of the Set.
 type Decision struct {
 	Route         int
 	Pool          int
 	Policy        int // -1: none
 	Rule          int // position among all rules; -1: the default route
-	SplitPosition int // of the key in its route's split, in parts per million
+	SplitPosition int // position of the connection in the split of the route, in parts per million
 }
 
-// New compiles a set. The error joins everything that is wrong with it.
+// New compiles a set. The returned error joins all errors of the set.
 func New(set Set) (*Table, error) {
 	if err := set.check(); err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// compileRoutes makes the target and the rules of each route, in the order of the routes.
+// compileRoutes adds the targets and the rules of all routes, in the order of the routes.
 func (t *Table) compileRoutes() {
 	policies := map[string]int{} // position in Set.Policies by name
 	for i, p := range t.Set.Policies {
@@ -89,7 +89,7 @@
 	}
 }
 
-// newTarget returns the target of a route. policies are positions by name.
+// newTarget returns the target of a route. policies maps policy names to positions in Set.Policies.
 func (t *Table) newTarget(r *Route, policies map[string]int) target {
 	to := target{policy: -1, shares: slices.Clone(r.To)}
 	if policy, ok := policies[r.Policy]; ok {
@@ -108,7 +108,7 @@
 	return to
 }
 
-// shareAt returns the position of the share in whose interval a place lies.
+// shareAt returns the index of the share whose interval contains a split position.
 func (to *target) shareAt(place int) int {
 	for i, end := range to.ends {
 		if uint32(place) < end {
@@ -118,12 +118,12 @@
 	return len(to.ends) - 1
 }
 
-// SplitPosition returns where in a split a connection lies, in parts per million, from 0 to below TotalPPM. It follows from the group, or
-// else from the key, so that a group stays together. It is the same for every route and independent of their names, so that
-// renaming a route moves no connection.
+// SplitPosition returns the position of a connection in any split, in parts per million, from 0 to below TotalPPM. It is derived from
+// the group so that a group stays together, or from the key if there is no group. It does not depend on the route, so renaming a
+// route moves no connection.
 //
-// A split arranges its shares by pool name, one after the other. Where one share grows and no other does, it ends no earlier
-// and begins no later than before, so every key in it stays.
+// A split consists of consecutive intervals, one per share, in the order of the pool names. If one share grows and no other share
+// does, its interval ends no earlier and begins no later than before, so every key in it stays.
 func SplitPosition(l *ConnectionAttributes) int {
 	text := l.Group
 	if text == "" {
@@ -133,7 +133,7 @@
 	return int(place)
 }
 
-// PoolIndex returns a pool's position in the Set's list by its name; -1: there is none.
+// PoolIndex returns the position in Set.Pools of the pool with the given name, or -1 if there is none.
 func (t *Table) PoolIndex(name string) int {
 	if i, ok := t.poolIndexes[name]; ok {
 		return i
@@ -141,7 +141,7 @@
 	return -1
 }
 
-// Policy returns a decision's policy; the zero one where it has none.
+// Policy returns the policy of a decision, or the zero Policy if there is none.
 func (t *Table) Policy(d Decision) Policy {
 	if p := t.policyAt(d.Policy); p != nil {
 		return *p
@@ -149,7 +149,7 @@
 	return Policy{}
 }
 
-// policyAt returns the policy at a position in the Set's list; nil where that is -1.
+// policyAt returns the policy at a position in Set.Policies, or nil for -1.
 func (t *Table) policyAt(policy int) *Policy {
 	if policy < 0 {
 		return nil
@@ -157,8 +157,8 @@
 	return &t.Set.Policies[policy]
 }
 
-// Fallbacks returns the pools to which a decision's policy falls back, in order, without the decision's own pool. They must
-// not be changed.
+// Fallbacks returns the fallback pools of the decision's policy in order, without the pool of the decision. The caller must not
+// modify the result.
 func (t *Table) Fallbacks(d Decision) []int {
 	fallbacks := t.targets[d.Route].fallbacks
 	if slices.Contains(fallbacks, d.Pool) {
--- a/internal/routing/unreached.go
+++ b/internal/routing/unreached.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// UnreachedRoutes returns the routes that no connection in a space reaches, by name, each with the names of the routes that precede
-// it and claim some of its connections. The default route counts as reached. It fails with ErrTooManyCells.
+// UnreachedRoutes returns the routes that no connection in a match space reaches. It maps the name of each such route to the names
+// of the routes that precede it and claim some of its connections. The default route counts as reached. The error is
+// ErrTooManyCells if there are too many cells to visit.
 func (t *Table) UnreachedRoutes(space MatchSpace) (map[string][]string, error) {
 	reached := map[int32]bool{}
 	d := newDiffer(t, &Table{defaultRoute: -1}, t.FieldNames, space)
@@ -26,7 +27,7 @@
 	return unreached, nil
 }
 
-// shadowingRoutes returns the names of the routes that precede a route and claim some of its connections.
+// shadowingRoutes returns the sorted names of the routes that precede a route and claim some of its connections.
 func (t *Table) shadowingRoutes(route int32) []string {
 	var names []string
 	for i := range t.rules {
