--- a/internal/catalog/inputs.go
+++ b/internal/catalog/inputs.go
@@ -90,7 +90,7 @@
 // ValidName reports whether a name is valid for a service, an alias or a mesh: 1 to 128 bytes of UTF-8 without spaces, control
 // characters and dots.
 func ValidName(name string) bool {
-	return name != "" && len(name) <= maxNameBytes && !strings.Contains(name, ".") && routing.Nameable(name) && utf8.ValidString(name)
+	return name != "" && len(name) <= maxNameBytes && !strings.Contains(name, ".") && routing.IsValidName(name) && utf8.ValidString(name)
 }
 
 // splitName splits a name into its short name and its mesh. mesh is "" if the name is not qualified.
--- a/internal/catalog/memory.go
+++ b/internal/catalog/memory.go
@@ -7,7 +7,7 @@
 	minAllocation   = 16
 	stringSliceSlot = 24  // an element of a []string, including spare capacity left by its growth
 	indexEntryBytes = 100 // an entry of State.index while the map grows
-	cellBytes       = 8   // an int of Select.Cells
+	cellBytes       = 8   // an int of EndpointSelector.Cells
 )
 
 // withSizeClass returns an upper bound of the memory that an allocation takes: rounding up to its size class adds at most an
@@ -78,7 +78,7 @@
 		p := &e.Providers[i]
 		selector := &p.Pool.Select
 		m.addStrings(p.Mesh, p.Class, p.Origin, p.Pool.Name)
-		m.addStringSlices(p.Zones, p.Via, p.Pool.Was, selector.Zones, selector.MachineTypes, selector.IDPrefixes)
+		m.addStringSlices(p.Zones, p.Via, p.Pool.FormerNames, selector.Zones, selector.MachineTypes, selector.IDPrefixes)
 		m.bytes += uint64(cap(selector.Cells)) * cellBytes
 	}
 }
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -171,12 +171,12 @@
 	}
 	routes, err := routing.New(routing.Set{
 		Pools: []routing.Pool{
-			{Name: "blue", Select: routing.Select{Zones: []string{"east"}}},
-			{Name: "green", Select: routing.Select{Zones: []string{"west"}}},
+			{Name: "blue", Select: routing.EndpointSelector{Zones: []string{"east"}}},
+			{Name: "green", Select: routing.EndpointSelector{Zones: []string{"west"}}},
 		},
 		Routes: []routing.Route{
-			{Name: "first", Match: routing.Match{Class: []string{"feed"}}, To: []routing.SplitShare{{Pool: "blue", PPM: routing.Whole}}},
-			{Name: "second", To: []routing.SplitShare{{Pool: "green", PPM: routing.Whole}}, Precedence: -1},
+			{Name: "first", Match: routing.Match{Class: []string{"feed"}}, To: []routing.SplitShare{{Pool: "blue", PPM: routing.TotalPPM}}},
+			{Name: "second", To: []routing.SplitShare{{Pool: "green", PPM: routing.TotalPPM}}, Precedence: -1},
 		},
 	})
 	if err != nil {
@@ -189,7 +189,7 @@
 	return &config.Config{
 		Name: "proxy", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: 1, MaxDescriptors: 64, Settings: settings,
 		LoadIsLatency: loadIsLatency, Routes: routes,
-		KnownEndpoints: discovery.List{Generation: 1, Reset: true, Instances: []discovery.Entry{
+		InitialEndpoints: discovery.List{Generation: 1, Reset: true, Instances: []discovery.Entry{
 			{ID: "s001", HostPort: "127.0.0.1:2", Zone: "east", Lifecycle: "in_service", Weight: 1},
 			{ID: "s002", HostPort: "127.0.0.1:3", Zone: "west", Lifecycle: "terminating", Weight: 1},
 		}},
@@ -203,7 +203,7 @@
 	whole := goldenConfig(t)
 	plain := *whole
 	plain.Fleet = nil
-	single, err := routing.New(routing.Single())
+	single, err := routing.New(routing.SinglePoolSet())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routing/describe.go
+++ b/internal/routing/describe.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxListedTexts is how many texts of a Span are listed. Where there is just one more, it is listed too.
+// maxListedTexts is the number of texts of a Span that a description lists. A single additional text is listed too.
 const maxListedTexts = 5
 
 // Percent formats parts per million as a percentage, such as "12.5 %".
@@ -20,24 +20,24 @@
 func (s *Span) Describe() string {
 	switch {
 	case len(s.Texts) == 1 && s.Texts[0] == "":
-		return "no " + s.Dim
+		return "no " + s.Dimension
 	case len(s.Texts) > 0:
-		return s.Dim + " " + strings.Join(quoteTexts(s.Texts), " or ")
+		return s.Dimension + " " + strings.Join(quoteTexts(s.Texts), " or ")
 	}
 	if s.Prefix == "" {
-		if len(s.Except) == 1 && s.Except[0] == "" && len(s.Beside) == 0 {
-			return "any " + s.Dim
+		if len(s.ExceptTexts) == 1 && s.ExceptTexts[0] == "" && len(s.ExceptPrefixes) == 0 {
+			return "any " + s.Dimension
 		}
-		return "any other " + s.Dim
+		return "any other " + s.Dimension
 	}
-	description := fmt.Sprintf("%s %q…", s.Dim, s.Prefix)
-	if exceptions := len(s.Except) + len(s.Beside); exceptions > 0 {
+	description := fmt.Sprintf("%s %q…", s.Dimension, s.Prefix)
+	if exceptions := len(s.ExceptTexts) + len(s.ExceptPrefixes); exceptions > 0 {
 		description += fmt.Sprintf(" but for %d", exceptions)
 	}
 	return description
 }
 
-// quoteTexts quotes texts. Of many it gives the number of those that it does not list.
+// quoteTexts quotes texts. It replaces the texts beyond maxListedTexts by their number.
 func quoteTexts(texts []string) []string {
 	listed := texts
 	if len(texts) > maxListedTexts+1 {
@@ -63,25 +63,26 @@
 	if len(spans) > 0 {
 		subject = strings.Join(spans, ", ")
 	}
-	if c.PPM < Whole {
+	if c.PPM < TotalPPM {
 		subject += ": " + Percent(c.PPM) + " of the keys"
 	}
 	return subject + ": " + c.DescribeDifference()
 }
 
-// DescribeDifference describes, for operators, what is decided differently on the change's connections, which it does not name.
+// DescribeDifference describes, for operators, how the decisions on the connections of the change differ. It does not describe
+// the connections themselves.
 func (c *Change) DescribeDifference() string {
 	switch {
 	case c.Old.Route == "":
-		return fmt.Sprintf("so far no route; now route %q to pool %q%s", c.New.Route, c.New.Pool, c.New.policyPhrase())
+		return fmt.Sprintf("previously no route; now route %q to pool %q%s", c.New.Route, c.New.Pool, c.New.policyPhrase())
 	case c.New.Route == "":
-		return fmt.Sprintf("so far route %q to pool %q; now no route, so they fail", c.Old.Route, c.Old.Pool)
+		return fmt.Sprintf("previously route %q to pool %q; now no route, so they fail", c.Old.Route, c.Old.Pool)
 	}
 	var clauses []string
 	if c.ChangesPool() {
 		clauses = append(clauses, fmt.Sprintf("from pool %q to pool %q", c.Old.Pool, c.New.Pool))
 	}
-	for _, aspect := range c.What {
+	for _, aspect := range c.Aspects {
 		if clause := c.describeAspect(aspect); clause != "" {
 			clauses = append(clauses, clause)
 		}
@@ -89,19 +90,19 @@
 	return strings.Join(clauses, ", ")
 }
 
-// describeAspect describes one aspect of Change.What; "" where another one says it.
+// describeAspect describes one aspect of Change.Aspects. It returns "" if the description of another aspect covers it.
 func (c *Change) describeAspect(aspect string) string {
 	switch {
 	case aspect == aspectRoute:
-		return fmt.Sprintf("by route %q in place of %q", c.New.Route, c.Old.Route)
+		return fmt.Sprintf("by route %q instead of %q", c.New.Route, c.Old.Route)
 	case aspect == aspectPolicy:
-		return fmt.Sprintf("under %s in place of %s", c.New.policyName(), c.Old.policyName())
-	case aspect == aspectTerms && !slices.Contains(c.What, aspectPolicy):
-		return fmt.Sprintf("policy %q says something else", c.New.Policy)
+		return fmt.Sprintf("under %s instead of %s", c.New.policyName(), c.Old.policyName())
+	case aspect == aspectTerms && !slices.Contains(c.Aspects, aspectPolicy):
+		return fmt.Sprintf("policy %q has other terms", c.New.Policy)
 	case aspect == aspectLimits:
-		return "other limits hold"
+		return "other limits apply"
 	case aspect == aspectSelection && !c.ChangesPool():
-		return fmt.Sprintf("pool %q takes other next hops", c.New.Pool)
+		return fmt.Sprintf("pool %q selects other endpoints", c.New.Pool)
 	}
 	return ""
 }
@@ -113,7 +114,7 @@
 	return fmt.Sprintf("policy %q", o.Policy)
 }
 
-// policyPhrase returns the policy as part of a sentence; "" without one.
+// policyPhrase returns the policy as part of a sentence, or "" if there is none.
 func (o *Outcome) policyPhrase() string {
 	if o.Policy == "" {
 		return ""
