--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -102,7 +102,7 @@
 	return texts
 }
 
-// wantEntries compares the entries with entries, given as "name: text" where text is formatted as by describe.
+// wantEntries compares the entries of the state with the expected ones, given as "name: text" with the text of describe.
 func (sc *scenario) wantEntries(what string, entries ...string) {
 	sc.t.Helper()
 	want := map[string]string{}
