--- a/internal/catalog/digest.go
+++ b/internal/catalog/digest.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	digestBytes            = 16
-	typicalServiceEncoding = 256 // bytes, to size the initial buffer
+	digestBytes         = 16
+	typicalServiceBytes = 256 // of an encoded service, to size the initial buffer
 )
 
 // Digest returns the hexadecimal hash of a publication's services and aliases. It does not depend on the publication's number,
 // the order of its records or duplicate records.
 func (p *Publication) Digest() string {
 	ends := make([]int, 0, len(p.Services)+len(p.Aliases)) // end offset of each record in encoded
-	encoded := make([]byte, 0, typicalServiceEncoding*cap(ends))
+	encoded := make([]byte, 0, typicalServiceBytes*cap(ends))
 	for i := range p.Services {
 		encoded = appendService(encoded, &p.Services[i])
 		ends = append(ends, len(encoded))
--- a/internal/catalog/memory.go
+++ b/internal/catalog/memory.go
@@ -4,10 +4,10 @@
 
 // Sizes of parts of a decoded State, in bytes.
 const (
-	minAllocation   = 16
-	stringSliceSlot = 24  // an element of a []string, including spare capacity left by its growth
-	indexEntryBytes = 100 // an entry of State.index while the map grows
-	cellBytes       = 8   // an int of EndpointSelector.Cells
+	minAllocationBytes      = 16
+	stringSliceElementBytes = 24  // an element of a []string, including spare capacity left by its growth
+	indexEntryBytes         = 100 // an entry of State.index while the map grows
+	cellBytes               = 8   // an int of EndpointSelector.Cells
 )
 
 // withSizeClass returns an upper bound of the memory that an allocation takes: rounding up to its size class adds at most an
@@ -25,14 +25,14 @@
 func (m *memoryEstimate) addStrings(list ...string) {
 	for _, s := range list {
 		if len(s) > 0 {
-			m.bytes += withSizeClass(uint64(len(s)+minAllocation-1) / minAllocation * minAllocation)
+			m.bytes += withSizeClass(uint64(len(s)+minAllocationBytes-1) / minAllocationBytes * minAllocationBytes)
 		}
 	}
 }
 
 func (m *memoryEstimate) addStringSlices(lists ...[]string) {
 	for _, list := range lists {
-		m.bytes += uint64(cap(list)) * stringSliceSlot
+		m.bytes += uint64(cap(list)) * stringSliceElementBytes
 		m.addStrings(list...)
 	}
 }
