--- a/internal/memestimate/allocator.go
+++ b/internal/memestimate/allocator.go
@@ -191,8 +191,8 @@
 }
 
 // mapBytes returns the bytes that a map uses after it has grown to n entries of slotBytes each for key and value. A large map
-// consists of tables with at most maxMapTableSlots slots. A table splits in two when seven eighths of its slots are used, so the
-// random hash seed changes the number of tables slightly.
+// consists of tables with at most maxMapTableSlots slots. A table splits in two when seven eighths of its slots are used, so
+// the random hash seed changes the number of tables slightly.
 func (c *sizeClasses) mapBytes(slotBytes, n uint64) uint64 {
 	groupBytes := mulSaturating(slotBytes, mapGroupSlots) + mapGroupControlBytes
 	switch {
--- a/internal/memestimate/allocator_test.go
+++ b/internal/memestimate/allocator_test.go
@@ -55,8 +55,8 @@
 		keys = append(keys, strconv.Itoa(i))
 	}
 	for _, n := range []int{0, 1, 8, 9, 14, 15, 28, 100, 500, 896, 2000, 50_000} {
-		// On a busy machine the heap drifts by some kilobytes between two measurements, whatever the test allocates. Many copies
-		// make that drift small compared with the bounds.
+		// On a busy machine the heap drifts by some kilobytes between two measurements, whatever the test allocates. Many
+		// copies make that drift small compared with the bounds.
 		copies := max(20_000/max(n, 1), 1)
 		made := make([]map[string]int, copies)
 		before := sets.LiveHeap()
--- a/internal/memestimate/counter.go
+++ b/internal/memestimate/counter.go
@@ -12,10 +12,10 @@
 	// maxRouteRules is the limit of internal/routing on the rules of a route. internal/routing rejects a route with more rules;
 	// for such a route only the number of rules is computed, not their shapes.
 	maxRouteRules = 4096
-	// maxSteps and maxShapes bound the time and memory of estimating a set: the number of visited combinations of length
+	// maxCombinations and maxShapes bound the time and memory of estimating a set: the number of visited combinations of length
 	// buckets, and the number of different shapes. Above either limit, each combination counts as a separate shape.
-	maxSteps  = 4 << 20
-	maxShapes = 1 << 17
+	maxCombinations = 4 << 20
+	maxShapes       = 1 << 17
 	// fixedDimensions is the number of dimensions that every table has. Each further field adds one.
 	fixedDimensions = 5
 	// maxLargestRoutes is the length of Estimate.LargestRoutes.
@@ -36,9 +36,9 @@
 // New returns a Counter for the allocator of the running program.
 func New() *Counter { return &Counter{runtimeSizeClasses()} }
 
-// Table implements Estimator. Each string of the set counts as one allocation, because decoders allocate strings separately, and
-// each slice counts by its capacity. A set that routing.New rejects gets an estimate too. Results that exceed 64 bits become
-// math.MaxUint64.
+// Table implements Estimator. Each string of the set counts as one allocation, because decoders allocate strings separately,
+// and each slice counts by its capacity. A set that routing.New rejects gets an estimate too. Results that exceed 64 bits
+// become math.MaxUint64.
 func (c *Counter) Table(set *routing.Set) Estimate {
 	const typicalDimensions = 8 // of a route; the buffers grow for a route with more
 	t := tally{
@@ -59,13 +59,13 @@
 }
 
 // SwitchPeak implements Estimator. The received body stays in memory until the new table is compiled.
-func (*Counter) SwitchPeak(current, next Estimate, textBytes int) uint64 {
-	return sumSaturating(current.LiveBytes, next.LiveBytes, next.CompileBytes, uint64(max(textBytes, 0)))
+func (*Counter) SwitchPeak(current, next Estimate, bodyBytes int) uint64 {
+	return sumSaturating(current.LiveBytes, next.LiveBytes, next.CompileBytes, uint64(max(bodyBytes, 0)))
 }
 
 // HotRestartPeak implements Estimator. The body counts twice, because the old process sends it and the new process reads it.
-func (c *Counter) HotRestartPeak(e Estimate, textBytes int) uint64 {
-	return addSaturating(c.SwitchPeak(e, e, textBytes), uint64(max(textBytes, 0)))
+func (c *Counter) HotRestartPeak(e Estimate, bodyBytes int) uint64 {
+	return addSaturating(c.SwitchPeak(e, e, bodyBytes), uint64(max(bodyBytes, 0)))
 }
 
 // tally accumulates the counts and sums of a set. Sums that a set can push beyond 64 bits saturate.
@@ -83,7 +83,7 @@
 	rules            uint64
 	recordTotal      uint64 // bytes
 	splitTextTotal   uint64 // memory of the texts that identify different splits, in bytes
-	steps            uint64 // combinations of length buckets of all routes
+	combinations     uint64 // combinations of length buckets of all routes
 	excessRules      uint64 // rules of routes that internal/routing rejects
 	largestExpansion uint64 // the most rules of any route
 	largestPartial   uint64 // the most partial rules of one route, without its last dimension
--- a/internal/memestimate/estimate.go
+++ b/internal/memestimate/estimate.go
@@ -22,11 +22,11 @@
 type Estimator interface {
 	// Table estimates the compiled table of a set, including the Set itself. It takes at most a twentieth of the compile time.
 	Table(set *routing.Set) Estimate
-	// SwitchPeak returns the peak while a node replaces its table by another one: both tables, the received body, and the temporary
-	// memory of decoding and compiling. textBytes is the length of the received body.
-	SwitchPeak(current, next Estimate, textBytes int) uint64
+	// SwitchPeak returns the peak while a node replaces its table by another one: both tables, the received body, and the
+	// temporary memory of decoding and compiling. bodyBytes is the length of the received body.
+	SwitchPeak(current, next Estimate, bodyBytes int) uint64
 	// HotRestartPeak returns the peak of both processes of one node together during a hot restart.
-	HotRestartPeak(e Estimate, textBytes int) uint64
+	HotRestartPeak(e Estimate, bodyBytes int) uint64
 }
 
 // Estimate is the estimated memory of a table.
@@ -58,6 +58,6 @@
 // DecodePeak returns the peak, in bytes, while a received body is decoded and its services are bound. It comprises the current
 // table, the body both as received and split into its parts, the new set, and the catalog with its strings
 // (catalog.State.MemoryBytes).
-func DecodePeak(current, next Estimate, textBytes int, catalogBytes uint64) uint64 {
-	return sumSaturating(current.LiveBytes, next.LiveBytes, 2*uint64(max(textBytes, 0)), catalogBytes)
+func DecodePeak(current, next Estimate, bodyBytes int, catalogBytes uint64) uint64 {
+	return sumSaturating(current.LiveBytes, next.LiveBytes, 2*uint64(max(bodyBytes, 0)), catalogBytes)
 }
--- a/internal/memestimate/estimate_test.go
+++ b/internal/memestimate/estimate_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// TestSwitchPeak runs itself in a child process with stop-the-world garbage collection, under which the peak is measured exactly.
+// TestSwitchPeak runs itself in a child process with stop-the-world garbage collection, under which the peak is measured
+// exactly.
 func TestSwitchPeak(t *testing.T) {
 	if !sets.HasStopTheWorldGC() {
 		cmd := exec.Command(os.Args[0], "-test.run=^TestSwitchPeak$")
@@ -152,8 +153,8 @@
 			mixed.Routes = mixed.Routes[:n-1]
 			_, fewer := encodeAndDecode(rt, mixed)
 			e := c.Table(fewer)
-			// A further field adds an element to the lists of each rule, but rounding to capacities may make the lists
-			// smaller: a list of 16 texts is a list of 15 that was reallocated with room to grow, whereas a list of 18 fits exactly.
+			// A further field adds an element to the lists of each rule, but rounding to capacities may make the lists smaller:
+			// a list of 16 texts is a list of 15 that was reallocated with room to grow, whereas a list of 18 fits exactly.
 			if fieldCount(mixed.Routes) < fieldCount(mixed.Routes[:n]) {
 				less = e
 				continue
--- a/internal/memestimate/routes.go
+++ b/internal/memestimate/routes.go
@@ -73,11 +73,11 @@
 // reports whether the route has a condition in the zone dimension, which is the last one.
 func (t *tally) addRules(hasZone bool) (rules, recordBytes uint64) {
 	rules = 1
-	steps := uint64(1)
+	combinations := uint64(1)
 	for i := range t.dimensions {
 		d := &t.dimensions[i]
 		rules = mulSaturating(rules, d.count)
-		steps = mulSaturating(steps, uint64(d.endBucket-d.firstBucket))
+		combinations = mulSaturating(combinations, uint64(d.endBucket-d.firstBucket))
 	}
 	recordBytes = mulSaturating(rules, recordHeaderBytes)
 	for i := range t.dimensions {
@@ -89,7 +89,7 @@
 	if rules > maxRouteRules {
 		t.excessRules = addSaturating(t.excessRules, rules)
 	} else {
-		t.steps = addSaturating(t.steps, steps)
+		t.combinations = addSaturating(t.combinations, combinations)
 		if !t.tooManyShapes() {
 			t.countShapes()
 		}
@@ -194,9 +194,9 @@
 		return bytes
 	}
 	t.addBuckets(exact, prefix)
-	for _, f := range t.buckets[d.firstBucket:] {
-		d.count += f.count
-		d.bytes += f.bytes
+	for _, bucket := range t.buckets[d.firstBucket:] {
+		d.count += bucket.count
+		d.bytes += bucket.bytes
 	}
 	d.endBucket = len(t.buckets)
 	t.dimensions = append(t.dimensions, d)
@@ -207,31 +207,31 @@
 func (t *tally) addBuckets(exact, prefix []string) {
 	const maxPairwise = 4 // up to this number of texts, comparing all pairs is done instead of hashing
 	if len(prefix) == 0 && len(exact) <= maxPairwise {
-		f := lengthBucket{length: exactText}
+		bucket := lengthBucket{length: exactText}
 		for i, text := range exact {
 			if !slices.Contains(exact[:i], text) {
-				f.count++
-				f.bytes += uint64(len(text)) + exactLengthBytes
+				bucket.count++
+				bucket.bytes += uint64(len(text)) + exactLengthBytes
 			}
 		}
-		t.buckets = append(t.buckets, f)
+		t.buckets = append(t.buckets, bucket)
 		return
 	}
 	if len(exact) > 0 {
-		f := lengthBucket{length: exactText}
+		bucket := lengthBucket{length: exactText}
 		for i := range t.distinct(exact) {
-			f.count++
-			f.bytes += uint64(len(exact[i])) + exactLengthBytes
+			bucket.count++
+			bucket.bytes += uint64(len(exact[i])) + exactLengthBytes
 		}
-		t.buckets = append(t.buckets, f)
+		t.buckets = append(t.buckets, bucket)
 	}
 	firstPrefix := len(t.buckets)
 	for i := range t.distinct(prefix) {
-		f := lengthBucket{length: int32(min(len(prefix[i]), exactText-1))}
-		j, found := slices.BinarySearchFunc(t.buckets[firstPrefix:], f, func(a, b lengthBucket) int { return cmp.Compare(a.length, b.length) })
+		bucket := lengthBucket{length: int32(min(len(prefix[i]), exactText-1))}
+		j, found := slices.BinarySearchFunc(t.buckets[firstPrefix:], bucket, func(a, b lengthBucket) int { return cmp.Compare(a.length, b.length) })
 		j += firstPrefix
 		if !found {
-			t.buckets = slices.Insert(t.buckets, j, f)
+			t.buckets = slices.Insert(t.buckets, j, bucket)
 		}
 		t.buckets[j].count++
 		t.buckets[j].bytes += uint64(len(prefix[i]))
--- a/internal/memestimate/sets/measure.go
+++ b/internal/memestimate/sets/measure.go
@@ -54,8 +54,8 @@
 }
 
 // StopTheWorldGC is the GODEBUG setting under which SwitchPeak is reproducible and exact to a few bytes. With it, a garbage
-// collection stops the program at the allocation that triggers it until the collection ends. Otherwise, objects allocated during
-// the collection would count as live.
+// collection stops the program at the allocation that triggers it until the collection ends. Otherwise, objects allocated
+// during the collection would count as live.
 const StopTheWorldGC = "gcstoptheworld=2"
 
 // HasStopTheWorldGC reports whether this process runs with StopTheWorldGC.
@@ -64,9 +64,9 @@
 }
 
 // SwitchPeak returns the peak of the live heap, in bytes, while a process that uses the table of one encoded set decodes and
-// compiles another one. The peak comprises both tables, the encoded set, and the temporary memory of decoding and compiling. The
-// heap is collected each time it has grown by gcPercent, and the result is the largest live heap that a collection found. It is
-// therefore too low by at most gcPercent.
+// compiles another one. The peak comprises both tables, the encoded set, and the temporary memory of decoding and compiling.
+// The heap is collected each time it has grown by gcPercent, and the result is the largest live heap that a collection found.
+// It is therefore too low by at most gcPercent.
 func SwitchPeak(current, next []byte, gcPercent int) (uint64, error) {
 	before := LiveHeap()
 	currentTable, err := Compile(current)
--- a/internal/memestimate/shapes.go
+++ b/internal/memestimate/shapes.go
@@ -12,7 +12,7 @@
 // tooManyShapes reports whether the set has too many shapes to count each one. The result does not depend on the order of the
 // routes, and adding routes never changes it from true to false.
 func (t *tally) tooManyShapes() bool {
-	return t.steps > maxSteps || t.shapeIDs.count > maxShapes
+	return t.combinations > maxCombinations || t.shapeIDs.count > maxShapes
 }
 
 // countShapes counts the rules of the current route by shape. It handles conditions with a single length bucket first, so that
@@ -44,13 +44,13 @@
 		return
 	}
 	d := &remaining[0]
-	for _, f := range t.buckets[d.firstBucket:d.endBucket] {
-		t.countCombinations(remaining[1:], hash+bucketHash(d.hash, f), rules*f.count)
+	for _, bucket := range t.buckets[d.firstBucket:d.endBucket] {
+		t.countCombinations(remaining[1:], hash+bucketHash(d.hash, bucket), rules*bucket.count)
 	}
 }
 
-// bucketHash returns the part of a shape hash that a length bucket contributes. A shape hash is the sum of these parts, so that it
-// does not depend on the order of the dimensions.
-func bucketHash(dimensionHash uint64, f lengthBucket) uint64 {
-	return hashing.Combine(dimensionHash, uint64(f.length)+1)
+// bucketHash returns the part of a shape hash that a length bucket contributes. A shape hash is the sum of these parts, so that
+// it does not depend on the order of the dimensions.
+func bucketHash(dimensionHash uint64, bucket lengthBucket) uint64 {
+	return hashing.Combine(dimensionHash, uint64(bucket.length)+1)
 }
--- a/internal/memestimate/slices.go
+++ b/internal/memestimate/slices.go
@@ -20,7 +20,8 @@
 	policySlice = sliceOf[routing.Policy](true)
 	zoneSlice   = sliceOf[routing.Zone](true)
 
-	// The element types that routing does not export are taken from routing.Table by reflection, so that they follow its changes.
+	// The element types that routing does not export are taken from routing.Table by reflection, so that they follow its
+	// changes.
 	ruleSlice   = tableSlice("rules")
 	shapeSlice  = tableSlice("shapes")
 	targetSlice = tableSlice("targets")
--- a/internal/memestimate/total.go
+++ b/internal/memestimate/total.go
@@ -19,17 +19,17 @@
 
 // indexBytes adds up the index shape by shape. It uses upper bounds if there are too many shapes.
 func (t *tally) indexBytes() (index indexBytes) {
-	// A hash table has fewer than four slots for each of its rules, and a shape's list of rules has a capacity of fewer than two
-	// elements for each of them.
+	// A hash table has fewer than four slots for each of its rules, and a shape's list of rules has a capacity of fewer than
+	// two elements for each of them.
 	const (
 		maxSlotBytesPerRule   = 4 * slotBytes
 		maxMemberBytesPerRule = 2 * memberBytes
 	)
 	if t.tooManyShapes() {
-		index.shapes = t.steps
+		index.shapes = t.combinations
 		index.slots = mulSaturating(t.rules, maxSlotBytesPerRule)
 		index.members = mulSaturating(t.rules, maxMemberBytesPerRule)
-		index.dimensions = mulSaturating(t.steps, t.appendedBytes(int32Slice, t.dimensionCount()))
+		index.dimensions = mulSaturating(t.combinations, t.appendedBytes(int32Slice, t.dimensionCount()))
 		return index
 	}
 	index.shapes = uint64(t.shapeIDs.count)
@@ -99,9 +99,10 @@
 	return largest
 }
 
-// expansionBytes returns the peak of the lists of rules while routes are expanded, without the patterns of the rules. It assumes
-// that the largest route is expanded last, and returns the larger of two values: the memory while the partial rules without the
-// last dimension are still live, and the memory while the rules are appended to the list of all rules, which is reallocated.
+// expansionBytes returns the peak of the lists of rules while routes are expanded, without the patterns of the rules. It
+// assumes that the largest route is expanded last, and returns the larger of two values: the memory while the partial rules
+// without the last dimension are still live, and the memory while the rules are appended to the list of all rules, which is
+// reallocated.
 func (t *tally) expansionBytes() uint64 {
 	ruleBytes := ruleSlice.elementBytes + ruleSlice.elementBytes/8 // growing the slice leaves an eighth of it unused
 	partialDimensions := t.dimensionCount() - 1
--- a/internal/routing/cells.go
+++ b/internal/routing/cells.go
@@ -102,8 +102,8 @@
 	return d.walkCells(0, d.rules, make([]*Span, len(d.enumValues)))
 }
 
-// walkCells divides a cell along a dimension and all later ones, and compares or visits the resulting cells. rules are the rules
-// that can still match, by precedence. The spans of cell from dimension on are nil before and after the call.
+// walkCells divides a cell along a dimension and all later ones, and compares or visits the resulting cells. rules are the
+// rules that can still match, by precedence. The spans of cell from dimension on are nil before and after the call.
 func (d *differ) walkCells(dimension int, rules [sideCount][]*diffRule, cell []*Span) error {
 	d.cellCount++
 	if d.cellCount > maxCells {
@@ -149,8 +149,8 @@
 	return rules[0]
 }
 
-// sameDecisions reports whether both tables have equal rules in a cell. If the rules may all fail to match, the defaults must be
-// equal too.
+// sameDecisions reports whether both tables have equal rules in a cell. If the rules may all fail to match, the defaults must
+// be equal too.
 func (d *differ) sameDecisions(rules [sideCount][]*diffRule) bool {
 	oldRules, newRules := rules[oldSide], rules[newSide]
 	if !slices.EqualFunc(oldRules, newRules, func(a, b *diffRule) bool { return a.id == b.id }) {
@@ -232,8 +232,8 @@
 	return matching
 }
 
-// divideDimension divides a dimension into spans such that all texts of a span satisfy the same conditions of the rules. It also
-// returns an index of the rules of each side by their texts in that dimension.
+// divideDimension divides a dimension into spans such that all texts of a span satisfy the same conditions of the rules. It
+// also returns an index of the rules of each side by their texts in that dimension.
 func (d *differ) divideDimension(dimension int, rules [sideCount][]*diffRule) (spans []Span, byText [sideCount]*rulesByText) {
 	exact := map[string]bool{}
 	prefixes := map[string]bool{"": true}
@@ -352,7 +352,7 @@
 // compareSplits compares the splits of two routes over a range of positions, and adds a change for each part of the range in
 // which the outcomes differ. If count is singlePosition, the change covers all connections in the cell.
 func (d *differ) compareSplits(routes [sideCount]int, cell []*Span, from, count int) {
-	for place := from; place < from+count; {
+	for position := from; position < from+count; {
 		end := from + count // end of the positions with the same outcomes
 		var outcomes [sideCount]Outcome
 		for side, t := range d.tables {
@@ -360,12 +360,12 @@
 				continue
 			}
 			to := &t.targets[routes[side]]
-			share := to.shareAt(place)
+			share := to.shareAt(position)
 			outcomes[side] = t.outcome(routes[side], share)
-			end = min(end, max(int(to.ends[share]), place+1))
+			end = min(end, max(int(to.ends[share]), position+1))
 		}
 		if aspects := differences(outcomes[oldSide], outcomes[newSide]); len(aspects) > 0 {
-			c := Change{PPM: end - place, From: place, Old: outcomes[oldSide], New: outcomes[newSide], Aspects: aspects}
+			c := Change{PPM: end - position, From: position, Old: outcomes[oldSide], New: outcomes[newSide], Aspects: aspects}
 			if count == singlePosition {
 				c.From = 0
 				c.PPM = TotalPPM
@@ -377,6 +377,6 @@
 			}
 			d.changes = append(d.changes, c)
 		}
-		place = end
+		position = end
 	}
 }
--- a/internal/routing/conflict.go
+++ b/internal/routing/conflict.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// Conflicting reports whether two tables decide differently on a connection. It compares the name of the pool, the endpoints that
-// the pool selects, the limits of pool and route, and the contents of the policy. A different name of the route or policy alone
-// is not a conflict; Diff reports these as the aspects route and policy, and agrees with Conflicting in all others. oldLine and
-// newLine are the same connection, with Fields in the order of the respective table. Conflicting does not allocate.
-func Conflicting(oldTable, newTable *Table, oldLine, newLine *ConnectionAttributes) bool {
+// Conflicting reports whether two tables decide differently on a connection. It compares the name of the pool, the endpoints
+// that the pool selects, the limits of pool and route, and the contents of the policy. A different name of the route or policy
+// alone is not a conflict; Diff reports these as the aspects route and policy, and agrees with Conflicting in all others.
+// oldConnection and newConnection are the same connection, with Fields in the order of the respective table. Conflicting does
+// not allocate.
+func Conflicting(oldTable, newTable *Table, oldConnection, newConnection *ConnectionAttributes) bool {
 	if oldTable == newTable {
 		return false
 	}
-	a, okA := oldTable.Decide(oldLine)
-	b, okB := newTable.Decide(newLine)
+	a, okA := oldTable.Decide(oldConnection)
+	b, okB := newTable.Decide(newConnection)
 	if !okA || !okB {
 		return okA != okB
 	}
--- a/internal/routing/conflict_test.go
+++ b/internal/routing/conflict_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawChangedSet draws a set that replaces another one. It is either a random set or the same set with one changed number or name,
-// so that over many draws each aspect also differs alone.
+// drawChangedSet draws a set that replaces another one. It is either a random set or the same set with one changed number or
+// name, so that over many draws each aspect also differs alone.
 func drawChangedSet(t *rapid.T, set Set) Set {
 	if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
 		return drawSet(t)
@@ -49,8 +49,8 @@
 	return next
 }
 
-// TestConflictingAgreesWithDiff checks that Conflicting reports a conflict for a connection exactly if Diff returns a change that
-// contains the connection and differs in more than the names of the route and the policy.
+// TestConflictingAgreesWithDiff checks that Conflicting reports a conflict for a connection exactly if Diff returns a change
+// that contains the connection and differs in more than the names of the route and the policy.
 func TestConflictingAgreesWithDiff(t *testing.T) {
 	seen := map[string]int{}
 	testkit.Property(t, func(rt *rapid.T) {
@@ -68,9 +68,9 @@
 			rt.Fatal(err)
 		}
 		for range 40 {
-			l := drawLine(rt)
-			oldLine, newLine := lineFor(old, l), lineFor(next, l)
-			position := SplitPosition(oldLine)
+			l := drawConnection(rt)
+			oldConnection, newConnection := connectionFor(old, l), connectionFor(next, l)
+			position := SplitPosition(oldConnection)
 			want := false
 			for _, c := range changes {
 				in := position >= c.From && position < c.From+c.PPM
@@ -86,10 +86,10 @@
 					}
 				}
 			}
-			if got := Conflicting(old, next, oldLine, newLine); got != want {
+			if got := Conflicting(old, next, oldConnection, newConnection); got != want {
 				rt.Fatalf("%v at split position %d: Conflicting returned %v, Diff implies %v", l, position, got, want)
 			}
-			if Conflicting(next, old, newLine, oldLine) != want || Conflicting(old, old, oldLine, oldLine) {
+			if Conflicting(next, old, newConnection, oldConnection) != want || Conflicting(old, old, oldConnection, oldConnection) {
 				rt.Fatalf("%v: Conflicting depends on the order of the tables, or a table conflicts with itself", l)
 			}
 		}
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -10,8 +10,8 @@
 )
 
 // shape is the hash table of all rules whose patterns have the same lengths, as a tuple in tuple space search. A single lookup
-// finds the matching rule. The data that a lookup reads is stored contiguously, because in a large table each further access is a
-// cache miss.
+// finds the matching rule. The data that a lookup reads is stored contiguously, because in a large table each further access is
+// a cache miss.
 type shape struct {
 	lengths    []int32
 	dimensions []int32 // dimensions with a condition
@@ -26,8 +26,8 @@
 }
 
 // A record starts with the positions of the rule in Table.rules, of its route in Set.Routes, and of its target in
-// Table.sharedTargets, as 32-bit little-endian integers. The texts of the conditions follow. The length of an exact text precedes
-// it as a 16-bit little-endian integer.
+// Table.sharedTargets, as 32-bit little-endian integers. The texts of the conditions follow. The length of an exact text
+// precedes it as a 16-bit little-endian integer.
 const (
 	recordRouteOffset  = 4
 	recordTargetOffset = 8
@@ -73,8 +73,8 @@
 	return s
 }
 
-// insert adds a rule to a shape. Rules must be inserted by precedence: a rule with the same texts as an earlier one follows it in
-// the probe sequence, so lookups never return it.
+// insert adds a rule to a shape. Rules must be inserted by precedence: a rule with the same texts as an earlier one follows it
+// in the probe sequence, so lookups never return it.
 func (t *Table) insert(s *shape, position int32, sharedTargets map[string]int32) {
 	r := &t.rules[position]
 	offset := uint32(len(t.records))
@@ -110,11 +110,12 @@
 	return position
 }
 
-// slotHash returns the upper half of a hash. It distinguishes rules in neighboring slots, because the lower bits select the slot.
+// slotHash returns the upper half of a hash. It distinguishes rules in neighboring slots, because the lower bits select the
+// slot.
 func slotHash(hash uint64) uint32 { return uint32(hash >> 32) }
 
-// Decide returns the routing decision for a connection. ok is false if no route matches and there is no default route. Decide does
-// not allocate.
+// Decide returns the routing decision for a connection. ok is false if no route matches and there is no default route. Decide
+// does not allocate.
 func (t *Table) Decide(l *ConnectionAttributes) (d Decision, ok bool) {
 	best := int32(len(t.rules))
 	var found []byte
@@ -153,7 +154,7 @@
 func (t *Table) find(s *shape, l *ConnectionAttributes) (record []byte) {
 	hash := uint64(0)
 	for _, dimension := range s.dimensions {
-		text := t.lineText(l, int(dimension))
+		text := t.connectionText(l, int(dimension))
 		if length := s.lengths[dimension]; length != exactText {
 			if len(text) < int(length) {
 				return nil
@@ -177,11 +178,11 @@
 	}
 }
 
-// recordMatches reports whether a connection has the texts of a record. texts is the record without its header. The texts of the
-// connection must be at least as long as the prefixes of the shape.
+// recordMatches reports whether a connection has the texts of a record. texts is the record without its header. The texts of
+// the connection must be at least as long as the prefixes of the shape.
 func (t *Table) recordMatches(s *shape, texts []byte, l *ConnectionAttributes) bool {
 	for _, dimension := range s.dimensions {
-		text := t.lineText(l, int(dimension))
+		text := t.connectionText(l, int(dimension))
 		length := int(s.lengths[dimension])
 		if length == exactText {
 			if length = int(binary.LittleEndian.Uint16(texts)); length != len(text) {
--- a/internal/routing/owners.go
+++ b/internal/routing/owners.go
@@ -33,11 +33,11 @@
 	Members balancer.EndpointUpdate
 }
 
-// PoolMembership assigns each endpoint to at most one pool at any time. Pools are identified by their positions in Set.Pools; -1
-// means no pool.
+// PoolMembership assigns each endpoint to at most one pool at any time. Pools are identified by their positions in Set.Pools;
+// -1 means no pool.
 //
 // An endpoint that changes pools during its slow start belongs to neither pool until it has warmed up or restarted, because the
-// requests from the former pool still count against its slow-start budget and the new pool would start a second budget. During
+// load from the former pool still counts against its slow-start budget and the new pool would start a second budget. During
 // that time the endpoint is reserved.
 type PoolMembership struct {
 	set                  *Set
@@ -71,11 +71,11 @@
 
 // member is the state of an endpoint in a PoolMembership.
 type member struct {
-	entry            EndpointEntry
-	pool             int              // position in Set.Pools, or noPool
-	servedSinceStart bool             // the endpoint has belonged to a pool since its last start
-	reservedUntil    balancer.Instant // 0: not reserved
-	lastList         int              // number of the last list that contained the endpoint
+	entry              EndpointEntry
+	pool               int              // position in Set.Pools, or noPool
+	assignedSinceStart bool             // the endpoint has belonged to a pool since its last start
+	reservedUntil      balancer.Instant // 0: not reserved
+	lastList           int              // number of the last list that contained the endpoint
 }
 
 // updateBuilder collects the parts of an endpoint list by pool.
@@ -94,37 +94,37 @@
 	u[pool].Members.Entries = append(u[pool].Members.Entries, e)
 }
 
-// NewPoolMembership returns a PoolMembership without endpoints. warmUp is the duration of an endpoint's slow start. The caller must not
-// modify set.
+// NewPoolMembership returns a PoolMembership without endpoints. warmUp is the duration of an endpoint's slow start. The caller
+// must not modify set.
 func NewPoolMembership(set *Set, warmUp time.Duration) *PoolMembership {
-	o := &PoolMembership{endpoints: map[string]*member{}}
-	o.setPools(set, warmUp)
-	return o
+	m := &PoolMembership{endpoints: map[string]*member{}}
+	m.setPools(set, warmUp)
+	return m
 }
 
 // setPools replaces the pools among which endpoints are divided.
-func (o *PoolMembership) setPools(set *Set, warmUp time.Duration) {
-	o.set = set
-	o.warmUp = warmUp
-	o.poolOrder = nil
+func (m *PoolMembership) setPools(set *Set, warmUp time.Duration) {
+	m.set = set
+	m.warmUp = warmUp
+	m.poolOrder = nil
 	for i := range set.Pools {
-		o.poolOrder = append(o.poolOrder, i)
+		m.poolOrder = append(m.poolOrder, i)
 	}
-	slices.SortFunc(o.poolOrder, func(a, b int) int { return comparePools(&set.Pools[a], &set.Pools[b]) })
+	slices.SortFunc(m.poolOrder, func(a, b int) int { return comparePools(&set.Pools[a], &set.Pools[b]) })
 }
 
 // SetWarmUp changes the duration of an endpoint's slow start.
-func (o *PoolMembership) SetWarmUp(warmUp time.Duration) { o.warmUp = warmUp }
+func (m *PoolMembership) SetWarmUp(warmUp time.Duration) { m.warmUp = warmUp }
 
 // sortedMembers returns all endpoints, sorted by id.
-func (o *PoolMembership) sortedMembers() []*member {
-	return slices.SortedFunc(maps.Values(o.endpoints), compareMembers)
+func (m *PoolMembership) sortedMembers() []*member {
+	return slices.SortedFunc(maps.Values(m.endpoints), compareMembers)
 }
 
 // reservedMembers returns the reserved endpoints, sorted by id.
-func (o *PoolMembership) reservedMembers() []*member {
+func (m *PoolMembership) reservedMembers() []*member {
 	var reserved []*member
-	for _, e := range o.endpoints {
+	for _, e := range m.endpoints {
 		if e.reservedUntil > 0 {
 			reserved = append(reserved, e)
 		}
@@ -136,8 +136,8 @@
 func compareMembers(a, b *member) int { return cmp.Compare(a.entry.ID, b.entry.ID) }
 
 // AnyReserved reports whether any endpoint is reserved.
-func (o *PoolMembership) AnyReserved() bool {
-	for _, e := range o.endpoints {
+func (m *PoolMembership) AnyReserved() bool {
+	for _, e := range m.endpoints {
 		if e.reservedUntil > 0 {
 			return true
 		}
@@ -145,12 +145,12 @@
 	return false
 }
 
-// choosePool returns the first pool by precedence that selects an endpoint, or noPool. several reports whether other pools select
-// it too.
-func (o *PoolMembership) choosePool(attributes EndpointAttributes) (pool int, several bool) {
+// choosePool returns the first pool by precedence that selects an endpoint, or noPool. several reports whether other pools
+// select it too.
+func (m *PoolMembership) choosePool(attributes EndpointAttributes) (pool int, several bool) {
 	pool = noPool
-	for _, i := range o.poolOrder {
-		if !o.set.Pools[i].Select.Matches(attributes) {
+	for _, i := range m.poolOrder {
+		if !m.set.Pools[i].Select.Matches(attributes) {
 			continue
 		}
 		if pool != noPool {
@@ -161,127 +161,127 @@
 	return pool, false
 }
 
-// PoolOf returns the pool to which an endpoint belongs. It returns -1 if no pool selects the endpoint, if the endpoint is reserved,
-// or if it is not listed.
-func (o *PoolMembership) PoolOf(id string) int {
-	if e := o.endpoints[id]; e != nil && e.reservedUntil == 0 {
+// PoolOf returns the pool to which an endpoint belongs. It returns -1 if no pool selects the endpoint, if the endpoint is
+// reserved, or if it is not listed.
+func (m *PoolMembership) PoolOf(id string) int {
+	if e := m.endpoints[id]; e != nil && e.reservedUntil == 0 {
 		return e.pool
 	}
 	return noPool
 }
 
 // poolName returns the name of a pool, or "" for noPool.
-func (o *PoolMembership) poolName(pool int) string {
+func (m *PoolMembership) poolName(pool int) string {
 	if pool == noPool {
 		return ""
 	}
-	return o.set.Pools[pool].Name
+	return m.set.Pools[pool].Name
 }
 
-func (o *PoolMembership) addEvent(event MembershipEventType, endpoint string, from, to int) {
-	o.events = append(o.events, MembershipEvent{Type: event, Endpoint: endpoint, From: o.poolName(from), To: o.poolName(to)})
+func (m *PoolMembership) addEvent(event MembershipEventType, endpoint string, from, to int) {
+	m.events = append(m.events, MembershipEvent{Type: event, Endpoint: endpoint, From: m.poolName(from), To: m.poolName(to)})
 }
 
 // addMoveEvent adds an event about an endpoint that moves to another pool, either now or at the end of its reservation.
-func (o *PoolMembership) addMoveEvent(e *member, from, to int) {
+func (m *PoolMembership) addMoveEvent(e *member, from, to int) {
 	event := Moved
 	if e.reservedUntil > 0 && to != noPool {
 		event = Reserved
 	}
-	o.addEvent(event, e.entry.ID, from, to)
+	m.addEvent(event, e.entry.ID, from, to)
 }
 
-// TakeEvents returns the events since the last call and clears them. They report changes of pools, and endpoints that no pool or
-// several pools select.
-func (o *PoolMembership) TakeEvents() []MembershipEvent {
-	notes := o.events
-	o.events = nil
-	return notes
+// TakeEvents returns the events since the last call and clears them. They report changes of pools, and endpoints that no pool
+// or several pools select.
+func (m *PoolMembership) TakeEvents() []MembershipEvent {
+	events := m.events
+	m.events = nil
+	return events
 }
 
-// ApplyList divides a list, or the changes to it (DeltaList), among the pools. It returns an update for every pool, even if that
-// is empty.
-func (o *PoolMembership) ApplyList(now balancer.Instant, kind balancer.ListKind, version int64, entries []EndpointEntry) []PoolUpdate {
-	updates := newUpdateBuilder(len(o.set.Pools), balancer.EndpointUpdate{Kind: kind, Version: version})
+// ApplyList divides a list, or the changes to it (DeltaList), among the pools. It returns an update for every pool, even if
+// that is empty.
+func (m *PoolMembership) ApplyList(now balancer.Instant, kind balancer.ListKind, version int64, entries []EndpointEntry) []PoolUpdate {
+	updates := newUpdateBuilder(len(m.set.Pools), balancer.EndpointUpdate{Kind: kind, Version: version})
 	isDelta := kind == balancer.DeltaList
-	o.listCount++
-	if len(o.endpoints) == 0 {
-		o.endpoints = make(map[string]*member, len(entries)) // preallocate for the first list
+	m.listCount++
+	if len(m.endpoints) == 0 {
+		m.endpoints = make(map[string]*member, len(entries)) // preallocate for the first list
 	}
 	if len(updates) == 1 {
 		updates[0].Members.Entries = make([]balancer.Endpoint, 0, len(entries))
 	}
 	for i := range entries {
-		o.placeEndpoint(now, entries[i], updates, isDelta)
+		m.placeEndpoint(now, entries[i], updates, isDelta)
 	}
 	if !isDelta {
-		maps.DeleteFunc(o.endpoints, func(_ string, e *member) bool { return e.lastList != o.listCount })
+		maps.DeleteFunc(m.endpoints, func(_ string, e *member) bool { return e.lastList != m.listCount })
 	}
 	return updates
 }
 
-// placeEndpoint adds an entry to the update of its pool. If addRemoval is set, the update of its former pool lists the endpoint as
-// removed. Updates that are full lists need no such entry, because a missing endpoint counts as removed.
-func (o *PoolMembership) placeEndpoint(now balancer.Instant, e EndpointEntry, updates updateBuilder, addRemoval bool) {
-	pool, several := o.choosePool(e.Attributes())
+// placeEndpoint adds an entry to the update of its pool. If addRemoval is set, the update of its former pool lists the endpoint
+// as removed. Updates that are full lists need no such entry, because a missing endpoint counts as removed.
+func (m *PoolMembership) placeEndpoint(now balancer.Instant, e EndpointEntry, updates updateBuilder, addRemoval bool) {
+	pool, several := m.choosePool(e.Attributes())
 	if e.Phase == balancer.Removed {
-		o.removeEndpoint(e, pool, updates)
+		m.removeEndpoint(e, pool, updates)
 		return
 	}
-	known := o.endpoints[e.ID]
+	known := m.endpoints[e.ID]
 	if known == nil {
-		known = o.addEndpoint(now, e, pool, several)
+		known = m.addEndpoint(now, e, pool, several)
 	}
 	if e.StartedAt != known.entry.StartedAt && known.entry.ID != "" { // the endpoint has restarted
-		known.servedSinceStart = false
+		known.assignedSinceStart = false
 		known.reservedUntil = 0
 	}
 	known.entry = e
-	known.lastList = o.listCount
+	known.lastList = m.listCount
 	if known.pool != pool {
-		o.changePool(now, known, pool, updates, addRemoval)
+		m.changePool(now, known, pool, updates, addRemoval)
 	} else if known.reservedUntil > 0 {
-		known.reservedUntil = o.warmUpEnd(now, e)
+		known.reservedUntil = m.warmUpEnd(now, e)
 	}
 	if pool != noPool && known.reservedUntil == 0 {
-		known.servedSinceStart = true
+		known.assignedSinceStart = true
 		updates.add(pool, e.Endpoint)
 	}
 }
 
-// removeEndpoint deletes an endpoint, and adds its removal to the update of the pool to which it belongs, or else to the update of
-// the pool that selects it.
-func (o *PoolMembership) removeEndpoint(e EndpointEntry, selecting int, updates updateBuilder) {
-	pool := selecting
-	if known := o.endpoints[e.ID]; known != nil && known.pool != noPool {
+// removeEndpoint deletes an endpoint, and adds its removal to the update of the pool to which it belongs, or else to the update
+// of the pool that selects it.
+func (m *PoolMembership) removeEndpoint(e EndpointEntry, selectingPool int, updates updateBuilder) {
+	pool := selectingPool
+	if known := m.endpoints[e.ID]; known != nil && known.pool != noPool {
 		pool = known.pool
 	}
-	delete(o.endpoints, e.ID)
+	delete(m.endpoints, e.ID)
 	if pool != noPool {
 		updates.add(pool, e.Endpoint)
 	}
 }
 
-// addEndpoint adds an endpoint that was not listed before. The endpoint is reserved if it was reserved in the predecessor process.
-// several means that other pools select it too.
-func (o *PoolMembership) addEndpoint(now balancer.Instant, e EndpointEntry, pool int, several bool) *member {
+// addEndpoint adds an endpoint that was not listed before. The endpoint is reserved if it was reserved in the predecessor
+// process. several means that other pools select it too.
+func (m *PoolMembership) addEndpoint(now balancer.Instant, e EndpointEntry, pool int, several bool) *member {
 	added := &member{pool: pool}
-	if o.restoredReservations[e.ID] > now {
-		added.servedSinceStart = true
-		added.reservedUntil = o.warmUpEnd(now, e)
+	if m.restoredReservations[e.ID] > now {
+		added.assignedSinceStart = true
+		added.reservedUntil = m.warmUpEnd(now, e)
 	}
-	o.endpoints[e.ID] = added
+	m.endpoints[e.ID] = added
 	if pool == noPool {
-		o.addEvent(NotSelected, e.ID, noPool, noPool)
+		m.addEvent(NotSelected, e.ID, noPool, noPool)
 	} else if several {
-		o.addEvent(SelectedBySeveral, e.ID, noPool, pool)
+		m.addEvent(SelectedBySeveral, e.ID, noPool, pool)
 	}
 	return added
 }
 
 // changePool moves an endpoint to another pool or to none, and reserves it if it is in its slow start. addRemoval is as in
 // placeEndpoint.
-func (o *PoolMembership) changePool(now balancer.Instant, e *member, pool int, updates updateBuilder, addRemoval bool) {
+func (m *PoolMembership) changePool(now balancer.Instant, e *member, pool int, updates updateBuilder, addRemoval bool) {
 	former := e.pool
 	e.pool = pool
 	if former != noPool && e.reservedUntil == 0 && addRemoval {
@@ -289,15 +289,15 @@
 		removed.Phase = balancer.Removed
 		updates.add(former, removed)
 	}
-	if e.servedSinceStart {
-		e.reservedUntil = o.warmUpEnd(now, e.entry)
+	if e.assignedSinceStart {
+		e.reservedUntil = m.warmUpEnd(now, e.entry)
 	}
-	o.addMoveEvent(e, former, pool)
+	m.addMoveEvent(e, former, pool)
 }
 
 // warmUpEnd returns the time at which the slow start of an endpoint ends, or 0 if it has ended or the start time is unknown.
-func (o *PoolMembership) warmUpEnd(now balancer.Instant, e EndpointEntry) balancer.Instant {
-	if end := e.StartedAt + o.warmUp; e.StartedAt > 0 && end > now {
+func (m *PoolMembership) warmUpEnd(now balancer.Instant, e EndpointEntry) balancer.Instant {
+	if end := e.StartedAt + m.warmUp; e.StartedAt > 0 && end > now {
 		return end
 	}
 	return 0
@@ -305,16 +305,16 @@
 
 // ReleaseDue assigns the endpoints whose reservations have ended to their pools. next is the time at which the next reservation
 // ends, or 0 if there is none.
-func (o *PoolMembership) ReleaseDue(now balancer.Instant) (updates []PoolUpdate, next balancer.Instant) {
-	for _, e := range o.reservedMembers() {
+func (m *PoolMembership) ReleaseDue(now balancer.Instant) (updates []PoolUpdate, next balancer.Instant) {
+	for _, e := range m.reservedMembers() {
 		switch {
 		case e.reservedUntil <= now:
 			e.reservedUntil = 0
 			if e.pool == noPool {
 				continue
 			}
-			e.servedSinceStart = true
-			o.addEvent(Released, e.entry.ID, noPool, e.pool)
+			e.assignedSinceStart = true
+			m.addEvent(Released, e.entry.ID, noPool, e.pool)
 			updates = append(updates, PoolUpdate{
 				Pool:    e.pool,
 				Members: balancer.EndpointUpdate{Kind: balancer.DeltaList, Entries: []balancer.Endpoint{e.entry.Endpoint}},
@@ -327,9 +327,9 @@
 }
 
 // Entries returns the endpoints that belong to a pool, sorted by id.
-func (o *PoolMembership) Entries(pool int) []balancer.Endpoint {
+func (m *PoolMembership) Entries(pool int) []balancer.Endpoint {
 	var endpoints []balancer.Endpoint
-	for _, e := range o.sortedMembers() {
+	for _, e := range m.sortedMembers() {
 		if e.pool == pool && e.reservedUntil == 0 {
 			endpoints = append(endpoints, e.entry.Endpoint)
 		}
@@ -339,39 +339,39 @@
 
 // Reconfigure replaces the set. successors contains, for each pool of the old set, the position of the pool in the new set that
 // continues it, or -1 (see SuccessorPools). Reconfigure returns a full list for every pool of the new set.
-func (o *PoolMembership) Reconfigure(now balancer.Instant, set *Set, warmUp time.Duration, successors []int) []PoolUpdate {
-	o.setPools(set, warmUp)
+func (m *PoolMembership) Reconfigure(now balancer.Instant, set *Set, warmUp time.Duration, successors []int) []PoolUpdate {
+	m.setPools(set, warmUp)
 	updates := newUpdateBuilder(len(set.Pools), balancer.EndpointUpdate{Kind: balancer.FullList})
-	for _, e := range o.sortedMembers() {
+	for _, e := range m.sortedMembers() {
 		if e.pool != noPool {
 			e.pool = successors[e.pool]
 			if e.pool == noPool {
-				o.reassign(now, e)
+				m.reassign(now, e)
 			}
 		}
-		o.placeEndpoint(now, e.entry, updates, false)
+		m.placeEndpoint(now, e.entry, updates, false)
 	}
 	return updates
 }
 
-// reassign assigns an endpoint whose pool was removed to another pool. It reserves the endpoint during its slow start, because the
-// requests from the removed pool still count against the slow-start budget.
-func (o *PoolMembership) reassign(now balancer.Instant, e *member) {
-	pool, _ := o.choosePool(e.entry.Attributes())
+// reassign assigns an endpoint whose pool was removed to another pool. It reserves the endpoint during its slow start, because
+// the load from the removed pool still counts against the slow-start budget.
+func (m *PoolMembership) reassign(now balancer.Instant, e *member) {
+	pool, _ := m.choosePool(e.entry.Attributes())
 	if pool == noPool {
 		return
 	}
 	e.pool = pool
-	if e.servedSinceStart {
-		e.reservedUntil = o.warmUpEnd(now, e.entry)
+	if e.assignedSinceStart {
+		e.reservedUntil = m.warmUpEnd(now, e.entry)
 	}
-	o.addMoveEvent(e, noPool, pool)
+	m.addMoveEvent(e, noPool, pool)
 }
 
 // Reservations returns the ends of all reservations by endpoint id, for a successor process.
-func (o *PoolMembership) Reservations() map[string]balancer.Instant {
+func (m *PoolMembership) Reservations() map[string]balancer.Instant {
 	reservations := map[string]balancer.Instant{}
-	for id, e := range o.endpoints {
+	for id, e := range m.endpoints {
 		if e.reservedUntil > 0 {
 			reservations[id] = e.reservedUntil
 		}
@@ -380,6 +380,6 @@
 }
 
 // RestoreReservations restores the Reservations of a predecessor process. It must be called before the first ApplyList.
-func (o *PoolMembership) RestoreReservations(until map[string]balancer.Instant) {
-	o.restoredReservations = until
+func (m *PoolMembership) RestoreReservations(until map[string]balancer.Instant) {
+	m.restoredReservations = until
 }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -17,8 +17,8 @@
 	MaxWaiting  int              `json:"max_waiting,omitempty"` // waiting connections; 0: no limit
 }
 
-// EndpointSelector selects the endpoints of a pool. An endpoint must satisfy all conditions. It satisfies a condition if it matches
-// one of the values. A condition without values matches every endpoint.
+// EndpointSelector selects the endpoints of a pool. An endpoint must satisfy all conditions. It satisfies a condition if it
+// matches one of the values. A condition without values matches every endpoint.
 type EndpointSelector struct {
 	Zones        []string `json:"zones,omitempty"`
 	MachineTypes []string `json:"machine_types,omitempty"`
@@ -137,7 +137,8 @@
 	return "", false
 }
 
-// comparePools orders pools by descending precedence, then by name. An endpoint that several pools select goes to the first one.
+// comparePools orders pools by descending precedence, then by name. An endpoint that several pools select goes to the first
+// one.
 func comparePools(a, b *Pool) int {
 	return cmp.Or(cmp.Compare(b.Precedence, a.Precedence), cmp.Compare(a.Name, b.Name))
 }
--- a/internal/routing/request_progress.go
+++ b/internal/routing/request_progress.go
@@ -15,8 +15,8 @@
 	return openFull || waitingFull
 }
 
-// RequestProgress is the progress of one request through the pools of its policy. Attempts and deadline apply to the request as a
-// whole, regardless of how many pools it is sent to.
+// RequestProgress is the progress of one request through the pools of its policy. Attempts and deadline apply to the request as
+// a whole, regardless of how many pools it is sent to.
 type RequestProgress struct {
 	Decision               // its Pool is the current pool
 	Policy          Policy // zero value if the decision has none
@@ -78,8 +78,8 @@
 // MayHaveRun reports whether an endpoint may have executed an attempt.
 func (p *RequestProgress) MayHaveRun() bool { return p.mayHaveRun }
 
-// AttemptsLeft returns the number of further attempts that the request may make. limit is the limit in the settings on all attempts
-// of a request.
+// AttemptsLeft returns the number of further attempts that the request may make. limit is the limit in the settings on all
+// attempts of a request.
 func (p *RequestProgress) AttemptsLeft(limit int) int {
 	if p.Policy.Attempts > 0 {
 		limit = min(limit, p.Policy.Attempts)
@@ -99,8 +99,8 @@
 	InFlight     bool          // an attempt is in flight
 }
 
-// NextPool decides whether a request that its pool has rejected is sent to another pool. If a retry is not safe, this requires that
-// no attempt can have been executed, because another pool does not recognize a retry.
+// NextPool decides whether a request that its pool has rejected is sent to another pool. If a retry is not safe, this requires
+// that no attempt can have been executed, because another pool does not recognize a retry.
 func (p *RequestProgress) NextPool(t *Table, r Rejection, poolUsage func(pool int) Usage) Verdict {
 	mayRetry := r.RetryIsSafe || !p.mayHaveRun
 	noAttemptLeft := p.AttemptsLeft(r.AttemptLimit) == 0
@@ -112,8 +112,8 @@
 	return Proceed
 }
 
-// Deadline returns the time by which the client must receive the response: the client's deadline, or that of the policy if it is
-// earlier.
+// Deadline returns the time by which the client must receive the response: the client's deadline, or that of the policy if it
+// is earlier.
 func (p *RequestProgress) Deadline(now, clientDeadline time.Duration) time.Duration {
 	if limit := p.Policy.Deadline.Duration(); limit > 0 {
 		return min(clientDeadline, now+limit)
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -30,8 +30,8 @@
 	Fallback      []string     `json:"fallback,omitempty"` // names of pools, in order
 }
 
-// Match is a condition on a connection. A connection must match every part, and it matches a part if it has one of the values. A
-// part without values matches every connection.
+// Match is a condition on a connection. A connection must match every part, and it matches a part if it has one of the values.
+// A part without values matches every connection.
 type Match struct {
 	Class    []string                 `json:"class,omitempty"`
 	Listener []string                 `json:"listener,omitempty"`
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -55,8 +55,8 @@
 	return set
 }
 
-// drawLine draws a connection as a map from field names to texts. It includes texts that no rule of drawSet contains.
-func drawLine(t *rapid.T) map[string]string {
+// drawConnection draws a connection as a map from field names to texts. It includes texts that no rule of drawSet contains.
+func drawConnection(t *rapid.T) map[string]string {
 	text := rapid.OneOf(rapid.SampledFrom(append([]string{"", "abcd", "zz", "aa"}, sampleTexts...)), rapid.StringMatching("[a-c]{1,4}"))
 	l := map[string]string{}
 	for _, name := range []string{"key", "group", "x", "y"} {
@@ -68,8 +68,8 @@
 	return l
 }
 
-// lineFor converts a drawn connection to the field order of a table.
-func lineFor(t *Table, l map[string]string) *ConnectionAttributes {
+// connectionFor converts a drawn connection to the field order of a table.
+func connectionFor(t *Table, l map[string]string) *ConnectionAttributes {
 	out := &ConnectionAttributes{Class: l["class"], Key: l["key"], Group: l["group"], Zone: l["zone"], Listener: l["listener"]}
 	for _, name := range t.FieldNames {
 		out.Fields = append(out.Fields, l[name])
@@ -130,8 +130,8 @@
 			rt.Fatal(err)
 		}
 		for range 20 {
-			l := drawLine(rt)
-			d, ok := table.Decide(lineFor(table, l))
+			l := drawConnection(rt)
+			d, ok := table.Decide(connectionFor(table, l))
 			got := ""
 			if ok {
 				got = set.Routes[d.Route].Name
@@ -143,8 +143,8 @@
 	})
 }
 
-// TestDiffAgreesWithDecisions checks for random connections that exactly one change of Diff contains a connection if the decisions
-// of both tables differ on it, and none otherwise.
+// TestDiffAgreesWithDecisions checks for random connections that exactly one change of Diff contains a connection if the
+// decisions of both tables differ on it, and none otherwise.
 func TestDiffAgreesWithDecisions(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		old, err := New(drawSet(rt))
@@ -160,10 +160,10 @@
 			rt.Fatal(err)
 		}
 		for range 60 {
-			l := drawLine(rt)
+			l := drawConnection(rt)
 			var outcomes [2]Outcome
 			for side, table := range []*Table{old, next} {
-				line := lineFor(table, l)
+				line := connectionFor(table, l)
 				if d, ok := table.Decide(line); ok {
 					outcomes[side] = table.outcome(d.Route, table.targets[d.Route].shareAt(d.SplitPosition))
 				}
@@ -212,8 +212,8 @@
 	})
 }
 
-// TestSplitIsStable checks that a share that grows while no other share does keeps all its keys, and that about as many keys move
-// as Diff predicts.
+// TestSplitIsStable checks that a share that grows while no other share does keeps all its keys, and that about as many keys
+// move as Diff predicts.
 func TestSplitIsStable(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(rt, "parts")
@@ -356,8 +356,8 @@
 	return ids
 }
 
-// TestMembershipReservesEndpointsInSlowStart checks that an endpoint that changes pools during its slow start belongs to neither
-// pool until it has warmed up. Otherwise it would get a second slow-start budget.
+// TestMembershipReservesEndpointsInSlowStart checks that an endpoint that changes pools during its slow start belongs to
+// neither pool until it has warmed up. Otherwise it would get a second slow-start budget.
 func TestMembershipReservesEndpointsInSlowStart(t *testing.T) {
 	set := Set{Pools: []Pool{{Name: "t", Select: EndpointSelector{Zones: []string{"thies"}}}, {Name: "d", Select: EndpointSelector{Zones: []string{"dakar"}}}}}
 	o := NewPoolMembership(&set, 10*time.Second)
@@ -384,8 +384,8 @@
 		endpointsByPool(o.ApplyList(now+11*time.Second, balancer.DeltaList, 5, []EndpointEntry{newEntry("x", "thies", 110*time.Second)})))
 }
 
-// membershipChecker applies pool updates. It checks that no endpoint belongs to two pools, and that none changes pools during its
-// slow start.
+// membershipChecker applies pool updates. It checks that no endpoint belongs to two pools, and that none changes pools during
+// its slow start.
 type membershipChecker struct {
 	t       *rapid.T
 	warmUp  time.Duration
@@ -431,8 +431,8 @@
 	o.last[id] = pool
 }
 
-// TestMembershipNeverSharesEndpoints checks for random sequences of lists and sets that no endpoint belongs to two pools at once,
-// and that no endpoint moves to another pool during its slow start.
+// TestMembershipNeverSharesEndpoints checks for random sequences of lists and sets that no endpoint belongs to two pools at
+// once, and that no endpoint moves to another pool during its slow start.
 func TestMembershipNeverSharesEndpoints(t *testing.T) {
 	const warmUp = 10 * time.Second
 	zones := []string{"a", "b", "c"}
@@ -490,8 +490,8 @@
 	testkit.Equal(t, "successors", []int{3, 2, 1, -1}, SuccessorPools(&old, &next))
 }
 
-// TestRequestProgress checks for random pool responses that the attempts in all pools together stay within the limits, and that no
-// pool is tried twice.
+// TestRequestProgress checks for random pool responses that the attempts in all pools together stay within the limits, and that
+// no pool is tried twice.
 func TestRequestProgress(t *testing.T) {
 	testkit.Property(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(1, 6).Draw(rt, "limit")
--- a/internal/routing/rules.go
+++ b/internal/routing/rules.go
@@ -13,8 +13,8 @@
 // A route expands to one rule for each combination of the alternatives of its conditions. A rule has one pattern in each
 // dimension. Of the matching rules, the rule of the route with the highest precedence applies. At equal precedence, the most
 // specific rule applies: the dimensions are compared in the order key, group, further fields by name, class, listener, zone. In
-// each dimension, an exact text precedes a prefix, a longer prefix precedes a shorter one, and any prefix precedes no condition.
-// Rules with the same precedence and the same patterns are duplicates. New rejects duplicates from different routes.
+// each dimension, an exact text precedes a prefix, a longer prefix precedes a shorter one, and any prefix precedes no
+// condition. Rules with the same precedence and the same patterns are duplicates. New rejects duplicates from different routes.
 
 // Dimensions of a rule. Class, listener and zone follow the last field.
 const (
@@ -53,8 +53,8 @@
 	text   string
 }
 
-// patterns returns the alternatives of a condition, sorted and without duplicates. A condition that matches every text has a single
-// alternative with the length anyText.
+// patterns returns the alternatives of a condition, sorted and without duplicates. A condition that matches every text has a
+// single alternative with the length anyText.
 func patterns(s StringMatcher) []pattern {
 	if s.MatchesAll() {
 		return []pattern{{length: anyText}}
@@ -130,7 +130,8 @@
 	second int32
 }
 
-// checkAmbiguities returns an error for each pair of routes with equal rules. Equal rules are adjacent because the rules are sorted.
+// checkAmbiguities returns an error for each pair of routes with equal rules. Equal rules are adjacent because the rules are
+// sorted.
 func (t *Table) checkAmbiguities() error {
 	var errs []error
 	reported := map[routePair]bool{}
@@ -189,7 +190,7 @@
 // matches reports whether a rule matches a connection.
 func (t *Table) matches(r *rule, l *ConnectionAttributes) bool {
 	for dimension, length := range r.lengths {
-		text := t.lineText(l, dimension)
+		text := t.connectionText(l, dimension)
 		switch {
 		case length == anyText:
 		case length == exactText && text != r.texts[dimension]:
@@ -201,8 +202,8 @@
 	return true
 }
 
-// lineText returns the text of a connection in a dimension, or "" for a missing field.
-func (t *Table) lineText(l *ConnectionAttributes, dimension int) string {
+// connectionText returns the text of a connection in a dimension, or "" for a missing field.
+func (t *Table) connectionText(l *ConnectionAttributes, dimension int) string {
 	switch dimension {
 	case keyDimension:
 		return l.Key
--- a/internal/routing/successors.go
+++ b/internal/routing/successors.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// SuccessorPools returns, for each pool of an old set, the position of the pool in a new set that continues it, or -1 if none does.
-// A pool continues as the new pool of the same name, or else as a new pool that lists the name in FormerNames. If several new pools
-// do, the first of them by name continues the pool, and the others start without state.
+// SuccessorPools returns, for each pool of an old set, the position of the pool in a new set that continues it, or -1 if none
+// does. A pool continues as the new pool of the same name, or else as a new pool that lists the name in FormerNames. If several
+// new pools do, the first of them by name continues the pool, and the others start without state.
 func SuccessorPools(oldSet, newSet *Set) []int {
 	successors := make([]int, len(oldSet.Pools))
 	taken := map[int]bool{}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -109,28 +109,28 @@
 }
 
 // shareAt returns the index of the share whose interval contains a split position.
-func (to *target) shareAt(place int) int {
+func (to *target) shareAt(position int) int {
 	for i, end := range to.ends {
-		if uint32(place) < end {
+		if uint32(position) < end {
 			return i
 		}
 	}
 	return len(to.ends) - 1
 }
 
-// SplitPosition returns the position of a connection in any split, in parts per million, from 0 to below TotalPPM. It is derived from
-// the group so that a group stays together, or from the key if there is no group. It does not depend on the route, so renaming a
-// route moves no connection.
+// SplitPosition returns the position of a connection in any split, in parts per million, from 0 to below TotalPPM. It is
+// derived from the group so that a group stays together, or from the key if there is no group. It does not depend on the route,
+// so renaming a route moves no connection.
 //
-// A split consists of consecutive intervals, one per share, in the order of the pool names. If one share grows and no other share
-// does, its interval ends no earlier and begins no later than before, so every key in it stays.
+// A split consists of consecutive intervals, one per share, in the order of the pool names. If one share grows and no other
+// share does, its interval ends no earlier and begins no later than before, so every key in it stays.
 func SplitPosition(l *ConnectionAttributes) int {
 	text := l.Group
 	if text == "" {
 		text = l.Key
 	}
-	place, _ := bits.Mul64(xxhash.Sum64String(text), TotalPPM)
-	return int(place)
+	position, _ := bits.Mul64(xxhash.Sum64String(text), TotalPPM)
+	return int(position)
 }
 
 // PoolIndex returns the position in Set.Pools of the pool with the given name, or -1 if there is none.
--- a/internal/routing/unreached.go
+++ b/internal/routing/unreached.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// UnreachedRoutes returns the routes that no connection in a match space reaches. It maps the name of each such route to the names
-// of the routes that precede it and claim some of its connections. The default route counts as reached. The error is
+// UnreachedRoutes returns the routes that no connection in a match space reaches. It maps the name of each such route to the
+// names of the routes that precede it and claim some of its connections. The default route counts as reached. The error is
 // ErrTooManyCells if there are too many cells to visit.
 func (t *Table) UnreachedRoutes(space MatchSpace) (map[string][]string, error) {
 	reached := map[int32]bool{}
