--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -10,7 +10,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// goldenPool has every field set, as do the other values here.
+// goldenPool returns a pool with every field set. The other golden values set every field as well.
 func goldenPool(name string) routing.Pool {
 	return routing.Pool{Name: name, Precedence: 3, FormerNames: []string{"post", "letters"}, MaxOpen: 400, MaxWaiting: 50,
 		Select: routing.EndpointSelector{Zones: []string{"thies", "dakar"}, MachineTypes: []string{"m2"}, Cells: []int{7, 9},
@@ -32,16 +32,16 @@
 
 func goldenState() State {
 	return State{Number: 12, At: 90 * time.Second,
-		Entries: []Entry{{Name: "mail", Owner: "team-post", Contract: "c-1", Since: 11, Status: StatusDraining, Until: 690_000_000,
+		Entries: []Entry{{Name: "mail", Owner: "team-post", Contract: "c-1", SinceState: 11, Status: StatusDraining, UntilUS: 690_000_000,
 			Providers: []Provider{{Mesh: "thies", Zones: []string{"thies"}, Class: "album-feed", LatencyObjective: 300 * time.Millisecond, SpareCapacity: 0.25,
 				Pool: goldenPool("mail.thies"), Origin: "dakar", Via: []string{"dakar"}, Lost: true, DrainBy: time.Hour}},
-			Alias: "post", PublishedBy: []string{"dakar", "thies"}, Ended: true, Cause: CauseOverride,
+			AliasOf: "post", PublishedBy: []string{"dakar", "thies"}, Ended: true, Cause: CauseOverride,
 			Conflicts: []Conflict{{Mesh: "lagos", Owner: "team-other", QualifiedName: "mail.lagos"}}}},
 		Meshes: []AcceptedPublication{{Mesh: "thies", Epoch: 4, Seq: 19, Digest: "00112233445566778899aabbccddeeff",
-			Import: []Import{{From: "dakar", Names: []string{"chat"}}}, Lost: true, Since: 60_000_000}}}
+			Import: []Import{{From: "dakar", Names: []string{"chat"}}}, Lost: true, LostSinceUS: 60_000_000}}}
 }
 
-// Each JSON form of the package keeps its bytes.
+// The JSON encodings of the package must not change, since replicas of other releases and stored states use them.
 func TestGoldenEncodings(t *testing.T) {
 	for file, check := range map[string]func(t *testing.T, file string){
 		"publication.json": testkit.PinnedEncoding(goldenPublication()),
@@ -59,7 +59,7 @@
 	}
 }
 
-// The digest of a publication is kept in states and compared between releases.
+// The digest of a publication must not change, since states store it and a later release compares it.
 func TestGoldenPublicationDigest(t *testing.T) {
 	var decoded Publication
 	if err := json.Unmarshal(testkit.GoldenFile(t, "publication.json"), &decoded); err != nil {
@@ -71,15 +71,15 @@
 	}
 }
 
-// Statuses and causes as they are encoded, and the kinds of findings as they are sent.
+// The encoded statuses and causes and the kinds of findings must not change, since other programs read them.
 func TestGoldenNames(t *testing.T) {
 	testkit.Equal(t, "statuses", []string{"held", "draining", "tombstone", "quarantine"},
 		[]string{StatusHeld, StatusDraining, StatusTombstone, StatusQuarantine})
 	testkit.Equal(t, "causes", []string{"ruling", "earlier holder", "export precedence", "mesh name", "owner", "sole", "qualified"},
-		[]string{CauseOverride, CauseCurrentOwner, CausePrecedence, CauseMeshName, CauseOwner, CauseSole, CauseQualified})
+		[]string{CauseOverride, CauseCurrentOwner, CausePrecedence, CauseMeshName, CauseOwnerName, CauseSoleClaimant, CauseQualifiedName})
 	for name, kind := range map[string]*apperror.Kind{
 		"catalog/collision": Collision, "catalog/squatter": UnauthorizedClaim, "catalog/alias-loop": AliasLoop,
-		"catalog/alias-chain": AliasChainTooLong, "catalog/re-export-loop": Reexport, "catalog/over-limit": OverLimit,
+		"catalog/alias-chain": AliasChainTooLong, "catalog/re-export-loop": ReexportLoop, "catalog/over-limit": OverLimit,
 		"catalog/old-publication": OutdatedPublication, "catalog/contradiction": Contradiction, "catalog/bad-pattern": BadPattern,
 		"catalog/bad-name": BadName, "catalog/bad-service": BadService, "catalog/unknown-mesh": UnknownMesh,
 		"catalog/unknown-service": UnknownService, "catalog/idle-ruling": UnusedOverride, "catalog/name-waits": NameReserved,
--- a/internal/proxy/config_subscriber.go
+++ b/internal/proxy/config_subscriber.go
@@ -154,7 +154,7 @@
 	switch action := action.(type) {
 	case fleetconfig.SendRenewal:
 		cs.renew(action)
-	case fleetconfig.Prepare:
+	case fleetconfig.PrepareVersion:
 		cs.loader.prepare(action)
 	case fleetconfig.SwitchVersion:
 		cs.switchTo(action.Number)
@@ -219,7 +219,7 @@
 	return loaderInput{
 		activeTable:    cs.host.activeTable(),
 		activeEstimate: cs.active.estimate,
-		place:          configbundle.Place{Zone: cs.host.activeSettings().Zone, Mesh: cs.mesh},
+		place:          configbundle.Locality{Zone: cs.host.activeSettings().Zone, Mesh: cs.mesh},
 	}
 }
 
