--- a/internal/memestimate/counter.go
+++ b/internal/memestimate/counter.go
@@ -72,11 +72,11 @@
 type tally struct {
 	*sizeClasses
 	policyIDs   hashIDs      // of policy names
-	policyCosts []policyCost // by their numbers
+	policyCosts []policyCost // by ID
 	fieldNames  hashIDs      // of the names of further fields
 	splitIDs    hashIDs      // of splits combined with their policies
 	shapeIDs    hashIDs
-	shapes      []shapeCount // by their numbers
+	shapes      []shapeCount // by ID
 
 	setBytes         uint64 // memory of the routes in the set
 	targetTotal      uint64 // memory of the targets of the routes, in bytes
@@ -85,8 +85,8 @@
 	splitTextTotal   uint64 // memory of the texts that identify different splits, in bytes
 	combinations     uint64 // combinations of length buckets of all routes
 	excessRules      uint64 // rules of routes that internal/routing rejects
-	largestExpansion uint64 // the most rules of any route
-	largestPartial   uint64 // the most partial rules of one route, without its last dimension
+	largestExpansion uint64 // largest number of rules of a route
+	largestPartial   uint64 // largest number of partial rules of a route, without its last dimension
 	routeCosts       []routeCost
 
 	// Length buckets and dimensions of the current route.
@@ -118,11 +118,11 @@
 // addPolicy stores the cost that a policy adds to its routes. If two policies have the same name, the later one counts.
 func (t *tally) addPolicy(p *routing.Policy) {
 	hash := xxhash.Sum64String(p.Name)
-	number, isNew := t.policyIDs.id(hash)
+	id, isNew := t.policyIDs.id(hash)
 	if isNew {
 		t.policyCosts = append(t.policyCosts, policyCost{})
 	}
-	t.policyCosts[number] = policyCost{
+	t.policyCosts[id] = policyCost{
 		fallbackBytes: t.appendedBytes(intSlice, uint64(len(p.Fallback))),
 		hash:          hashing.Combine(policyHashSeed, hash),
 	}
--- a/internal/memestimate/hash_ids.go
+++ b/internal/memestimate/hash_ids.go
@@ -14,14 +14,14 @@
 	idPlusOne uint32 // 0: free
 }
 
-// Sizes of hashNumbers.slots.
+// Sizes of hashIDs.slots.
 const (
 	initialHashSlots = 32
 	hashGrowthFactor = 4 // rehashing costs more than the extra memory
 )
 
 // id returns the ID of a hash. isNew reports whether the hash occurs for the first time.
-func (h *hashIDs) id(hash uint64) (number int, isNew bool) {
+func (h *hashIDs) id(hash uint64) (id int, isNew bool) {
 	if 2*h.count >= len(h.slots) {
 		h.grow()
 	}
--- a/internal/memestimate/routes.go
+++ b/internal/memestimate/routes.go
@@ -55,9 +55,9 @@
 
 	targetBytes := t.targetBytes(len(r.To))
 	if r.Policy != "" {
-		if number := t.policyIDs.lookup(xxhash.Sum64String(r.Policy)); number >= 0 {
-			targetBytes += t.policyCosts[number].fallbackBytes
-			splitHash += t.policyCosts[number].hash
+		if id := t.policyIDs.lookup(xxhash.Sum64String(r.Policy)); id >= 0 {
+			targetBytes += t.policyCosts[id].fallbackBytes
+			splitHash += t.policyCosts[id].hash
 		}
 	}
 	if _, isNew := t.splitIDs.id(splitHash); isNew {
@@ -205,7 +205,7 @@
 
 // addBuckets adds the length buckets of a condition. Duplicate texts count once.
 func (t *tally) addBuckets(exact, prefix []string) {
-	const maxPairwise = 4 // up to this number of texts, comparing all pairs is done instead of hashing
+	const maxPairwise = 4 // largest number of texts that are compared pairwise instead of hashed
 	if len(prefix) == 0 && len(exact) <= maxPairwise {
 		bucket := lengthBucket{length: exactText}
 		for i, text := range exact {
--- a/internal/memestimate/shapes.go
+++ b/internal/memestimate/shapes.go
@@ -36,11 +36,11 @@
 // partial shape hash and the number of rules of the dimensions handled so far.
 func (t *tally) countCombinations(remaining []dimension, hash, rules uint64) {
 	if len(remaining) == 0 {
-		number, isNew := t.shapeIDs.id(hash)
+		id, isNew := t.shapeIDs.id(hash)
 		if isNew {
 			t.shapes = append(t.shapes, shapeCount{dimensions: uint64(len(t.dimensions))})
 		}
-		t.shapes[number].rules += rules
+		t.shapes[id].rules += rules
 		return
 	}
 	d := &remaining[0]
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -10,13 +10,13 @@
 }
 
 // Candidates returns all routes that match a connection, starting with the route that applies. The default route comes last.
-func (t *Table) Candidates(l *ConnectionAttributes) []Candidate {
+func (t *Table) Candidates(connection *ConnectionAttributes) []Candidate {
 	var candidates []Candidate
 	var first *rule
 	seen := map[int32]bool{}
 	for i := range t.rules {
 		r := &t.rules[i]
-		if seen[r.route] || !t.matches(r, l) {
+		if seen[r.route] || !t.matches(r, connection) {
 			continue
 		}
 		seen[r.route] = true
--- a/internal/routing/conflict_test.go
+++ b/internal/routing/conflict_test.go
@@ -68,14 +68,14 @@
 			rt.Fatal(err)
 		}
 		for range 40 {
-			l := drawConnection(rt)
-			oldConnection, newConnection := connectionFor(old, l), connectionFor(next, l)
+			connection := drawConnection(rt)
+			oldConnection, newConnection := connectionFor(old, connection), connectionFor(next, connection)
 			position := SplitPosition(oldConnection)
 			want := false
 			for _, c := range changes {
 				in := position >= c.From && position < c.From+c.PPM
 				for _, s := range c.Cell {
-					in = in && s.Contains(l[strings.TrimPrefix(s.Dimension, "field ")])
+					in = in && s.Contains(connection[strings.TrimPrefix(s.Dimension, "field ")])
 				}
 				for _, aspect := range c.Aspects {
 					if in && aspect != "route" && aspect != "policy" {
@@ -87,10 +87,10 @@
 				}
 			}
 			if got := Conflicting(old, next, oldConnection, newConnection); got != want {
-				rt.Fatalf("%v at split position %d: Conflicting returned %v, Diff implies %v", l, position, got, want)
+				rt.Fatalf("%v at split position %d: Conflicting returned %v, Diff implies %v", connection, position, got, want)
 			}
 			if Conflicting(next, old, newConnection, oldConnection) != want || Conflicting(old, old, oldConnection, oldConnection) {
-				rt.Fatalf("%v: Conflicting depends on the order of the tables, or a table conflicts with itself", l)
+				rt.Fatalf("%v: Conflicting depends on the order of the tables, or a table conflicts with itself", connection)
 			}
 		}
 	})
@@ -114,9 +114,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &ConnectionAttributes{Class: "feed", Key: "key", Fields: []string{"1"}}
+	connection := &ConnectionAttributes{Class: "feed", Key: "key", Fields: []string{"1"}}
 	if n := testing.AllocsPerRun(100, func() {
-		if Conflicting(old, next, l, l) {
+		if Conflicting(old, next, connection, connection) {
 			t.Error("equal tables conflict")
 		}
 	}); n != 0 {
--- a/internal/routing/golden_test.go
+++ b/internal/routing/golden_test.go
@@ -84,8 +84,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	line := ConnectionAttributes{Class: "album-feed", Key: "k1"}
-	for file, value := range map[string]any{"diff.json": changes, "candidates.json": currentTable.Candidates(&line)} {
+	attributes := ConnectionAttributes{Class: "album-feed", Key: "k1"}
+	for file, value := range map[string]any{"diff.json": changes, "candidates.json": currentTable.Candidates(&attributes)} {
 		text, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/routing/index.go
+++ b/internal/routing/index.go
@@ -116,7 +116,7 @@
 
 // Decide returns the routing decision for a connection. ok is false if no route matches and there is no default route. Decide
 // does not allocate.
-func (t *Table) Decide(l *ConnectionAttributes) (d Decision, ok bool) {
+func (t *Table) Decide(connection *ConnectionAttributes) (d Decision, ok bool) {
 	best := int32(len(t.rules))
 	var found []byte
 	for i := range t.shapes {
@@ -124,7 +124,7 @@
 		if s.firstRule >= best {
 			break // shapes are sorted by their first rules
 		}
-		if record := t.find(s, l); record != nil {
+		if record := t.find(s, connection); record != nil {
 			if position := int32(binary.LittleEndian.Uint32(record)); position < best {
 				best = position
 				found = record
@@ -144,17 +144,17 @@
 	default:
 		return Decision{Route: -1, Pool: -1, Policy: -1, Rule: -1}, false
 	}
-	d.SplitPosition = SplitPosition(l)
+	d.SplitPosition = SplitPosition(connection)
 	d.Policy = to.policy
 	d.Pool = to.pools[to.shareAt(d.SplitPosition)]
 	return d, true
 }
 
 // find returns t.records from the record of the matching rule of a shape on, or nil if no rule of the shape matches.
-func (t *Table) find(s *shape, l *ConnectionAttributes) (record []byte) {
+func (t *Table) find(s *shape, connection *ConnectionAttributes) (record []byte) {
 	hash := uint64(0)
 	for _, dimension := range s.dimensions {
-		text := t.connectionText(l, int(dimension))
+		text := t.connectionText(connection, int(dimension))
 		if length := s.lengths[dimension]; length != exactText {
 			if len(text) < int(length) {
 				return nil
@@ -171,7 +171,7 @@
 		}
 		if candidate.hash == slotHash(hash) {
 			record = t.records[candidate.offset:]
-			if t.recordMatches(s, record[recordHeaderBytes:], l) {
+			if t.recordMatches(s, record[recordHeaderBytes:], connection) {
 				return record
 			}
 		}
@@ -180,9 +180,9 @@
 
 // recordMatches reports whether a connection has the texts of a record. texts is the record without its header. The texts of
 // the connection must be at least as long as the prefixes of the shape.
-func (t *Table) recordMatches(s *shape, texts []byte, l *ConnectionAttributes) bool {
+func (t *Table) recordMatches(s *shape, texts []byte, connection *ConnectionAttributes) bool {
 	for _, dimension := range s.dimensions {
-		text := t.connectionText(l, int(dimension))
+		text := t.connectionText(connection, int(dimension))
 		length := int(s.lengths[dimension])
 		if length == exactText {
 			if length = int(binary.LittleEndian.Uint16(texts)); length != len(text) {
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -11,8 +11,8 @@
 type Pool struct {
 	Name        string           `json:"name"`
 	Select      EndpointSelector `json:"select"`
-	Precedence  int              `json:"precedence,omitempty"`  // the pool with the highest precedence gets an endpoint
-	FormerNames []string         `json:"was,omitempty"`         // former names of the pool
+	Precedence  int              `json:"precedence,omitempty"` // of the pools that select an endpoint, the one with the highest gets it
+	FormerNames []string         `json:"was,omitempty"`
 	MaxOpen     int              `json:"max_open,omitempty"`    // established and waiting connections; 0: no limit
 	MaxWaiting  int              `json:"max_waiting,omitempty"` // waiting connections; 0: no limit
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -58,38 +58,38 @@
 // drawConnection draws a connection as a map from field names to texts. It includes texts that no rule of drawSet contains.
 func drawConnection(t *rapid.T) map[string]string {
 	text := rapid.OneOf(rapid.SampledFrom(append([]string{"", "abcd", "zz", "aa"}, sampleTexts...)), rapid.StringMatching("[a-c]{1,4}"))
-	l := map[string]string{}
+	connection := map[string]string{}
 	for _, name := range []string{"key", "group", "x", "y"} {
-		l[name] = text.Draw(t, name)
+		connection[name] = text.Draw(t, name)
 	}
-	l["class"] = rapid.SampledFrom(classes).Draw(t, "class")
-	l["zone"] = rapid.SampledFrom(space.Zones).Draw(t, "zone")
-	l["listener"] = rapid.SampledFrom(space.Listeners).Draw(t, "listener")
-	return l
+	connection["class"] = rapid.SampledFrom(classes).Draw(t, "class")
+	connection["zone"] = rapid.SampledFrom(space.Zones).Draw(t, "zone")
+	connection["listener"] = rapid.SampledFrom(space.Listeners).Draw(t, "listener")
+	return connection
 }
 
 // connectionFor converts a drawn connection to the field order of a table.
-func connectionFor(t *Table, l map[string]string) *ConnectionAttributes {
-	out := &ConnectionAttributes{Class: l["class"], Key: l["key"], Group: l["group"], Zone: l["zone"], Listener: l["listener"]}
+func connectionFor(t *Table, connection map[string]string) *ConnectionAttributes {
+	out := &ConnectionAttributes{Class: connection["class"], Key: connection["key"], Group: connection["group"], Zone: connection["zone"], Listener: connection["listener"]}
 	for _, name := range t.FieldNames {
-		out.Fields = append(out.Fields, l[name])
+		out.Fields = append(out.Fields, connection[name])
 	}
 	return out
 }
 
 // referenceDecide returns the name of the route that applies according to the manual. It checks all routes without an index.
-func referenceDecide(set *Set, l map[string]string) (route string) {
+func referenceDecide(set *Set, connection map[string]string) (route string) {
 	var best []int
 	for i := range set.Routes {
 		r := &set.Routes[i]
 		m := &r.Match
 		matchesList := func(list []string, text string) bool { return len(list) == 0 || slices.Contains(list, text) }
-		ok := matchesList(m.Class, l["class"]) && matchesList(m.Zone, l["zone"]) && matchesList(m.Listener, l["listener"]) &&
-			m.Key.Matches(l["key"]) && m.Group.Matches(l["group"])
-		rank := []int{r.Precedence, specificity(m.Key, l["key"]), specificity(m.Group, l["group"])}
+		ok := matchesList(m.Class, connection["class"]) && matchesList(m.Zone, connection["zone"]) && matchesList(m.Listener, connection["listener"]) &&
+			m.Key.Matches(connection["key"]) && m.Group.Matches(connection["group"])
+		rank := []int{r.Precedence, specificity(m.Key, connection["key"]), specificity(m.Group, connection["group"])}
 		for _, name := range []string{"x", "y"} {
-			ok = ok && m.Fields[name].Matches(l[name])
-			rank = append(rank, specificity(m.Fields[name], l[name]))
+			ok = ok && m.Fields[name].Matches(connection[name])
+			rank = append(rank, specificity(m.Fields[name], connection[name]))
 		}
 		for _, list := range [][]string{m.Class, m.Listener, m.Zone} {
 			rank = append(rank, min(len(list), 1))
@@ -130,14 +130,14 @@
 			rt.Fatal(err)
 		}
 		for range 20 {
-			l := drawConnection(rt)
-			d, ok := table.Decide(connectionFor(table, l))
+			connection := drawConnection(rt)
+			d, ok := table.Decide(connectionFor(table, connection))
 			got := ""
 			if ok {
 				got = set.Routes[d.Route].Name
 			}
-			if want := referenceDecide(&set, l); got != want {
-				rt.Fatalf("%v: got route %q, want %q", l, got, want)
+			if want := referenceDecide(&set, connection); got != want {
+				rt.Fatalf("%v: got route %q, want %q", connection, got, want)
 			}
 		}
 	})
@@ -160,30 +160,30 @@
 			rt.Fatal(err)
 		}
 		for range 60 {
-			l := drawConnection(rt)
+			connection := drawConnection(rt)
 			var outcomes [2]Outcome
 			for side, table := range []*Table{old, next} {
-				line := connectionFor(table, l)
-				if d, ok := table.Decide(line); ok {
+				attributes := connectionFor(table, connection)
+				if d, ok := table.Decide(attributes); ok {
 					outcomes[side] = table.outcome(d.Route, table.targets[d.Route].shareAt(d.SplitPosition))
 				}
 			}
-			position := SplitPosition(&ConnectionAttributes{Key: l["key"], Group: l["group"]})
+			position := SplitPosition(&ConnectionAttributes{Key: connection["key"], Group: connection["group"]})
 			var matching []Change
 			for _, c := range changes {
 				in := position >= c.From && position < c.From+c.PPM
 				for _, s := range c.Cell {
-					in = in && s.Contains(l[strings.TrimPrefix(s.Dimension, "field ")])
+					in = in && s.Contains(connection[strings.TrimPrefix(s.Dimension, "field ")])
 				}
 				if in {
 					matching = append(matching, c)
 				}
 			}
 			if differ := len(differences(outcomes[0], outcomes[1])) > 0; differ != (len(matching) == 1) || len(matching) > 1 {
-				rt.Fatalf("%v at split position %d: decisions differ: %v, but %d changes contain the connection", l, position, differ, len(matching))
+				rt.Fatalf("%v at split position %d: decisions differ: %v, but %d changes contain the connection", connection, position, differ, len(matching))
 			}
 			if len(matching) == 1 && (matching[0].Old != outcomes[0] || matching[0].New != outcomes[1]) {
-				rt.Fatalf("%v: Diff returned %+v -> %+v, decisions are %+v -> %+v", l, matching[0].Old, matching[0].New, outcomes[0], outcomes[1])
+				rt.Fatalf("%v: Diff returned %+v -> %+v, decisions are %+v -> %+v", connection, matching[0].Old, matching[0].New, outcomes[0], outcomes[1])
 			}
 		}
 	})
@@ -248,9 +248,9 @@
 		}
 		moved := 0
 		for k := range 500 {
-			l := &ConnectionAttributes{Key: strconv.Itoa(k)}
-			a, _ := tables[0].Decide(l)
-			b, _ := tables[1].Decide(l)
+			connection := &ConnectionAttributes{Key: strconv.Itoa(k)}
+			a, _ := tables[0].Decide(connection)
+			b, _ := tables[1].Decide(connection)
 			if a.Pool == grown && b.Pool != grown {
 				rt.Fatalf("key %d left the growing share: %v -> %v", k, before, after)
 			}
@@ -615,8 +615,8 @@
 
 func TestDecideDoesNotAllocate(t *testing.T) {
 	table := largeTable(1000)
-	l := &ConnectionAttributes{Class: "feed", Group: "00000301", Key: "k"}
-	if n := testing.AllocsPerRun(100, func() { table.Decide(l) }); n != 0 {
+	connection := &ConnectionAttributes{Class: "feed", Group: "00000301", Key: "k"}
+	if n := testing.AllocsPerRun(100, func() { table.Decide(connection) }); n != 0 {
 		t.Errorf("%v allocations per decision, want 0", n)
 	}
 }
@@ -625,15 +625,15 @@
 	for _, n := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			table := largeTable(n)
-			lines := make([]ConnectionAttributes, 4096)
-			for i := range lines {
+			connections := make([]ConnectionAttributes, 4096)
+			for i := range connections {
 				k := (i * 7919) % n
-				lines[i] = ConnectionAttributes{Class: classes[k%3], Group: fmt.Sprintf("%06x-%d", k, i), Key: fmt.Sprint("k", i)}
+				connections[i] = ConnectionAttributes{Class: classes[k%3], Group: fmt.Sprintf("%06x-%d", k, i), Key: fmt.Sprint("k", i)}
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				if _, ok := table.Decide(&lines[i&4095]); !ok {
+				if _, ok := table.Decide(&connections[i&4095]); !ok {
 					b.Fatal("no route")
 				}
 			}
--- a/internal/routing/rules.go
+++ b/internal/routing/rules.go
@@ -101,7 +101,8 @@
 	return rules
 }
 
-// compareRules orders rules by descending precedence.
+// compareRules orders rules by descending precedence of their routes, and then from the most to the least specific, so that the
+// rule that applies comes first.
 func (t *Table) compareRules(a, b rule) int {
 	return cmp.Or(
 		cmp.Compare(t.Set.Routes[b.route].Precedence, t.Set.Routes[a.route].Precedence),
@@ -188,9 +189,9 @@
 }
 
 // matches reports whether a rule matches a connection.
-func (t *Table) matches(r *rule, l *ConnectionAttributes) bool {
+func (t *Table) matches(r *rule, connection *ConnectionAttributes) bool {
 	for dimension, length := range r.lengths {
-		text := t.connectionText(l, dimension)
+		text := t.connectionText(connection, dimension)
 		switch {
 		case length == anyText:
 		case length == exactText && text != r.texts[dimension]:
@@ -203,27 +204,27 @@
 }
 
 // connectionText returns the text of a connection in a dimension, or "" for a missing field.
-func (t *Table) connectionText(l *ConnectionAttributes, dimension int) string {
+func (t *Table) connectionText(connection *ConnectionAttributes, dimension int) string {
 	switch dimension {
 	case keyDimension:
-		return l.Key
+		return connection.Key
 	case groupDimension:
-		return l.Group
+		return connection.Group
 	}
 	field := dimension - firstFieldDimension
 	if field < len(t.FieldNames) {
-		if field < len(l.Fields) {
-			return l.Fields[field]
+		if field < len(connection.Fields) {
+			return connection.Fields[field]
 		}
 		return ""
 	}
 	switch field - len(t.FieldNames) {
 	case classOffset:
-		return l.Class
+		return connection.Class
 	case listenerOffset:
-		return l.Listener
+		return connection.Listener
 	default:
-		return l.Zone
+		return connection.Zone
 	}
 }
 
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -124,10 +124,10 @@
 //
 // A split consists of consecutive intervals, one per share, in the order of the pool names. If one share grows and no other
 // share does, its interval ends no earlier and begins no later than before, so every key in it stays.
-func SplitPosition(l *ConnectionAttributes) int {
-	text := l.Group
+func SplitPosition(connection *ConnectionAttributes) int {
+	text := connection.Group
 	if text == "" {
-		text = l.Key
+		text = connection.Key
 	}
 	position, _ := bits.Mul64(xxhash.Sum64String(text), TotalPPM)
 	return int(position)
