--- a/internal/memestimate/sets/sets.go
+++ b/internal/memestimate/sets/sets.go
@@ -179,7 +179,7 @@
 	return json.Marshal(b.set)
 }
 
-// randomGenerator returns a random generator for one route of a mixed set. It rarely returns one of large routes.
+// randomGenerator returns a random generator for one route of a mixed set. It rarely returns a generator of large routes.
 func (b *builder) randomGenerator() generator {
 	const (
 		largeSize        = 10 // a route with a larger relative size counts as large
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -39,7 +39,7 @@
 	return candidates
 }
 
-// explainOrder returns the reason why a rule comes after the first matching one.
+// explainOrder returns the reason why a rule comes after the first matching rule.
 func (t *Table) explainOrder(first, r *rule) string {
 	firstRoute, route := &t.Set.Routes[first.route], &t.Set.Routes[r.route]
 	if firstRoute.Precedence != route.Precedence {
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -11,7 +11,7 @@
 type Pool struct {
 	Name        string           `json:"name"`
 	Select      EndpointSelector `json:"select"`
-	Precedence  int              `json:"precedence,omitempty"` // of the pools that select an endpoint, the one with the highest gets it
+	Precedence  int              `json:"precedence,omitempty"` // an endpoint goes to the selecting pool with the highest precedence
 	FormerNames []string         `json:"was,omitempty"`
 	MaxOpen     int              `json:"max_open,omitempty"`    // established and waiting connections; 0: no limit
 	MaxWaiting  int              `json:"max_waiting,omitempty"` // waiting connections; 0: no limit
