--- a/internal/routing/rules.go
+++ b/internal/routing/rules.go
@@ -13,8 +13,8 @@
 // A route expands to one rule for each combination of the alternatives of its conditions. A rule has one pattern in each
 // dimension. Of the matching rules, the rule of the route with the highest precedence applies. At equal precedence, the most
 // specific rule applies: the dimensions are compared in the order key, group, further fields by name, class, listener, zone. In
-// each dimension, an exact text precedes a prefix, a longer prefix precedes a shorter one, and any prefix precedes no condition.
-// Rules with the same precedence and the same patterns are duplicates. New rejects duplicates from different routes.
+// each dimension, an exact text precedes a prefix, a longer prefix precedes a shorter one, and any prefix precedes no
+// condition. Rules with the same precedence and the same patterns are duplicates. New rejects duplicates from different routes.
 
 // Dimensions of a rule. Class, listener and zone follow the last field.
 const (
@@ -53,8 +53,8 @@
 	text   string
 }
 
-// patterns returns the alternatives of a condition, sorted and without duplicates. A condition that matches every text has a single
-// alternative with the length anyText.
+// patterns returns the alternatives of a condition, sorted and without duplicates. A condition that matches every text has a
+// single alternative with the length anyText.
 func patterns(s StringMatcher) []pattern {
 	if s.MatchesAll() {
 		return []pattern{{length: anyText}}
@@ -101,7 +101,8 @@
 	return rules
 }
 
-// compareRules orders rules by descending precedence.
+// compareRules orders rules by descending precedence of their routes, and then from the most to the least specific, so that the
+// rule that applies comes first.
 func (t *Table) compareRules(a, b rule) int {
 	return cmp.Or(
 		cmp.Compare(t.Set.Routes[b.route].Precedence, t.Set.Routes[a.route].Precedence),
@@ -130,7 +131,8 @@
 	second int32
 }
 
-// checkAmbiguities returns an error for each pair of routes with equal rules. Equal rules are adjacent because the rules are sorted.
+// checkAmbiguities returns an error for each pair of routes with equal rules. Equal rules are adjacent because the rules are
+// sorted.
 func (t *Table) checkAmbiguities() error {
 	var errs []error
 	reported := map[routePair]bool{}
@@ -187,9 +189,9 @@
 }
 
 // matches reports whether a rule matches a connection.
-func (t *Table) matches(r *rule, l *ConnectionAttributes) bool {
+func (t *Table) matches(r *rule, connection *ConnectionAttributes) bool {
 	for dimension, length := range r.lengths {
-		text := t.lineText(l, dimension)
+		text := t.connectionText(connection, dimension)
 		switch {
 		case length == anyText:
 		case length == exactText && text != r.texts[dimension]:
@@ -201,28 +203,28 @@
 	return true
 }
 
-// lineText returns the text of a connection in a dimension, or "" for a missing field.
-func (t *Table) lineText(l *ConnectionAttributes, dimension int) string {
+// connectionText returns the text of a connection in a dimension, or "" for a missing field.
+func (t *Table) connectionText(connection *ConnectionAttributes, dimension int) string {
 	switch dimension {
 	case keyDimension:
-		return l.Key
+		return connection.Key
 	case groupDimension:
-		return l.Group
+		return connection.Group
 	}
 	field := dimension - firstFieldDimension
 	if field < len(t.FieldNames) {
-		if field < len(l.Fields) {
-			return l.Fields[field]
+		if field < len(connection.Fields) {
+			return connection.Fields[field]
 		}
 		return ""
 	}
 	switch field - len(t.FieldNames) {
 	case classOffset:
-		return l.Class
+		return connection.Class
 	case listenerOffset:
-		return l.Listener
+		return connection.Listener
 	default:
-		return l.Zone
+		return connection.Zone
 	}
 }
 
