--- a/cmd/micafront/main_test.go
+++ b/cmd/micafront/main_test.go
@@ -42,7 +42,7 @@
 		{"empty", good, "", "not valid"},
 		{"no settings", `,"settings":{}`, "", "settings"},
 		{"a key of the settings", "", "", "key Balancers is missing (set what is named"},
-		{"two faults of the routes", `"settings":{}`, `"settings":` + completeSettings + `,"routing":{"pools":[{"name":"a"},{"name":"a"}],"default":"b"}`, `named twice; the default route "b" does not exist (give it`},
+		{"two faults of the routes", `"settings":{}`, `"settings":` + completeSettings + `,"routing":{"pools":[{"name":"a"},{"name":"a"}],"default":"b"}`, `defined twice; the default route "b" does not exist (give it`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var errs bytes.Buffer
