--- a/internal/routing/conflict_test.go
+++ b/internal/routing/conflict_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawChangedSet draws a set that replaces another one. It is either a random set or the same set with one changed number or name,
-// so that over many draws each aspect also differs alone.
+// drawChangedSet draws a set that replaces another one. It is either a random set or the same set with one changed number or
+// name, so that over many draws each aspect also differs alone.
 func drawChangedSet(t *rapid.T, set Set) Set {
 	if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
 		return drawSet(t)
@@ -49,8 +49,8 @@
 	return next
 }
 
-// TestConflictingAgreesWithDiff checks that Conflicting reports a conflict for a connection exactly if Diff returns a change that
-// contains the connection and differs in more than the names of the route and the policy.
+// TestConflictingAgreesWithDiff checks that Conflicting reports a conflict for a connection exactly if Diff returns a change
+// that contains the connection and differs in more than the names of the route and the policy.
 func TestConflictingAgreesWithDiff(t *testing.T) {
 	seen := map[string]int{}
 	testkit.Property(t, func(rt *rapid.T) {
@@ -68,14 +68,14 @@
 			rt.Fatal(err)
 		}
 		for range 40 {
-			l := drawLine(rt)
-			oldLine, newLine := lineFor(old, l), lineFor(next, l)
-			position := SplitPosition(oldLine)
+			connection := drawConnection(rt)
+			oldConnection, newConnection := connectionFor(old, connection), connectionFor(next, connection)
+			position := SplitPosition(oldConnection)
 			want := false
 			for _, c := range changes {
 				in := position >= c.From && position < c.From+c.PPM
 				for _, s := range c.Cell {
-					in = in && s.Contains(l[strings.TrimPrefix(s.Dimension, "field ")])
+					in = in && s.Contains(connection[strings.TrimPrefix(s.Dimension, "field ")])
 				}
 				for _, aspect := range c.Aspects {
 					if in && aspect != "route" && aspect != "policy" {
@@ -86,11 +86,11 @@
 					}
 				}
 			}
-			if got := Conflicting(old, next, oldLine, newLine); got != want {
-				rt.Fatalf("%v at split position %d: Conflicting returned %v, Diff implies %v", l, position, got, want)
+			if got := Conflicting(old, next, oldConnection, newConnection); got != want {
+				rt.Fatalf("%v at split position %d: Conflicting returned %v, Diff implies %v", connection, position, got, want)
 			}
-			if Conflicting(next, old, newLine, oldLine) != want || Conflicting(old, old, oldLine, oldLine) {
-				rt.Fatalf("%v: Conflicting depends on the order of the tables, or a table conflicts with itself", l)
+			if Conflicting(next, old, newConnection, oldConnection) != want || Conflicting(old, old, oldConnection, oldConnection) {
+				rt.Fatalf("%v: Conflicting depends on the order of the tables, or a table conflicts with itself", connection)
 			}
 		}
 	})
@@ -114,9 +114,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &ConnectionAttributes{Class: "feed", Key: "key", Fields: []string{"1"}}
+	connection := &ConnectionAttributes{Class: "feed", Key: "key", Fields: []string{"1"}}
 	if n := testing.AllocsPerRun(100, func() {
-		if Conflicting(old, next, l, l) {
+		if Conflicting(old, next, connection, connection) {
 			t.Error("equal tables conflict")
 		}
 	}); n != 0 {
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -11,14 +11,14 @@
 type Pool struct {
 	Name        string           `json:"name"`
 	Select      EndpointSelector `json:"select"`
-	Precedence  int              `json:"precedence,omitempty"`  // the pool with the highest precedence gets an endpoint
-	FormerNames []string         `json:"was,omitempty"`         // former names of the pool
+	Precedence  int              `json:"precedence,omitempty"` // an endpoint goes to the selecting pool with the highest precedence
+	FormerNames []string         `json:"was,omitempty"`
 	MaxOpen     int              `json:"max_open,omitempty"`    // established and waiting connections; 0: no limit
 	MaxWaiting  int              `json:"max_waiting,omitempty"` // waiting connections; 0: no limit
 }
 
-// EndpointSelector selects the endpoints of a pool. An endpoint must satisfy all conditions. It satisfies a condition if it matches
-// one of the values. A condition without values matches every endpoint.
+// EndpointSelector selects the endpoints of a pool. An endpoint must satisfy all conditions. It satisfies a condition if it
+// matches one of the values. A condition without values matches every endpoint.
 type EndpointSelector struct {
 	Zones        []string `json:"zones,omitempty"`
 	MachineTypes []string `json:"machine_types,omitempty"`
@@ -137,7 +137,8 @@
 	return "", false
 }
 
-// comparePools orders pools by descending precedence, then by name. An endpoint that several pools select goes to the first one.
+// comparePools orders pools by descending precedence, then by name. An endpoint that several pools select goes to the first
+// one.
 func comparePools(a, b *Pool) int {
 	return cmp.Or(cmp.Compare(b.Precedence, a.Precedence), cmp.Compare(a.Name, b.Name))
 }
