--- a/internal/catalog/errors.go
+++ b/internal/catalog/errors.go
@@ -29,7 +29,7 @@
 	// BadPattern: a name pattern is malformed.
 	BadPattern = apperror.NewKind("catalog/bad-pattern",
 		"correct the pattern in the mesh's terms: *, ?, [a-z] and \\ as in path names; until then it matches no name")
-	// BadName: a name is not valid; see ValidName.
+	// BadName: a name is not valid; see IsValidName.
 	BadName = apperror.NewKind("catalog/bad-name",
 		"rename it: 1 to 128 bytes of UTF-8 without blanks, control characters and dots, since a dot sets off the mesh")
 	// BadService: a service's record is invalid.
--- a/internal/catalog/inputs.go
+++ b/internal/catalog/inputs.go
@@ -87,9 +87,9 @@
 	Since time.Duration `json:"since"` // agreed time of the loss
 }
 
-// ValidName reports whether a name is valid for a service, an alias or a mesh: 1 to 128 bytes of UTF-8 without spaces, control
+// IsValidName reports whether a name is valid for a service, an alias or a mesh: 1 to 128 bytes of UTF-8 without spaces, control
 // characters and dots.
-func ValidName(name string) bool {
+func IsValidName(name string) bool {
 	return name != "" && len(name) <= maxNameBytes && !strings.Contains(name, ".") && routing.IsValidName(name) && utf8.ValidString(name)
 }
 
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -127,7 +127,7 @@
 	for i := range overrides {
 		o := &overrides[i]
 		switch {
-		case !ValidName(o.Name):
+		case !IsValidName(o.Name):
 			v.add(BadName, o.Mesh, o.Name, "the terms' rulings contain %.140q, which is not a valid short name", o.Name)
 		case count[o.Name] > 1:
 			v.add(Contradiction, "", o.Name, "the terms have %d different rulings on %s; all of them are ignored", count[o.Name], o.Name)
--- a/internal/catalog/validate_meshes.go
+++ b/internal/catalog/validate_meshes.go
@@ -26,7 +26,7 @@
 	}
 	for _, m := range meshes {
 		switch {
-		case !ValidName(m.Name):
+		case !IsValidName(m.Name):
 			v.add(BadName, m.Name, "", "the terms contain a mesh %.140q, which is not a valid name", m.Name)
 		case count[m.Name] > 1:
 			v.add(Contradiction, m.Name, "", "there are %d different terms for mesh %s; all of them are ignored, and the mesh's "+
--- a/internal/catalog/validate_names.go
+++ b/internal/catalog/validate_names.go
@@ -57,7 +57,7 @@
 	mesh := p.name()
 	short, qualifier := splitName(a.To)
 	switch {
-	case !ValidName(a.Name) || !ValidName(short) || strings.Contains(a.To, ".") && !ValidName(qualifier):
+	case !IsValidName(a.Name) || !IsValidName(short) || strings.Contains(a.To, ".") && !IsValidName(qualifier):
 		v.add(BadName, mesh, a.Name, "alias %.140q for %.140q: one of the two is not a valid name", a.Name, a.To)
 	case a.Name == a.To:
 		v.add(AliasLoop, mesh, a.Name, "alias %s is an alias of itself", a.Name)
--- a/internal/catalog/validate_services.go
+++ b/internal/catalog/validate_services.go
@@ -64,7 +64,7 @@
 
 // findFault returns the kind and text of a finding about an invalid service record. kind is nil if the record is valid.
 func findFault(s *Service) (kind *apperror.Kind, text string) {
-	if !ValidName(s.Name) {
+	if !IsValidName(s.Name) {
 		return BadName, fmt.Sprintf("service %.140q is not a valid name", s.Name)
 	}
 	pool := &s.Pool
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -95,7 +95,7 @@
 		return
 	}
 	f.Mesh = *record.Mesh
-	if !catalog.ValidName(f.Mesh) {
+	if !catalog.IsValidName(f.Mesh) {
 		// The text shows as much of the name as tells what is wrong with it.
 		faults.add("mesh", "%.140q is empty, over 128 bytes, or has a dot, a blank or a control character", f.Mesh)
 	}
