--- a/cmd/micafrontctl/bench.go
+++ b/cmd/micafrontctl/bench.go
@@ -10,9 +10,9 @@
 )
 
 type benchCommand struct {
-	Proxy   benchProxy   `cmd:"" help:"Measure the running proxy, against another build of it in the same run."`
-	Routing benchRouting `cmd:"" help:"Measure a routing decision on small and large tables."`
-	Check   benchCheck   `cmd:"" help:"Measure the check of a large site."`
+	Proxy   benchProxyCommand   `cmd:"" help:"Measure the running proxy, against another build of it in the same run."`
+	Routing benchRoutingCommand `cmd:"" help:"Measure a routing decision on small and large tables."`
+	Check   benchCheckCommand   `cmd:"" help:"Measure the check of a large site."`
 }
 
 // printHeading prints how the measurements below it can be reproduced.
--- a/cmd/micafrontctl/bench_check.go
+++ b/cmd/micafrontctl/bench_check.go
@@ -13,7 +13,7 @@
 	"example.org/micafront/internal/sitelang"
 )
 
-type benchCheck struct {
+type benchCheckCommand struct {
 	Routes int `help:"Routes of the site." default:"10000"`
 	Pools  int `help:"Its pools." default:"1000"`
 	Rounds int `help:"How often it is checked." default:"5"`
@@ -26,7 +26,7 @@
 const maxBenchAttempts = 5
 
 // Run checks a generated site once a round in a process of its own, and prints the time and memory of these.
-func (c *benchCheck) Run() error {
+func (c *benchCheckCommand) Run() error {
 	printHeading(0)
 	dir, err := os.MkdirTemp("", "micafront-bench")
 	if err != nil {
@@ -54,7 +54,7 @@
 		seconds = append(seconds, time.Since(began).Seconds())
 		peakMiB = max(peakMiB, float64(peakResidentKiB(cmd))/kibPerMiB)
 	}
-	if _, findings := sitelang.Load(path); findings.Fatal() {
+	if _, findings := sitelang.Load(path); findings.HasErrors() {
 		return findings.Err()
 	}
 	fmt.Println("| routes | pools | seconds, median | seconds, most | MiB at most |\n| --- | --- | --- | --- | --- |")
@@ -63,7 +63,7 @@
 }
 
 // largeSite returns the sample site with generated pools, policies and routes.
-func (c *benchCheck) largeSite() string {
+func (c *benchCheckCommand) largeSite() string {
 	beforePools, _, _ := strings.Cut(string(deploy.Thies), "pool: {")
 	var b strings.Builder
 	b.WriteString(beforePools + "pool: {\n")
--- a/cmd/micafrontctl/bench_clients.go
+++ b/cmd/micafrontctl/bench_clients.go
@@ -18,8 +18,8 @@
 // dialRetryInterval is the time between attempts to reach a proxy that is starting.
 const dialRetryInterval = 200 * time.Microsecond
 
-// awaitPong waits until the proxy at addr answers a PING. It fails after the deadline.
-func awaitPong(addr string, deadline time.Time) error {
+// waitForPong waits until the proxy at addr answers a PING. It fails after the deadline.
+func waitForPong(addr string, deadline time.Time) error {
 	for time.Now().Before(deadline) {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -57,7 +57,7 @@
 
 // runClients runs c.Parallel clients, each in a goroutine, until count calls of next have returned true, and returns how long
 // they took. client is to return when next returns false.
-func (c *benchProxy) runClients(count int, client func(number int, next func() bool) error) (time.Duration, error) {
+func (c *benchProxyCommand) runClients(count int, client func(number int, next func() bool) error) (time.Duration, error) {
 	var remaining atomic.Int64
 	remaining.Store(int64(count))
 	began := time.Now()
@@ -77,7 +77,7 @@
 }
 
 // setUpConnections sets up and closes connections with random keys.
-func (c *benchProxy) setUpConnections(addr string) (time.Duration, error) {
+func (c *benchProxyCommand) setUpConnections(addr string) (time.Duration, error) {
 	return c.runClients(c.Setups, func(number int, next func() bool) error {
 		rng := rand.New(rand.NewPCG(c.Seed, uint64(number)))
 		for next() {
@@ -93,7 +93,7 @@
 }
 
 // exchangeLines sends lines over one connection for each client, and reads the answers.
-func (c *benchProxy) exchangeLines(addr string) (time.Duration, error) {
+func (c *benchProxyCommand) exchangeLines(addr string) (time.Duration, error) {
 	return c.runClients(c.Lines, func(number int, next func() bool) error {
 		conn, reader, err := openConnection(addr, fmt.Sprint("talk-", number))
 		if err != nil {
--- a/cmd/micafrontctl/bench_proxy.go
+++ b/cmd/micafrontctl/bench_proxy.go
@@ -11,7 +11,7 @@
 	"example.org/micafront/internal/fakes"
 )
 
-type benchProxy struct {
+type benchProxyCommand struct {
 	Against  string `help:"Another build of the proxy." type:"existingfile"`
 	Program  string `help:"The build to measure; by default the one beside this program." type:"existingfile"`
 	Rounds   int    `help:"How often each build is measured, in turn." default:"9"`
@@ -39,7 +39,7 @@
 }
 
 // Run measures the builds in turn and prints a table of medians.
-func (c *benchProxy) Run() error {
+func (c *benchProxyCommand) Run() error {
 	program := c.Program
 	if program == "" {
 		var err error
@@ -107,7 +107,7 @@
 "Invariants":{"AnswerSlack":0.016,"AskEvery":1,"Cold":8.9,"ColdFrom":0.3,"DrainGrace":3,"Fall":1,"OverloadFactor":3}}}`
 
 // measure runs one build between fake endpoints and clients, and measures it.
-func (c *benchProxy) measure(program string) (measured proxyMeasurement, err error) {
+func (c *benchProxyCommand) measure(program string) (measured proxyMeasurement, err error) {
 	discovery, err := fakes.NewDiscoveryServer()
 	if err != nil {
 		return measured, err
@@ -145,7 +145,7 @@
 }
 
 // measureProcess starts the proxy, measures it at addr and ends it.
-func (c *benchProxy) measureProcess(program, configPath, dir, addr string) (measured proxyMeasurement, err error) {
+func (c *benchProxyCommand) measureProcess(program, configPath, dir, addr string) (measured proxyMeasurement, err error) {
 	cmd := proxyCommand(program, configPath, dir)
 	began := time.Now()
 	if err := cmd.Start(); err != nil {
@@ -155,7 +155,7 @@
 		_ = cmd.Process.Kill() // it may have ended by itself
 		_ = cmd.Wait()         // a killed process ends with an error
 	}()
-	if err := awaitPong(addr, began.Add(proxyStartTimeout)); err != nil {
+	if err := waitForPong(addr, began.Add(proxyStartTimeout)); err != nil {
 		return measured, err
 	}
 	measured.startup = time.Since(began)
--- a/cmd/micafrontctl/bench_routing.go
+++ b/cmd/micafrontctl/bench_routing.go
@@ -10,20 +10,20 @@
 	"example.org/micafront/internal/routing"
 )
 
-type benchRouting struct {
+type benchRoutingCommand struct {
 	Rounds int    `help:"How often each table is measured." default:"7"`
 	Seed   uint64 `help:"The seed of the lines' order." default:"1"`
 }
 
 const (
-	timedDecisions     = 2_000_000 // per round and table
+	decisionsPerRound  = 2_000_000 // per round and table
 	allocationSamples  = 10_000    // decisions for the count of allocations
 	benchRoutingLines  = 4096
 	benchRoutingStream = 3 // of the random numbers of the lines
 )
 
-// routingTable is a table and the connections that are routed by it.
-type routingTable struct {
+// benchTable is a table and the connections that are routed by it.
+type benchTable struct {
 	routes      int
 	table       *routing.Table
 	connections []routing.ConnectionAttributes
@@ -31,10 +31,10 @@
 }
 
 // Run measures tables of different sizes in turn and prints the medians.
-func (c *benchRouting) Run() error {
+func (c *benchRoutingCommand) Run() error {
 	printHeading(c.Seed)
 	fmt.Println("| routes | ns a decision | ratio to 100 routes, median of rounds | allocations |\n| --- | --- | --- | --- |")
-	var tables []*routingTable
+	var tables []*benchTable
 	for _, routes := range []int{100, 10_000, 100_000} {
 		t, err := newRoutingTable(routes, c.Seed)
 		if err != nil {
@@ -57,19 +57,19 @@
 }
 
 // measure adds one round.
-func (t *routingTable) measure() error {
+func (t *benchTable) measure() error {
 	began := time.Now()
-	for i := range timedDecisions {
+	for i := range decisionsPerRound {
 		if _, ok := t.table.Decide(&t.connections[i%len(t.connections)]); !ok {
 			return errors.New("a line has no route")
 		}
 	}
-	t.nanoseconds = append(t.nanoseconds, float64(time.Since(began).Nanoseconds())/timedDecisions)
+	t.nanoseconds = append(t.nanoseconds, float64(time.Since(began).Nanoseconds())/decisionsPerRound)
 	return nil
 }
 
 // allocationsPerDecision returns the mean over allocationSamples decisions.
-func (t *routingTable) allocationsPerDecision() float64 {
+func (t *benchTable) allocationsPerDecision() float64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for i := range allocationSamples {
@@ -81,7 +81,7 @@
 
 // newRoutingTable returns a table whose routes match a class and a prefix of the group each, and connections that match
 // them in random order.
-func newRoutingTable(routes int, seed uint64) (*routingTable, error) {
+func newRoutingTable(routes int, seed uint64) (*benchTable, error) {
 	classes := []string{"album-feed", "album-notes", "chat"}
 	set := routing.Set{Pools: []routing.Pool{{Name: "a"}, {Name: "b"}}}
 	for i := range routes {
@@ -104,5 +104,5 @@
 		route := rng.IntN(routes)
 		connections[i] = routing.ConnectionAttributes{Class: classes[route%len(classes)], Group: fmt.Sprintf("%06x-%d", route, i), Key: fmt.Sprint("k", i)}
 	}
-	return &routingTable{routes: routes, table: table, connections: connections}, nil
+	return &benchTable{routes: routes, table: table, connections: connections}, nil
 }
--- a/cmd/micafrontctl/config.go
+++ b/cmd/micafrontctl/config.go
@@ -93,5 +93,5 @@
 
 // Run prints the language reference.
 func (referenceCommand) Run() error {
-	return sitelang.Reference(os.Stdout)
+	return sitelang.WriteReference(os.Stdout)
 }
--- a/cmd/micafrontctl/config_check.go
+++ b/cmd/micafrontctl/config_check.go
@@ -23,12 +23,12 @@
 	all := sitelang.Findings{}
 	failed := false
 	for _, path := range c.Sites {
-		site, findings := sitelang.LoadAgainst(path, list)
+		site, findings := sitelang.LoadWithEndpoints(path, list)
 		all = append(all, findings...)
 		failed = failed || site == nil || c.Strict && len(findings) > 0
 		if site != nil && !c.JSON {
 			fmt.Printf("%s: %d files, %d classes, %d pools, %d routes, %d policies\n", path, len(site.Files),
-				len(site.Space.Classes), len(site.Set.Pools), len(site.Set.Routes), len(site.Set.Policies))
+				len(site.MatchSpace.Classes), len(site.RoutingSet.Pools), len(site.RoutingSet.Routes), len(site.RoutingSet.Policies))
 		}
 	}
 	if c.JSON {
--- a/cmd/micafrontctl/config_fmt.go
+++ b/cmd/micafrontctl/config_fmt.go
@@ -30,7 +30,7 @@
 		}
 		isFormatted := bytes.Equal(formatted, text)
 		switch {
-		case findings.Fatal(): // there is nothing to print or to write
+		case findings.HasErrors(): // there is nothing to print or to write
 		case c.Check && !isFormatted:
 			fmt.Println(path)
 			failed = true
--- a/cmd/micafrontctl/config_report.go
+++ b/cmd/micafrontctl/config_report.go
@@ -64,11 +64,11 @@
 	if err != nil {
 		return err
 	}
-	if _, known := site.Set.Listeners[c.Listener]; !known && c.Listener != routing.MainListener {
+	if _, known := site.RoutingSet.Listeners[c.Listener]; !known && c.Listener != routing.MainListener {
 		return fmt.Errorf("the site has no listener %q", c.Listener)
 	}
 	if list == nil {
-		list = &site.Known
+		list = &site.KnownEndpoints
 	}
 	firstLine := []byte(strings.TrimRight(c.Line, "\r\n") + "\r\n")
 	explanation, err := sitereport.Explain(site, firstLine, c.Listener, list, now())
--- a/cmd/micafrontctl/demo.go
+++ b/cmd/micafrontctl/demo.go
@@ -115,7 +115,7 @@
 
 // startEndpoints starts the first endpoints, in the site's zones in turn.
 func (d *demo) startEndpoints(site *sitelang.Site) error {
-	zones := site.Space.Zones
+	zones := site.MatchSpace.Zones
 	if len(zones) == 0 {
 		zones = []string{site.Settings.Zone}
 	}
--- a/cmd/micafrontctl/demo_proxy.go
+++ b/cmd/micafrontctl/demo_proxy.go
@@ -19,7 +19,7 @@
 type demoProxy struct {
 	addr    string
 	command *exec.Cmd
-	logRead chan struct{} // closed when the proxy's log has ended, which it does with the process
+	logDone chan struct{} // closed when the proxy's log has ended, which it does with the process
 }
 
 // startDemoProxy starts the proxy's program with a configuration, waits until it serves, and copies its log to the file
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	proxy := &demoProxy{command: proxyCommand(program, configPath, dir), logRead: make(chan struct{})}
+	proxy := &demoProxy{command: proxyCommand(program, configPath, dir), logDone: make(chan struct{})}
 	output, err := proxy.command.StderrPipe()
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
@@ -51,7 +51,7 @@
 		return nil, errors.Join(failure, proxy.command.Wait(), log.Close())
 	}
 	go func() {
-		defer close(proxy.logRead)
+		defer close(proxy.logDone)
 		for lines.Scan() {
 			writeLine(log, lines.Text())
 		}
@@ -78,6 +78,6 @@
 // stop asks the proxy to end and waits until it has. The error is that of the process.
 func (p *demoProxy) stop() error {
 	_ = p.command.Process.Signal(syscall.SIGTERM) // it may have ended by itself
-	<-p.logRead
+	<-p.logDone
 	return p.command.Wait()
 }
--- a/cmd/micafrontctl/demo_run.go
+++ b/cmd/micafrontctl/demo_run.go
@@ -16,7 +16,7 @@
 const (
 	demoArrivalStream    = 2 // of the random numbers of the clients
 	maxPrintedViolations = 10
-	groupedClients       = 3 // one client in this many belongs to a group
+	groupedClientRatio   = 3 // one client in this many belongs to a group
 	groupSize            = 8 // clients per group, if all were grouped
 )
 
@@ -36,10 +36,10 @@
 	connectTime := length / 3
 	began := time.Now()
 	var connecting sync.WaitGroup
-	connecting.Go(func() { d.connectClients(ctx, site.Space.Classes, began, connectTime) })
+	connecting.Go(func() { d.connectClients(ctx, site.MatchSpace.Classes, began, connectTime) })
 	fmt.Printf("%d clients, %d endpoints, the proxy at %s, seed %d\n", d.Clients, len(d.currentEndpoints()), addr, d.Seed)
 	fmt.Println(" time     open  served refused  failed   moved  set-up p50 / p99   on the endpoints")
-	err := d.printEachSecond(ctx, began, length)
+	err := d.printProgress(ctx, began, length)
 	cancel()
 	connecting.Wait()
 	d.clients.Wait()
@@ -49,9 +49,9 @@
 	return err
 }
 
-// printEachSecond prints counts each second for the length of the demonstration, during which it deploys the endpoints. It
+// printProgress prints counts each second for the length of the demonstration, during which it deploys the endpoints. It
 // returns the deploy's error once that has ended.
-func (d *demo) printEachSecond(ctx context.Context, began time.Time, length time.Duration) error {
+func (d *demo) printProgress(ctx context.Context, began time.Time, length time.Duration) error {
 	deployAt := length * 2 / 5
 	deployTime := length / 2
 	var deployed chan error // nil until the deploy begins
@@ -81,7 +81,7 @@
 			return
 		}
 		group := ""
-		if rng.IntN(groupedClients) == 0 {
+		if rng.IntN(groupedClientRatio) == 0 {
 			group = fmt.Sprint("album-", rng.IntN(max(d.Clients/groupSize, 1)))
 		}
 		d.clients.Add(ctx, classes[i%len(classes)], fmt.Sprintf("%016x", rng.Uint64()), group)
--- a/internal/sitelang/check.go
+++ b/internal/sitelang/check.go
@@ -147,12 +147,12 @@
 	return valid
 }
 
-// mayBeEmptyList are the fields of any record for which an empty list has a meaning.
-var mayBeEmptyList = []string{"instances", "was", "fallback"}
+// fieldsAllowingEmptyList are the fields of any record for which an empty list has a meaning.
+var fieldsAllowingEmptyList = []string{"instances", "was", "fallback"}
 
 // checkElements checks a list: that it is not empty, but where that has a meaning, and each element.
 func (c *checker) checkElements(f *field, t *fieldType, n *node, path string) bool {
-	if len(n.elements) == 0 && !slices.Contains(mayBeEmptyList, f.name) {
+	if len(n.elements) == 0 && !slices.Contains(fieldsAllowingEmptyList, f.name) {
 		c.reportError(n, "leave it out where everything is meant", "%s is an empty list, which nothing satisfies", path)
 		return false
 	}
--- a/internal/sitelang/cue_messages.go
+++ b/internal/sitelang/cue_messages.go
@@ -118,7 +118,7 @@
 		reportedLines[line] = true
 		format, args := e.Msg()
 		message, resolution := translateCUEMessage(fmt.Sprintf(format, args...))
-		s.reportIn(file, e.Position(), Error, message, resolution)
+		s.reportInFile(file, e.Position(), Error, message, resolution)
 	}
 }
 
@@ -138,6 +138,6 @@
 		if path := strings.Join(e.Path(), "."); path != "" {
 			message = path + ": " + message
 		}
-		s.reportIn(file, pos, Error, message, resolution)
+		s.reportInFile(file, pos, Error, message, resolution)
 	}
 }
--- a/internal/sitelang/duplicates.go
+++ b/internal/sitelang/duplicates.go
@@ -31,7 +31,7 @@
 	first := map[declarationKey]token.Pos{}
 	for _, src := range s.sources {
 		for _, declaration := range src.file.Decls {
-			name, body := section(declaration)
+			name, body := structField(declaration)
 			if collections[name] && body != nil {
 				s.reportDuplicateEntries(name, body, first)
 			}
@@ -39,8 +39,8 @@
 	}
 }
 
-// section returns the name and the struct of a field that is written as one; nil for any other declaration.
-func section(declaration ast.Decl) (string, *ast.StructLit) {
+// structField returns the name and the struct of a field that is written as one; nil for any other declaration.
+func structField(declaration ast.Decl) (string, *ast.StructLit) {
 	f, ok := declaration.(*ast.Field)
 	if !ok {
 		return "", nil
--- a/internal/sitelang/encode.go
+++ b/internal/sitelang/encode.go
@@ -5,8 +5,8 @@
 	"math/big"
 )
 
-// unknownNumber stands in a parallel list for a record that does not set the field.
-const unknownNumber = json.Number("0")
+// unsetNumber stands in a parallel list for a record that does not set the field.
+const unsetNumber = json.Number("0")
 
 // encoder builds the JSON form of a tree that has passed the checks.
 type encoder struct {
@@ -47,12 +47,12 @@
 }
 
 // encodeParallel writes a value into the list beside the list of its records. Records before it that have no value get
-// unknownNumber.
+// unsetNumber.
 func (e *encoder) encodeParallel(f *field, n *node, index int) {
 	value, _ := removePath(e.site, f.jsonPath) // none before the first record that sets the field
 	list, _ := value.([]any)
 	for len(list) <= index {
-		list = append(list, unknownNumber)
+		list = append(list, unsetNumber)
 	}
 	list[index] = e.encodeValue(f, f.valueType, n)
 	setPath(e.site, f.jsonPath, list)
--- a/internal/sitelang/finding.go
+++ b/internal/sitelang/finding.go
@@ -55,8 +55,8 @@
 	return slices.Compact(findings)
 }
 
-// Fatal reports whether there is an error among them.
-func (findings Findings) Fatal() bool {
+// HasErrors reports whether there is an error among them.
+func (findings Findings) HasErrors() bool {
 	return slices.ContainsFunc(findings, func(f Finding) bool { return f.Severity == Error })
 }
 
--- a/internal/sitelang/from_json.go
+++ b/internal/sitelang/from_json.go
@@ -33,7 +33,7 @@
 	if site == nil || decoder.More() {
 		return nil, errNotOneObject
 	}
-	w := &languageWriter{site: site}
+	w := &cueWriter{site: site}
 	w.writeRecord(siteRecord(), site, nil, 0)
 	if rest := pruneEmpty(site); len(rest) > 0 {
 		w.writeExtra(rest)
@@ -45,8 +45,8 @@
 	return out, nil
 }
 
-// languageWriter writes the site language and removes from the JSON form what it has written.
-type languageWriter struct {
+// cueWriter writes the site language and removes from the JSON form what it has written.
+type cueWriter struct {
 	buf  bytes.Buffer
 	site jsonObject // the whole JSON form: parallel lists lie outside of the records that they belong to
 }
@@ -56,7 +56,7 @@
 
 // writeRecord writes the fields of a record and removes them from object. A value that is not of the schema's type stays in
 // it. index is the record's place in the list that parallels belong to.
-func (w *languageWriter) writeRecord(r *record, object jsonObject, parallels parallelLists, index int) {
+func (w *cueWriter) writeRecord(r *record, object jsonObject, parallels parallelLists, index int) {
 	for _, f := range r.fields {
 		switch {
 		case f.name == fieldInclude || f.layout == layoutMerged: // no member of the JSON form is one of these
@@ -78,7 +78,7 @@
 }
 
 // writeParallel writes the value that a parallel list has for the record at index, if any.
-func (w *languageWriter) writeParallel(f *field, list []any, index int) {
+func (w *cueWriter) writeParallel(f *field, list []any, index int) {
 	if index >= len(list) {
 		return
 	}
@@ -88,7 +88,7 @@
 }
 
 // writeInlineRecord writes a record whose fields are members of its parent in the JSON form. An empty one is left out.
-func (w *languageWriter) writeInlineRecord(f *field, object jsonObject) {
+func (w *cueWriter) writeInlineRecord(f *field, object jsonObject) {
 	start := w.buf.Len()
 	fmt.Fprintf(&w.buf, "%s: {\n", f.name)
 	bodyStart := w.buf.Len()
@@ -101,7 +101,7 @@
 }
 
 // writeField writes one field. It returns false and writes nothing if the value is not of the schema's type.
-func (w *languageWriter) writeField(f *field, value any) bool {
+func (w *cueWriter) writeField(f *field, value any) bool {
 	start := w.buf.Len()
 	fmt.Fprintf(&w.buf, "%s: ", f.name)
 	if !w.writeValue(f, f.valueType, value) {
@@ -114,7 +114,7 @@
 
 // writeValue writes a value of type t. f is the field that it belongs to, or that has it in a list or map. If the value is
 // not of the type, writeValue returns false, and what it has written is of no use.
-func (w *languageWriter) writeValue(f *field, t *fieldType, value any) bool {
+func (w *cueWriter) writeValue(f *field, t *fieldType, value any) bool {
 	switch t.kind {
 	case kindRecord:
 		object, ok := value.(jsonObject)
@@ -139,7 +139,7 @@
 }
 
 // writeList writes a list. It returns false if the value is not of the schema's type.
-func (w *languageWriter) writeList(f *field, t *fieldType, value any) bool {
+func (w *cueWriter) writeList(f *field, t *fieldType, value any) bool {
 	list, ok := value.([]any)
 	if !ok {
 		return false
@@ -158,7 +158,7 @@
 }
 
 // writeUnknownMembers writes what an object has beyond the schema. It returns false if the record has no field for that.
-func (w *languageWriter) writeUnknownMembers(r *record, object jsonObject) bool {
+func (w *cueWriter) writeUnknownMembers(r *record, object jsonObject) bool {
 	rest := pruneEmpty(object)
 	if len(rest) == 0 {
 		return true
@@ -171,7 +171,7 @@
 }
 
 // writeExtra writes the field for what the schema doesn't describe.
-func (w *languageWriter) writeExtra(rest jsonObject) {
+func (w *cueWriter) writeExtra(rest jsonObject) {
 	text, _ := json.Marshal(rest) // decoded JSON always encodes
 	fmt.Fprintf(&w.buf, "%s: %s\n", fieldExtra, text)
 }
--- a/internal/sitelang/from_json_entries.go
+++ b/internal/sitelang/from_json_entries.go
@@ -8,7 +8,7 @@
 
 // writeEntries writes a map of the language from the object or the list that the JSON form has for it. It returns false
 // if the value is not of the schema's type.
-func (w *languageWriter) writeEntries(f *field, t *fieldType, value any) bool {
+func (w *cueWriter) writeEntries(f *field, t *fieldType, value any) bool {
 	if f.layout == layoutObject {
 		return w.writeObjectEntries(f, t, value)
 	}
@@ -26,7 +26,7 @@
 }
 
 // writeObjectEntries writes a map that is an object in the JSON form.
-func (w *languageWriter) writeObjectEntries(f *field, t *fieldType, value any) bool {
+func (w *cueWriter) writeObjectEntries(f *field, t *fieldType, value any) bool {
 	object, ok := value.(jsonObject)
 	if !ok {
 		return false
@@ -53,7 +53,7 @@
 }
 
 // writePairs writes a map that is a list of objects of two members in the JSON form. hasUniqueNames holds for the list.
-func (w *languageWriter) writePairs(f *field, t *fieldType, list []any) bool {
+func (w *cueWriter) writePairs(f *field, t *fieldType, list []any) bool {
 	const membersOfPair = 2
 	w.buf.WriteString("{\n")
 	for _, element := range list {
@@ -72,8 +72,8 @@
 }
 
 // writeRecordList writes a map that is a list of records in the JSON form. hasUniqueNames holds for the list.
-func (w *languageWriter) writeRecordList(f *field, t *fieldType, list []any) bool {
-	parallels := w.takeParallelLists(t, len(list))
+func (w *cueWriter) writeRecordList(f *field, t *fieldType, list []any) bool {
+	parallels := w.removeParallelLists(t, len(list))
 	ok := w.writeRecords(f, t, list, parallels)
 	if !ok {
 		w.restoreParallelLists(t, parallels)
@@ -81,7 +81,7 @@
 	return ok
 }
 
-func (w *languageWriter) writeRecords(f *field, t *fieldType, list []any, parallels parallelLists) bool {
+func (w *cueWriter) writeRecords(f *field, t *fieldType, list []any, parallels parallelLists) bool {
 	w.buf.WriteString("{\n")
 	for i, element := range list {
 		object := maps.Clone(element.(jsonObject))
@@ -112,9 +112,9 @@
 	return true
 }
 
-// takeParallelLists removes the lists beside a list of count records from the JSON form and returns them. A list that
+// removeParallelLists removes the lists beside a list of count records from the JSON form and returns them. A list that
 // doesn't match the records in length or type remains where it is.
-func (w *languageWriter) takeParallelLists(t *fieldType, count int) parallelLists {
+func (w *cueWriter) removeParallelLists(t *fieldType, count int) parallelLists {
 	out := parallelLists{}
 	if t.element.kind != kindRecord {
 		return out
@@ -146,7 +146,7 @@
 }
 
 // restoreParallelLists puts lists back into the JSON form.
-func (w *languageWriter) restoreParallelLists(t *fieldType, parallels parallelLists) {
+func (w *cueWriter) restoreParallelLists(t *fieldType, parallels parallelLists) {
 	for name, list := range parallels {
 		setPath(w.site, t.element.record.byName[name].jsonPath, list)
 	}
--- a/internal/sitelang/includes.go
+++ b/internal/sitelang/includes.go
@@ -11,8 +11,8 @@
 	"cuelang.org/go/cue/token"
 )
 
-// globCharacters are the characters by which a path is a pattern of filepath.Glob.
-const globCharacters = "*?["
+// globMetacharacters are the characters by which a path is a pattern of filepath.Glob.
+const globMetacharacters = "*?["
 
 // include is one entry of an include list.
 type include struct {
@@ -73,7 +73,7 @@
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(filepath.Dir(src.name), path)
 	}
-	if !strings.ContainsAny(inc.path, globCharacters) {
+	if !strings.ContainsAny(inc.path, globMetacharacters) {
 		s.addFile(path, inc.path, chain, inc.pos)
 		return
 	}
--- a/internal/sitelang/json_object.go
+++ b/internal/sitelang/json_object.go
@@ -66,16 +66,16 @@
 	return value
 }
 
-// dividedObjects are the objects of the JSON form whose members the language divides among several records, by name. Their
+// splitObjects are the objects of the JSON form whose members the language divides among several records, by name. Their
 // members are removed one by one, so they may be left empty, and are dropped then.
-var dividedObjects = map[string]bool{"settings": true, "limits": true, "routing": true}
+var splitObjects = map[string]bool{"settings": true, "limits": true, "routing": true}
 
 // pruneEmpty returns the object without the objects that became empty when their members were converted.
 func pruneEmpty(object jsonObject) jsonObject {
 	out := jsonObject{}
 	for name, value := range object {
 		inner, isObject := value.(jsonObject)
-		wasEmpty := isObject && len(inner) == 0 && !dividedObjects[name]
+		wasEmpty := isObject && len(inner) == 0 && !splitObjects[name]
 		if !isObject || wasEmpty {
 			out[name] = value
 			continue
--- a/internal/sitelang/limits.go
+++ b/internal/sitelang/limits.go
@@ -78,7 +78,7 @@
 		}
 		sum.Add(sum, share)
 	}
-	if allValid && sum.Cmp(oneWhole) != 0 {
+	if allValid && sum.Cmp(one) != 0 {
 		r.reportError(split, "", "%s: the parts come to %s %%, not to 100 %%", path, formatDecimal(sum.Mul(sum, percent)))
 	}
 	if len(split.members) == 1 {
--- a/internal/sitelang/reference.go
+++ b/internal/sitelang/reference.go
@@ -13,8 +13,8 @@
 	"own: patterns such as `[string]: {…}`, defaults, references, `if` and interpolation; `import` and `for` are refused.\n\n## Units\n\n" +
 	"| figure | units | example |\n| --- | --- | --- |\n"
 
-// Reference writes the language reference in Markdown, generated from the schema. Its errors are those of w.
-func Reference(w io.Writer) error {
+// WriteReference writes the language reference in Markdown, generated from the schema. Its errors are those of w.
+func WriteReference(w io.Writer) error {
 	if _, err := io.WriteString(w, referenceIntro); err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 		if !f.optional {
 			requiredMark = " *"
 		}
-		if _, err := fmt.Fprintf(w, "| `%s`%s | %s | %s |\n", f.name, requiredMark, f.describeCell(), strings.ReplaceAll(f.doc, "|", "or")); err != nil {
+		if _, err := fmt.Fprintf(w, "| `%s`%s | %s | %s |\n", f.name, requiredMark, f.tableCell(), strings.ReplaceAll(f.doc, "|", "or")); err != nil {
 			return err
 		}
 		for t := f.valueType; t != nil; t = t.element {
@@ -68,24 +68,24 @@
 	return nil
 }
 
-// describeCell returns what a field holds, for the reference's tables.
-func (f *field) describeCell() string {
-	out := f.valueType.describeCell()
+// tableCell returns what a field holds, for the reference's tables.
+func (f *field) tableCell() string {
+	out := f.valueType.tableCell()
 	if f.rangeText != "" {
 		out += ", " + f.rangeText
 	}
 	return out
 }
 
-// describeCell returns the type for the reference's tables. Lists, maps and records name what they hold.
-func (t *fieldType) describeCell() string {
+// tableCell returns the type for the reference's tables. Lists, maps and records name what they hold.
+func (t *fieldType) tableCell() string {
 	switch t.kind {
 	case kindRecord:
 		return "a record: " + strings.TrimPrefix(t.record.name, "#")
 	case kindMap:
-		return "by name: " + strings.TrimPrefix(t.element.describeCell(), "a record: ")
+		return "by name: " + strings.TrimPrefix(t.element.tableCell(), "a record: ")
 	case kindList:
-		return "a list: " + t.element.describeCell()
+		return "a list: " + t.element.tableCell()
 	case kindUntyped:
 		return "any members"
 	case kindEnum:
--- a/internal/sitelang/route_check.go
+++ b/internal/sitelang/route_check.go
@@ -97,7 +97,7 @@
 
 // checkUnreachedRoutes warns of routes whose connections all match other routes.
 func (c *checker) checkUnreachedRoutes(site *node, set *routing.Set, table *routing.Table) {
-	unreached, err := table.UnreachedRoutes(SpaceOf(set, site.member("class").memberNames()))
+	unreached, err := table.UnreachedRoutes(MatchSpaceOf(set, site.member("class").memberNames()))
 	if err != nil {
 		c.report(site.pos, Warning, "the routes are too many to look for some that are never reached: "+err.Error(), "")
 	}
@@ -167,8 +167,8 @@
 	return "a next hop " + strings.Join(conditions, " and ")
 }
 
-// SpaceOf returns the classes, listeners and zones that a connection can have under a set of routes.
-func SpaceOf(set *routing.Set, classes []string) routing.MatchSpace {
+// MatchSpaceOf returns the classes, listeners and zones that a connection can have under a set of routes.
+func MatchSpaceOf(set *routing.Set, classes []string) routing.MatchSpace {
 	space := routing.MatchSpace{Classes: classes, Listeners: []string{routing.MainListener}}
 	for name := range set.Listeners {
 		space.Listeners = append(space.Listeners, name)
--- a/internal/sitelang/site.go
+++ b/internal/sitelang/site.go
@@ -17,22 +17,22 @@
 
 // Site is a configuration that has been checked and compiled.
 type Site struct {
-	JSON     []byte             // the form that a proxy runs from
-	Files    []string           // all files that were read, the root first
-	Set      routing.Set        // pools, policies and routes, completed as a proxy does it
-	Table    *routing.Table     // compiled from Set
-	Space    routing.MatchSpace // what a connection can be, for comparisons of tables
-	Settings balancer.Settings
-	Known    discovery.List // the endpoints that the configuration itself lists
+	JSON           []byte             // the form that a proxy runs from
+	Files          []string           // all files that were read, the root first
+	RoutingSet     routing.Set        // pools, policies and routes, completed as a proxy does it
+	RoutingTable   *routing.Table     // compiled from RoutingSet
+	MatchSpace     routing.MatchSpace // what a connection can be, for comparisons of tables
+	Settings       balancer.Settings
+	KnownEndpoints discovery.List // the endpoints that the configuration itself lists
 }
 
 // Load reads a file and what it includes, checks all of it and compiles it. It returns a site if no finding is an
 // error. A file whose name ends in .json is read as the JSON form.
-func Load(path string) (*Site, Findings) { return LoadAgainst(path, nil) }
+func Load(path string) (*Site, Findings) { return LoadWithEndpoints(path, nil) }
 
-// LoadAgainst does what Load does, and checks the pools against an endpoint list; nil stands for the list of the site
+// LoadWithEndpoints does what Load does, and checks the pools against an endpoint list; nil stands for the list of the site
 // itself.
-func LoadAgainst(path string, list *discovery.List) (*Site, Findings) {
+func LoadWithEndpoints(path string, list *discovery.List) (*Site, Findings) {
 	if strings.HasSuffix(path, ".json") {
 		return loadJSON(path, list)
 	}
@@ -45,12 +45,12 @@
 	s := newSourceSet()
 	text, err := os.ReadFile(path)
 	if err != nil {
-		s.reportIn(path, token.NoPos, Error, fmt.Sprintf("file %q %s", path, describeReadError(err)), "")
+		s.reportInFile(path, token.NoPos, Error, fmt.Sprintf("file %q %s", path, describeReadError(err)), "")
 		return nil, s.findings
 	}
 	converted, err := FromJSON(text)
 	if err != nil {
-		s.reportIn(path, token.NoPos, Error, err.Error(), "")
+		s.reportInFile(path, token.NoPos, Error, err.Error(), "")
 		return nil, s.findings
 	}
 	s.addText(path, converted)
@@ -79,7 +79,7 @@
 func (s *sourceSet) compile(list *discovery.List) (*Site, Findings) {
 	site := s.compileSite(list)
 	findings := s.findings.sorted()
-	if findings.Fatal() {
+	if findings.HasErrors() {
 		return nil, findings
 	}
 	return site, findings
@@ -88,7 +88,7 @@
 // compileSite does the work of compile and reports the findings. It goes on after errors as far as the next step does not
 // depend on what is wrong.
 func (s *sourceSet) compileSite(list *discovery.List) *Site {
-	if s.findings.Fatal() { // a file that is missing or has syntax errors; what would follow from that misleads
+	if s.findings.HasErrors() { // a file that is missing or has syntax errors; what would follow from that misleads
 		return nil
 	}
 	tree := s.evaluate()
@@ -98,7 +98,7 @@
 	c := &checker{sourceSet: s, invalid: map[*node]bool{}}
 	c.checkRecord(siteRecord(), tree, "", token.NoPos)
 	c.checkReferences(tree)
-	if s.findings.Fatal() {
+	if s.findings.HasErrors() {
 		return nil
 	}
 	site, err := newSite(tree)
@@ -107,10 +107,10 @@
 		return nil
 	}
 	if list == nil {
-		list = &site.Known
+		list = &site.KnownEndpoints
 	}
-	site.Space = SpaceOf(&site.Set, tree.member("class").memberNames())
-	site.Table = c.compileRoutes(tree, &site.Set, ActiveEndpoints(list))
+	site.MatchSpace = MatchSpaceOf(&site.RoutingSet, tree.member("class").memberNames())
+	site.RoutingTable = c.compileRoutes(tree, &site.RoutingSet, ActiveEndpoints(list))
 	for _, src := range s.sources {
 		site.Files = append(site.Files, src.name)
 	}
@@ -148,18 +148,18 @@
 		return err
 	}
 	if parts.Known != nil {
-		if s.Known, err = discovery.ParseList(parts.Known); err != nil {
+		if s.KnownEndpoints, err = discovery.ParseList(parts.Known); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
 	if parts.Routing != nil {
 		decoder := json.NewDecoder(bytes.NewReader(parts.Routing))
 		decoder.DisallowUnknownFields()
-		if err := decoder.Decode(&s.Set); err != nil {
+		if err := decoder.Decode(&s.RoutingSet); err != nil {
 			return fmt.Errorf("routing: %w", err)
 		}
 	}
-	s.Set = s.Set.WithDefaults()
+	s.RoutingSet = s.RoutingSet.WithDefaults()
 	return nil
 }
 
--- a/internal/sitelang/sitelang_test.go
+++ b/internal/sitelang/sitelang_test.go
@@ -36,7 +36,7 @@
 		if len(findings) == 0 {
 			t.Errorf("%s: no finding", file)
 		}
-		if (site == nil) != findings.Fatal() {
+		if (site == nil) != findings.HasErrors() {
 			t.Errorf("%s: site %v", file, site != nil)
 		}
 		wantFile := strings.TrimSuffix(file, ".cue") + ".want"
@@ -106,7 +106,7 @@
 	checkRoundTrip(t, []byte(strings.Replace(string(text), `"name":"`, `"name":"<\\u003c>`, 1)))
 	site := mustLoad(t, "testdata/base.cue")
 	again := checkRoundTrip(t, site.JSON)
-	testkit.Equal(t, "routes", site.Set, again.Set)
+	testkit.Equal(t, "routes", site.RoutingSet, again.RoutingSet)
 }
 
 func checkRoundTrip(t *testing.T, text []byte) *Site {
@@ -155,7 +155,7 @@
 		site, findings := Compile("x.cue", cue)
 		if site == nil {
 			// The change made the site invalid, so there is nothing to compare.
-			if !findings.Fatal() {
+			if !findings.HasErrors() {
 				rt.Fatal("no site and no error")
 			}
 			return
@@ -351,7 +351,7 @@
 	swapLink(t, dir, folders)
 	for range 30 {
 		s := readSources(root)
-		if s.findings.Fatal() {
+		if s.findings.HasErrors() {
 			for _, f := range s.findings {
 				if !strings.Contains(f.Message, "changes while it is read") && !strings.Contains(f.Message, "does not exist") {
 					t.Fatal(f)
@@ -411,7 +411,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		site, findings := Compile("x.cue", text)
-		if (site == nil) != findings.Fatal() {
+		if (site == nil) != findings.HasErrors() {
 			t.Fatalf("site %v with %v", site != nil, findings)
 		}
 		if once, _ := Format("x.cue", text); once != nil {
--- a/internal/sitelang/sources.go
+++ b/internal/sitelang/sources.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// settleTime is the age from which on a file counts as completely written. A younger one is checked again.
-	settleTime = 100 * time.Millisecond
+	// minSettledAge is the age from which on a file counts as completely written. A younger one is checked again.
+	minSettledAge = 100 * time.Millisecond
 	// maxClockSkew is how far in the future a modification time may lie and still count as young.
 	maxClockSkew = time.Hour
 )
@@ -54,11 +54,11 @@
 
 // report adds a finding at a position. One without a file is reported in the root file.
 func (s *sourceSet) report(pos token.Pos, severity Severity, message, resolution string) {
-	s.reportIn(s.rootFile(), pos, severity, message, resolution)
+	s.reportInFile(s.rootFile(), pos, severity, message, resolution)
 }
 
-// reportIn adds a finding at a position. file is named if the position has none of its own.
-func (s *sourceSet) reportIn(file string, pos token.Pos, severity Severity, message, resolution string) {
+// reportInFile adds a finding at a position. file is named if the position has none of its own.
+func (s *sourceSet) reportInFile(file string, pos token.Pos, severity Severity, message, resolution string) {
 	f := Finding{File: file, Severity: severity, Message: message, Resolution: resolution}
 	if pos.IsValid() {
 		f.Line = pos.Line()
@@ -90,10 +90,10 @@
 		}
 		if attempt == maxReadAttempts {
 			s.findings = nil
-			s.reportIn(changed, token.NoPos, Error, "the file changes while it is read", "write it beside its place and rename it")
+			s.reportInFile(changed, token.NoPos, Error, "the file changes while it is read", "write it beside its place and rename it")
 			return s
 		}
-		time.Sleep(settleTime)
+		time.Sleep(minSettledAge)
 	}
 }
 
@@ -132,10 +132,10 @@
 func (s *sourceSet) awaitSettled() {
 	isYoung := func(src *source) bool {
 		age := time.Since(src.info.ModTime())
-		return -maxClockSkew < age && age < settleTime
+		return -maxClockSkew < age && age < minSettledAge
 	}
 	if slices.ContainsFunc(s.sources, isYoung) {
-		time.Sleep(settleTime)
+		time.Sleep(minSettledAge)
 	}
 }
 
@@ -152,7 +152,7 @@
 func (s *sourceSet) addFile(name, displayName string, chain []*source, pos token.Pos) {
 	realPath, err := s.resolveLinks(name)
 	if err != nil {
-		s.reportIn(name, pos, Error, fmt.Sprintf("file %q %s", displayName, describeReadError(err)), "")
+		s.reportInFile(name, pos, Error, fmt.Sprintf("file %q %s", displayName, describeReadError(err)), "")
 		return
 	}
 	if cycle := includeCycle(chain, realPath); cycle != nil {
@@ -170,7 +170,7 @@
 	src := &source{name: name, realPath: realPath}
 	s.byRealPath[realPath] = src
 	if err := src.read(); err != nil {
-		s.reportIn(name, pos, Error, fmt.Sprintf("file %q %s", displayName, describeReadError(err)), "")
+		s.reportInFile(name, pos, Error, fmt.Sprintf("file %q %s", displayName, describeReadError(err)), "")
 		return
 	}
 	s.sources = append(s.sources, src)
--- a/internal/sitelang/suggest.go
+++ b/internal/sitelang/suggest.go
@@ -9,8 +9,8 @@
 // maxSuggestionBytes is the length up to which names are compared for a suggestion.
 const maxSuggestionBytes = 64
 
-// tooFar is the distance of names that are too long to be compared.
-const tooFar = math.MaxInt
+// incomparableDistance is the distance of names that are too long to be compared.
+const incomparableDistance = math.MaxInt
 
 // closestName returns the known name that a mistyped one most likely means; "" if none is similar.
 func closestName(name string, known []string) string {
@@ -27,10 +27,10 @@
 }
 
 // editDistance is the optimal string alignment distance: the number of bytes to insert, delete, replace or swap with
-// their neighbor. Names of over maxSuggestionBytes are tooFar from any other.
+// their neighbor. It returns incomparableDistance if a name is longer than maxSuggestionBytes.
 func editDistance(a, b string) int {
 	if len(a) > maxSuggestionBytes || len(b) > maxSuggestionBytes {
-		return tooFar
+		return incomparableDistance
 	}
 	rows := [3][]int{make([]int, len(b)+1), make([]int, len(b)+1), make([]int, len(b)+1)}
 	for j := range rows[1] {
--- a/internal/sitelang/units.go
+++ b/internal/sitelang/units.go
@@ -33,8 +33,8 @@
 	return r
 }
 
-// oneWhole is the number 1, as which a share's whole is written too. It must not be changed.
-var oneWhole = mustRational("1")
+// one is the number 1, as which a share's whole is written too. It must not be changed.
+var one = mustRational("1")
 
 // The quantities. Their base units are second, per second, MiB and ratio.
 var (
@@ -43,7 +43,7 @@
 		units: []unit{
 			{name: "us", factor: mustRational("1/1000000")},
 			{name: "ms", factor: mustRational("1/1000")},
-			{name: "s", factor: oneWhole},
+			{name: "s", factor: one},
 			{name: "min", factor: mustRational("60"), parseOnly: true},
 			{name: "h", factor: mustRational("3600"), parseOnly: true},
 			{name: "d", factor: mustRational("86400"), parseOnly: true},
@@ -56,7 +56,7 @@
 		units: []unit{
 			{name: "/h", factor: mustRational("1/3600"), parseOnly: true},
 			{name: "/min", factor: mustRational("1/60"), parseOnly: true},
-			{name: "/s", factor: oneWhole},
+			{name: "/s", factor: one},
 		},
 		commonUnits: [2]string{"/s", "/min"},
 		example:     "20/s",
@@ -66,7 +66,7 @@
 		units: []unit{
 			{name: "B", factor: mustRational("1/1048576"), parseOnly: true},
 			{name: "KiB", factor: mustRational("1/1024"), parseOnly: true},
-			{name: "MiB", factor: oneWhole},
+			{name: "MiB", factor: one},
 			{name: "GiB", factor: mustRational("1024")},
 		},
 		commonUnits: [2]string{"MiB", "KiB"},
@@ -98,7 +98,7 @@
 }
 
 // baseJSONUnit is the unit of a field whose @json attribute names none.
-var baseJSONUnit = &jsonUnit{factor: oneWhole}
+var baseJSONUnit = &jsonUnit{factor: one}
 
 // jsonUnits are the units by their names in @json attributes.
 var jsonUnits = map[string]*jsonUnit{
@@ -165,7 +165,7 @@
 		scaled := new(big.Rat).Quo(value, u.factor)
 		number := formatDecimal(scaled)
 		cost := len(number)
-		if scaled.Cmp(oneWhole) < 0 && value.Sign() != 0 {
+		if scaled.Cmp(one) < 0 && value.Sign() != 0 {
 			cost += belowOnePenalty
 		}
 		isPreferred := u.name == q.commonUnits[0]
--- a/internal/sitereport/diff.go
+++ b/internal/sitereport/diff.go
@@ -34,12 +34,12 @@
 // well, and the first endpoints of keysPerClass keys of each class; the keys are the same at each call. It fails if the routes
 // are too many to be compared.
 func NewDiff(current, proposed *sitelang.Site, list *discovery.List, keysPerClass int, now balancer.Instant) (*Diff, error) {
-	space := unionSpace(&current.Space, &proposed.Space)
-	changes, err := routing.Diff(current.Table, proposed.Table, space)
+	space := unionSpace(&current.MatchSpace, &proposed.MatchSpace)
+	changes, err := routing.Diff(current.RoutingTable, proposed.RoutingTable, space)
 	if err != nil {
 		return nil, err
 	}
-	d := &Diff{Changes: changes, Pools: poolChanges(&current.Set, &proposed.Set)}
+	d := &Diff{Changes: changes, Pools: poolChanges(&current.RoutingSet, &proposed.RoutingSet)}
 	if list == nil {
 		return d, nil
 	}
@@ -99,8 +99,8 @@
 func endpointChanges(before, after *sitePools, list *discovery.List) []string {
 	var out []string
 	for _, endpoint := range sitelang.ActiveEndpoints(list) {
-		from := before.describePoolOf(endpoint.ID)
-		to := after.describePoolOf(endpoint.ID)
+		from := before.describePool(endpoint.ID)
+		to := after.describePool(endpoint.ID)
 		if from != to {
 			out = append(out, fmt.Sprintf("next hop %q goes from %s to %s", endpoint.ID, from, to))
 		}
@@ -108,13 +108,13 @@
 	return out
 }
 
-// describePoolOf names the pool that an endpoint belongs to.
-func (p *sitePools) describePoolOf(endpoint string) string {
-	pool := p.owners.PoolOf(endpoint)
+// describePool names the pool that an endpoint belongs to.
+func (p *sitePools) describePool(endpoint string) string {
+	pool := p.membership.PoolOf(endpoint)
 	if pool < 0 {
 		return "no pool"
 	}
-	return fmt.Sprintf("pool %q", p.site.Set.Pools[pool].Name)
+	return fmt.Sprintf("pool %q", p.site.RoutingSet.Pools[pool].Name)
 }
 
 // countMovedKeys compares the first endpoint of generated keys in both versions.
@@ -143,12 +143,12 @@
 func (p *sitePools) placement(connection *routing.ConnectionAttributes) string {
 	local := *connection
 	local.Zone = p.site.Settings.Zone
-	local.Fields = make([]string, len(p.site.Table.FieldNames))
-	decision, ok := p.site.Table.Decide(&local)
+	local.Fields = make([]string, len(p.site.RoutingTable.FieldNames))
+	decision, ok := p.site.RoutingTable.Decide(&local)
 	if !ok {
 		return noEndpoint
 	}
-	for _, pool := range append([]int{decision.Pool}, p.site.Table.Fallbacks(decision)...) {
+	for _, pool := range append([]int{decision.Pool}, p.site.RoutingTable.Fallbacks(decision)...) {
 		if endpoint := p.firstEndpoint(pool, &local); endpoint != "" {
 			return endpoint
 		}
--- a/internal/sitereport/explain.go
+++ b/internal/sitereport/explain.go
@@ -51,8 +51,8 @@
 		return out, nil
 	}
 	connection := newConnection(site, &open, listener)
-	out.Routes = site.Table.Candidates(connection)
-	decision, ok := site.Table.Decide(connection)
+	out.Routes = site.RoutingTable.Candidates(connection)
+	decision, ok := site.RoutingTable.Decide(connection)
 	if !ok {
 		out.Conclusion = "no route matches and there is no default: the connection fails"
 		return out, nil
@@ -61,7 +61,7 @@
 	if !open.HasWait {
 		timeout = site.Settings.Classes[class].Timeout
 	}
-	progress, _ := site.Table.BeginRequest(decision, routing.Usage{}, noUsage) // nothing is in use, so no limit is reached
+	progress, _ := site.RoutingTable.BeginRequest(decision, routing.Usage{}, noUsage) // nothing is in use, so no limit is reached
 	deadline := progress.Deadline(now, now+timeout)
 	out.describeDecision(site, decision, &progress)
 	out.Deadline = (deadline - now).String()
@@ -76,7 +76,7 @@
 // newConnection returns what routing sees of a connection with this first line.
 func newConnection(site *sitelang.Site, open *lineprotocol.Open, listener string) *routing.ConnectionAttributes {
 	connection := &routing.ConnectionAttributes{Class: open.Class, Key: open.Key, Group: open.Group, Zone: site.Settings.Zone, Listener: listener}
-	for _, name := range site.Table.FieldNames {
+	for _, name := range site.RoutingTable.FieldNames {
 		value, _ := open.Field(name) // a line without the field matches as one with the value ""
 		connection.Fields = append(connection.Fields, value)
 	}
@@ -88,12 +88,12 @@
 
 // describeDecision fills in the route, its pools and its policy.
 func (e *Explanation) describeDecision(site *sitelang.Site, decision routing.Decision, progress *routing.RequestProgress) {
-	set := &site.Set
+	set := &site.RoutingSet
 	e.Route = set.Routes[decision.Route].Name
 	e.Pool = set.Pools[decision.Pool].Name
 	e.Policy = progress.Policy.Name
 	e.SplitPosition = fmt.Sprintf("%s of the way through the split", routing.Percent(decision.SplitPosition))
-	for _, pool := range site.Table.Fallbacks(decision) {
+	for _, pool := range site.RoutingTable.Fallbacks(decision) {
 		e.Fallback = append(e.Fallback, set.Pools[pool].Name)
 	}
 	e.MaxAttempts = progress.AttemptsLeft(site.Settings.Limits.Attempts)
@@ -105,7 +105,7 @@
 	attemptLimit := site.Settings.Limits.Attempts
 	previousPool := ""
 	for {
-		pool := site.Set.Pools[progress.Pool].Name
+		pool := site.RoutingSet.Pools[progress.Pool].Name
 		endpoints := pools.attemptOrder(progress, connection, deadline, attemptLimit)
 		for i, endpoint := range endpoints {
 			reason := firstAttemptReason(pool, previousPool)
@@ -115,11 +115,11 @@
 			e.Attempts = append(e.Attempts, Attempt{Pool: pool, Endpoint: endpoint, Reason: reason})
 		}
 		previousPool = pool
-		if !pools.advance(progress, deadline) {
+		if !pools.advanceToNextPool(progress, deadline) {
 			break
 		}
 	}
-	e.Conclusion = fmt.Sprintf("if all of these are full: BUSY, once pool %q has refused", site.Set.Pools[progress.Pool].Name)
+	e.Conclusion = fmt.Sprintf("if all of these are full: BUSY, once pool %q has refused", site.RoutingSet.Pools[progress.Pool].Name)
 	if len(e.Attempts) == 0 {
 		e.Conclusion = "no next hop takes it: BUSY at once"
 	}
--- a/internal/sitereport/pools.go
+++ b/internal/sitereport/pools.go
@@ -15,18 +15,18 @@
 
 // sitePools are the pools of a site, each with a balancer that knows the pool's part of an endpoint list.
 type sitePools struct {
-	site      *sitelang.Site
-	owners    *routing.PoolMembership
-	balancers []*balancer.Balancer // by pool
-	now       balancer.Instant
-	requests  int // made by firstEndpoint so far, for their ids
+	site       *sitelang.Site
+	membership *routing.PoolMembership
+	balancers  []*balancer.Balancer // by pool
+	now        balancer.Instant
+	requests   int // made by firstEndpoint so far, for their ids
 }
 
 // newSitePools returns the pools in the state that a proxy of the site has after it received the list. Each balancer draws from
 // its pool's position as the seed, so the same list gives the same answers. It fails if the site's settings are not valid.
 func newSitePools(site *sitelang.Site, list *discovery.List, now balancer.Instant) (*sitePools, error) {
-	p := &sitePools{site: site, owners: routing.NewPoolMembership(&site.Set, site.Settings.Rules.WarmUp), now: now}
-	for i, update := range p.owners.ApplyList(now, balancer.CachedList, list.Generation, list.Entries()) {
+	p := &sitePools{site: site, membership: routing.NewPoolMembership(&site.RoutingSet, site.Settings.Rules.WarmUp), now: now}
+	for i, update := range p.membership.ApplyList(now, balancer.CachedList, list.Generation, list.Entries()) {
 		settings := site.Settings
 		settings.Subscribe = false // there is no discovery to ask
 		b, err := balancer.New(settings, uint64(i)+1)
@@ -89,8 +89,8 @@
 	return endpoints
 }
 
-// advance moves a request that its current pool has rejected on to the next pool of its policy, and reports whether there is one.
-func (p *sitePools) advance(progress *routing.RequestProgress, deadline balancer.Instant) bool {
+// advanceToNextPool moves a request that its current pool has rejected on to the next pool of its policy, and reports whether there is one.
+func (p *sitePools) advanceToNextPool(progress *routing.RequestProgress, deadline balancer.Instant) bool {
 	settings := &p.site.Settings
 	rejection := routing.Rejection{
 		Remaining:    deadline - p.now,
@@ -98,5 +98,5 @@
 		AttemptLimit: settings.Limits.Attempts,
 		RetryIsSafe:  true, // a full endpoint has executed nothing
 	}
-	return progress.NextPool(p.site.Table, rejection, noUsage) == routing.Proceed
+	return progress.NextPool(p.site.RoutingTable, rejection, noUsage) == routing.Proceed
 }
