--- a/internal/sitelang/check.go
+++ b/internal/sitelang/check.go
@@ -15,7 +15,7 @@
 // checker checks an evaluated site: each value against the schema, and the parts of the site against one another.
 type checker struct {
 	*sourceSet
-	invalid map[*node]bool // nodes with a reported error, and all that contain them
+	invalid map[*node]bool // nodes with a reported error, and every node that contains one
 }
 
 // reportError reports an error at a node and marks the node as invalid.
@@ -29,7 +29,7 @@
 	c.report(n.pos, Warning, fmt.Sprintf(format, args...), resolution)
 }
 
-// joinPath appends a name to a path, quoted where it is no CUE identifier.
+// joinPath appends a name to a path. It quotes a name that is not a CUE identifier.
 func joinPath(path, name string) string {
 	if !ast.IsValidIdent(name) {
 		name = strconv.Quote(name)
@@ -37,8 +37,8 @@
 	return strings.TrimPrefix(path+"."+name, ".")
 }
 
-// checkRecord checks the fields of a record and reports whether all are valid. pos is where a missing one is reported, which
-// is the root file where pos has no file.
+// checkRecord checks the fields of a record and reports whether all are valid. It reports missing fields at pos, or in the
+// root file if pos has no file.
 func (c *checker) checkRecord(r *record, n *node, path string, pos token.Pos) bool {
 	valid := true
 	var fieldNames []string
@@ -68,7 +68,7 @@
 	return valid
 }
 
-// describeRecord returns a record's path for a finding's text.
+// describeRecord returns the text by which findings name the record at path.
 func describeRecord(path string) string {
 	if path == "" {
 		return "a site"
@@ -76,7 +76,7 @@
 	return path
 }
 
-// formOfKind is the form that a value of each kind has.
+// formOfKind maps each kind to the form of its values.
 var formOfKind = map[kind]nodeForm{
 	kindString:   formString,
 	kindAddress:  formString,
@@ -91,7 +91,7 @@
 	kindUntyped:  formStruct,
 }
 
-// checkValue checks one value of a field, or of the lists and maps in it, and reports whether it is valid.
+// checkValue checks a field's value, or an element of a list or map in that value, and reports whether it is valid.
 func (c *checker) checkValue(f *field, t *fieldType, n *node, path string, pos token.Pos) bool {
 	if n.form == formInvalid {
 		c.invalid[n] = true
@@ -130,7 +130,7 @@
 	return valid
 }
 
-// checkEntries checks a map: that it is not empty where it is required, and each entry.
+// checkEntries checks each entry of a map. The map of a required field must not be empty.
 func (c *checker) checkEntries(f *field, t *fieldType, n *node, path string) bool {
 	if len(n.members) == 0 && !f.optional {
 		c.reportError(n, "", "%s is empty", path)
@@ -147,10 +147,10 @@
 	return valid
 }
 
-// fieldsAllowingEmptyList are the fields of any record for which an empty list has a meaning.
+// fieldsAllowingEmptyList are the names of the fields, in any record, for which an empty list has a meaning.
 var fieldsAllowingEmptyList = []string{"instances", "was", "fallback"}
 
-// checkElements checks a list: that it is not empty, but where that has a meaning, and each element.
+// checkElements checks each element of a list. The list must not be empty unless fieldsAllowingEmptyList names its field.
 func (c *checker) checkElements(f *field, t *fieldType, n *node, path string) bool {
 	if len(n.elements) == 0 && !slices.Contains(fieldsAllowingEmptyList, f.name) {
 		c.reportError(n, "leave it out where everything is meant", "%s is an empty list, which nothing satisfies", path)
@@ -196,8 +196,8 @@
 	return false
 }
 
-// checkAddress checks a numeric address with a port. Port 0 lets the system choose, which only a listener can; discovery
-// is the one address of a site that the proxy dials.
+// checkAddress checks a numeric address with a port. Port 0, by which the system chooses a port, is valid for a listener
+// only. The address of discovery is the only one in a site that the proxy dials.
 func (c *checker) checkAddress(f *field, n *node, path string) bool {
 	address, err := netip.ParseAddrPort(n.text)
 	isDialed := slices.Equal(f.jsonPath, []string{"discovery"})
@@ -217,7 +217,7 @@
 	return true
 }
 
-// checkRange checks a number against the field's range. text is the number as the site has it.
+// checkRange checks a number against the field's range. text is the number as written in the site.
 func (c *checker) checkRange(f *field, value *big.Rat, text string, n *node, path string) bool {
 	if f.low != nil && value.Cmp(f.low) < 0 || f.high != nil && value.Cmp(f.high) > 0 {
 		c.reportError(n, "", "%s is %s, out of its range from %s", path, text, f.rangeText)
--- a/internal/sitelang/cue_messages.go
+++ b/internal/sitelang/cue_messages.go
@@ -9,15 +9,15 @@
 	"cuelang.org/go/cue/errors"
 )
 
-// cueMessage translates one kind of message of CUE's parser or evaluator. In message and resolution, %1 stands for the
-// pattern's first group, %2 for the second one.
+// cueMessage translates one kind of message of CUE's parser or evaluator. In message and resolution, %1 is replaced by the
+// pattern's first group, %2 by the second, and so on.
 type cueMessage struct {
 	pattern    *regexp.Regexp
 	message    string
 	resolution string
 }
 
-// cueMessages are tried in order.
+// cueMessages are tried in order; the first one whose pattern matches is used.
 var cueMessages = []cueMessage{
 	{regexp.MustCompile(`^(?:invalid string: )?string literal not terminated`), "a text has no closing quote", `end it with "`},
 	{regexp.MustCompile(`^(?:invalid string: )?comment not terminated`), "a comment has no end", ""},
@@ -33,29 +33,29 @@
 	{regexp.MustCompile(`^missing ',' in (.+)`), "a comma is missing in a %1", ""},
 	{regexp.MustCompile(`^illegal character NUL`), "the file holds a NUL byte", "is it a text?"},
 	{regexp.MustCompile(`^illegal UTF-8 encoding`), "the file holds bytes that are not UTF-8", "save it as UTF-8"},
-	{regexp.MustCompile(`^illegal byte order mark`), "a byte order mark stands in the middle of the file", "take it out"},
+	{regexp.MustCompile(`^illegal byte order mark`), "a byte order mark is in the middle of the file", "remove it"},
 	{regexp.MustCompile(`^illegal character (.+)`), "the character %1 has no meaning here", ""},
 	{regexp.MustCompile(`^illegal (.+) number`), "this is no %1 number", ""},
 	{regexp.MustCompile(`^illegal .* in number|^illegal exponent`), "this is no number", ""},
 	{regexp.MustCompile(`escape sequence`), `a \ in a text that begins nothing known`, `write \\ for the character itself`},
-	{regexp.MustCompile(`^expression exceeds maximum nesting depth`), "records or lists lie too deep in one another", ""},
+	{regexp.MustCompile(`^expression exceeds maximum nesting depth`), "records or lists are nested too deeply", ""},
 	{regexp.MustCompile(`^reference "([^"]+)" not found`), "%1 is not declared anywhere", `is it a text? then write "%1"`},
 	{regexp.MustCompile(`^undefined field: (.+)`), "there is no field %1", ""},
 	{regexp.MustCompile(`^conflicting values (.+) and (.+) \(mismatched types (.+) and (.+)\)`), "it is %1 in one place and %2 in another", "keep one of the two"},
 	{regexp.MustCompile(`^conflicting values (.+) and (.+)`), "it is %1 in one place and %2 in another", "keep one of the two"},
 	{regexp.MustCompile(`^incompatible list lengths`), "it is a list in two places, of different lengths", "keep one of the two"},
-	{regexp.MustCompile(`^invalid value (.+) \(out of bound (.+)\)`), "%1 is not %2, as a pattern of the file wants it", ""},
-	{regexp.MustCompile(`structural cycle|cyclic reference|cycle error|cycle with`), "it refers to itself in a circle", "say it in so many words in one place"},
+	{regexp.MustCompile(`^invalid value (.+) \(out of bound (.+)\)`), "%1 is not %2, which a pattern of the file requires", ""},
+	{regexp.MustCompile(`structural cycle|cyclic reference|cycle error|cycle with`), "it refers to itself in a cycle", "write the value out in one place"},
 	{regexp.MustCompile(`^empty disjunction|^\d+ errors in empty disjunction`), "none of its alternatives fits", ""},
 	{regexp.MustCompile(`^field not allowed|not allowed`), "it does not belong here", ""},
-	{regexp.MustCompile(`^unsupported|^invalid operand|^cannot use|^invalid operation`), "these values cannot be combined so", ""},
+	{regexp.MustCompile(`^unsupported|^invalid operand|^cannot use|^invalid operation`), "these values cannot be combined in this way", ""},
 	{regexp.MustCompile(`division by zero`), "it divides by 0", ""},
-	{regexp.MustCompile(`incomplete|non-concrete|not concrete`), "it cannot be worked out, since a part of it has no value", ""},
-	{regexp.MustCompile(`^unreferenced alias or let clause (.+)`), "let %1 is used nowhere", "take it out"},
-	{regexp.MustCompile(`^package name`), "files of one configuration have no package names that differ", ""},
+	{regexp.MustCompile(`incomplete|non-concrete|not concrete`), "it cannot be evaluated because a part of it has no value", ""},
+	{regexp.MustCompile(`^unreferenced alias or let clause (.+)`), "let %1 is never used", "remove it"},
+	{regexp.MustCompile(`^package name`), "the files of one configuration have different package names", "remove the package clauses"},
 }
 
-// translateCUEMessage returns the text and the resolution of a finding for a message of CUE.
+// translateCUEMessage returns the message and the resolution of a finding for a message of CUE.
 func translateCUEMessage(text string) (message, resolution string) {
 	text = strings.TrimSpace(text)
 	for _, translation := range cueMessages {
@@ -72,10 +72,10 @@
 		}
 		return message, resolution
 	}
-	return "this cannot be understood", "compare it with the language reference"
+	return "this is not valid in the site language", "compare it with the language reference"
 }
 
-// tokenNames are the names of CUE's tokens in findings.
+// tokenNames maps the tokens in CUE's messages to their names in findings.
 var tokenNames = map[string]string{
 	"operand":        "a value",
 	"label or ':'":   "a name or a colon",
@@ -106,8 +106,8 @@
 	return token
 }
 
-// reportSyntaxErrors reports a parser's errors, the first of each line: those after it mostly follow from it. file is the one
-// that was parsed.
+// reportSyntaxErrors reports a parser's errors in file. It reports only the first error of each line, because the others are
+// mostly consequences of it.
 func (s *sourceSet) reportSyntaxErrors(file string, err error) {
 	reportedLines := map[int]bool{}
 	for _, e := range errors.Errors(err) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// reportEvaluationErrors reports the evaluator's errors. file is named where an error has no position; "" is the first
-// file.
+// reportEvaluationErrors reports the evaluator's errors. An error without a position is reported in file, or in the root
+// file if file is "".
 func (s *sourceSet) reportEvaluationErrors(file string, err error) {
 	if file == "" {
 		file = s.rootFile()
--- a/internal/sitelang/duplicates.go
+++ b/internal/sitelang/duplicates.go
@@ -7,8 +7,8 @@
 	"cuelang.org/go/cue/token"
 )
 
-// collectionFields returns the names of a site's fields that hold entries by name, such as "pool". A name may be declared
-// once in each of them, over all files.
+// collectionFields returns the names of a site's fields that map names to entries, such as "pool". Within each of these
+// fields, a name may be declared only once across all files.
 func collectionFields() map[string]bool {
 	out := map[string]bool{}
 	for _, f := range siteRecord().fields {
@@ -28,18 +28,18 @@
 // reportDuplicates reports the names that are declared more than once, in one file or in several.
 func (s *sourceSet) reportDuplicates() {
 	collections := collectionFields()
-	first := map[declarationKey]token.Pos{}
+	firstPositions := map[declarationKey]token.Pos{}
 	for _, src := range s.sources {
 		for _, declaration := range src.file.Decls {
 			name, body := structField(declaration)
 			if collections[name] && body != nil {
-				s.reportDuplicateEntries(name, body, first)
+				s.reportDuplicateEntries(name, body, firstPositions)
 			}
 		}
 	}
 }
 
-// structField returns the name and the struct of a field that is written as one; nil for any other declaration.
+// structField returns the name and the value of a field whose value is a struct literal; nil for any other declaration.
 func structField(declaration ast.Decl) (string, *ast.StructLit) {
 	f, ok := declaration.(*ast.Field)
 	if !ok {
@@ -53,8 +53,8 @@
 	return name, body
 }
 
-// reportDuplicateEntries reports the entries of one struct that are in first already, and adds the others to it.
-func (s *sourceSet) reportDuplicateEntries(collection string, body *ast.StructLit, first map[declarationKey]token.Pos) {
+// reportDuplicateEntries reports the entries of one struct that firstPositions already contains, and adds the others to it.
+func (s *sourceSet) reportDuplicateEntries(collection string, body *ast.StructLit, firstPositions map[declarationKey]token.Pos) {
 	for _, declaration := range body.Elts {
 		entry, ok := declaration.(*ast.Field)
 		if !ok || hasConstraint(entry) {
@@ -65,11 +65,11 @@
 			continue // a pattern constraint, which applies to all entries
 		}
 		key := declarationKey{collection: collection, name: name}
-		if pos, ok := first[key]; ok {
+		if pos, ok := firstPositions[key]; ok {
 			message := fmt.Sprintf("%s %q is declared here and at %s", collection, name, formatPosition(pos))
 			s.report(entry.Label.Pos(), Error, message, "give one of the two another name")
 			continue
 		}
-		first[key] = entry.Label.Pos()
+		firstPositions[key] = entry.Label.Pos()
 	}
 }
--- a/internal/sitelang/encode.go
+++ b/internal/sitelang/encode.go
@@ -5,7 +5,7 @@
 	"math/big"
 )
 
-// unsetNumber stands in a parallel list for a record that does not set the field.
+// unsetNumber is the element of a parallel list for a record that does not set the field.
 const unsetNumber = json.Number("0")
 
 // encoder builds the JSON form of a tree that has passed the checks.
@@ -20,17 +20,17 @@
 	return e.site
 }
 
-// encodeRecord writes the fields of a record into target. index is the record's place in its list, for fields that are
-// kept in a parallel list.
+// encodeRecord writes the fields of a record into target. index is the record's position in its list; fields with
+// layoutParallel are written at the same position of their own list.
 func (e *encoder) encodeRecord(r *record, n *node, target jsonObject, index int) {
 	for _, m := range n.members {
 		f := r.byName[m.name]
-		if f == nil || f.name == fieldInclude { // include lists have been read
+		if f == nil || f.name == fieldInclude { // includes were resolved when the files were read
 			continue
 		}
 		switch {
 		case f.layout == layoutMerged:
-			mergeObjects(target, untypedJSON(m.node).(jsonObject)) // the schema asks for a record
+			mergeObjects(target, untypedJSON(m.node).(jsonObject)) // the checks have ensured a record
 		case f.layout == layoutParallel:
 			e.encodeParallel(f, m.node, index)
 		case f.isInlineRecord():
@@ -46,10 +46,10 @@
 	}
 }
 
-// encodeParallel writes a value into the list beside the list of its records. Records before it that have no value get
-// unsetNumber.
+// encodeParallel writes a record's value into the field's parallel list, at the record's index. Earlier records without a
+// value get unsetNumber.
 func (e *encoder) encodeParallel(f *field, n *node, index int) {
-	value, _ := removePath(e.site, f.jsonPath) // none before the first record that sets the field
+	value, _ := removePath(e.site, f.jsonPath) // absent until the first record sets the field
 	list, _ := value.([]any)
 	for len(list) <= index {
 		list = append(list, unsetNumber)
@@ -58,7 +58,7 @@
 	setPath(e.site, f.jsonPath, list)
 }
 
-// encodeValue converts a value of type t. f is the field that it belongs to, or that has it in a list or map.
+// encodeValue converts a value of type t. f is the field that holds the value, directly or in a list or map.
 func (e *encoder) encodeValue(f *field, t *fieldType, n *node) any {
 	switch t.kind {
 	case kindQuantity:
@@ -85,12 +85,12 @@
 	case kindUntyped:
 		return untypedJSON(n)
 	}
-	return n.text // of the kinds that are texts in both forms
+	return n.text // the other kinds are strings in both forms
 }
 
 // encodeQuantity converts a quantity to its unit in the JSON form.
 func encodeQuantity(q *quantity, unit *jsonUnit, text string) json.Number {
-	value, _ := q.parse(text) // the checks have parsed it
+	value, _ := q.parse(text) // no problem: the checks have parsed it
 	value = new(big.Rat).Quo(value, unit.factor)
 	if unit.isInteger {
 		value = roundHalfUp(value)
@@ -98,7 +98,7 @@
 	return json.Number(formatDecimal(value))
 }
 
-// encodeEntries converts a map to the object or the list that the schema asks for.
+// encodeEntries converts a map to the object or the list that the field's layout requires.
 func (e *encoder) encodeEntries(f *field, t *fieldType, n *node) any {
 	switch f.layout {
 	case layoutObject:
@@ -118,7 +118,7 @@
 	return out
 }
 
-// encodePairs converts a map to a list of objects of two members.
+// encodePairs converts a map to a list of objects, each with two members: the entry's name and its value.
 func (e *encoder) encodePairs(f *field, t *fieldType, n *node) []any {
 	out := []any{}
 	for _, m := range n.members {
@@ -127,7 +127,7 @@
 	return out
 }
 
-// encodeRecordList converts a map of records to a list of objects, each with its name among its members.
+// encodeRecordList converts a map of records to a list of objects, each with the record's name as an additional member.
 func (e *encoder) encodeRecordList(f *field, t *fieldType, n *node) []any {
 	out := []any{}
 	for i, m := range n.members {
@@ -138,10 +138,10 @@
 	return out
 }
 
-// oneHalf is the number 1/2. It must not be changed.
+// oneHalf is the number 1/2. It must not be modified.
 var oneHalf = mustRational("1/2")
 
-// roundHalfUp rounds a number that is not negative to a whole one.
+// roundHalfUp rounds a non-negative number to the nearest integer, and a half upwards.
 func roundHalfUp(r *big.Rat) *big.Rat {
 	raised := new(big.Rat).Add(r, oneHalf)
 	whole := new(big.Int).Quo(raised.Num(), raised.Denom())
--- a/internal/sitelang/evaluate.go
+++ b/internal/sitelang/evaluate.go
@@ -12,11 +12,11 @@
 	"cuelang.org/go/cue/cuecontext"
 )
 
-// maxDepth bounds how deep structs and lists may be nested.
+// maxDepth is the maximum nesting depth of structs and lists.
 const maxDepth = 32
 
-// evaluate returns the value of all files together; nil if there is none, with the errors reported. All files have been
-// parsed. If they consist of literals, as most do, they are read without CUE's evaluator, which costs far more.
+// evaluate merges the parsed files into one tree. If there is none, it reports the errors and returns nil. Files that
+// consist of literals alone, as most do, bypass CUE's evaluator, which is far slower.
 func (s *sourceSet) evaluate() *node {
 	s.reportDuplicates()
 	var literals []*node
@@ -34,15 +34,15 @@
 	return out
 }
 
-// reportConflict reports two different values at one path. It returns true, so that the merge of the files goes on.
+// reportConflict reports two different values at one path. It returns true so that the merge of the files continues.
 func (s *sourceSet) reportConflict(path string, own, others *node) bool {
 	message := fmt.Sprintf("%s is %s here and %s at %s", path, others.describe(), own.describe(), formatPosition(own.pos))
 	s.report(others.pos, Error, message, "keep one of the two")
 	return true
 }
 
-// evaluateWithCUE has CUE evaluate all files together. It returns nil if that fails as a whole; errors of single values are
-// reported and leave invalid nodes.
+// evaluateWithCUE evaluates all files together with CUE. It returns nil if the evaluation fails as a whole. If single values
+// have errors, it reports these and returns a tree in which the nodes of those values are invalid.
 func (s *sourceSet) evaluateWithCUE() *node {
 	instance := build.NewContext().NewInstance("", nil)
 	for _, src := range s.sources {
@@ -68,8 +68,8 @@
 	return s.nodeFromCUE(value, "", 0)
 }
 
-// reportUnsupportedSyntax reports what of CUE is not part of the site language, and whether there is any. It drops the
-// file's package clause: the files of a site are evaluated as one package.
+// reportUnsupportedSyntax reports each use of CUE syntax that the site language excludes, and returns whether there is any.
+// It removes the file's package clause because the files of a site are evaluated as one package.
 func (s *sourceSet) reportUnsupportedSyntax(src *source) bool {
 	unsupported := false
 	src.file.Decls = slices.DeleteFunc(src.file.Decls, func(declaration ast.Decl) bool {
@@ -92,8 +92,8 @@
 	return unsupported
 }
 
-// nodeFromCUE converts an evaluated CUE value. Errors are reported, and their values become formInvalid. path and depth are
-// those of the value in the site.
+// nodeFromCUE converts an evaluated CUE value. It reports the value's errors and returns a node with formInvalid for it. path
+// and depth are the value's position in the site.
 func (s *sourceSet) nodeFromCUE(value cue.Value, path string, depth int) *node {
 	value, _ = value.Default() // the value itself if it has no default
 	n := &node{pos: value.Pos()}
@@ -103,7 +103,7 @@
 		return n
 	}
 	if depth > maxDepth {
-		return s.invalidNode(n, fmt.Sprintf("%s lies over %d records deep", path, maxDepth))
+		return s.invalidNode(n, fmt.Sprintf("%s is nested over %d levels deep", path, maxDepth))
 	}
 	switch value.Kind() {
 	case cue.BottomKind:
@@ -173,7 +173,7 @@
 	}
 }
 
-// missingValueHint says what a value that is not concrete could be.
+// missingValueHint describes the values that would make a value of this kind concrete.
 func missingValueHint(kind cue.Kind) string {
 	switch kind {
 	case cue.StringKind:
--- a/internal/sitelang/finding.go
+++ b/internal/sitelang/finding.go
@@ -8,10 +8,9 @@
 	"strings"
 )
 
-// Severity says what a finding means for the configuration.
+// Severity is the consequence of a finding for the configuration.
 type Severity string
 
-// The severities.
 const (
 	// Error means that the configuration cannot be used.
 	Error Severity = "error"
@@ -19,17 +18,18 @@
 	Warning Severity = "warning"
 )
 
-// Finding is one problem of a configuration, with its position. Its JSON form is for editors.
+// Finding is one problem of a configuration, with its position. Editors read its JSON form.
 type Finding struct {
 	File       string   `json:"file"`
 	Line       int      `json:"line,omitempty"`   // from 1; 0 is the whole file
 	Column     int      `json:"column,omitempty"` // from 1; 0 is the whole file
 	Severity   Severity `json:"severity"`
 	Message    string   `json:"fault"`
-	Resolution string   `json:"cure,omitempty"` // what to do about it; "" if the message says it
+	Resolution string   `json:"cure,omitempty"` // how to fix it; "" if the message implies that
 }
 
-// String returns the finding on one line, its position first in the form that editors follow.
+// String returns the finding on one line that begins with FILE:LINE:COLUMN, or with FILE if it concerns the whole file.
+// Editors can jump to such a position.
 func (f Finding) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -46,7 +46,7 @@
 // Findings are all findings of one run, sorted by file, line and column.
 type Findings []Finding
 
-// sorted sorts the findings in place and drops those that are equal.
+// sorted sorts the findings in place and removes duplicates.
 func (findings Findings) sorted() Findings {
 	slices.SortFunc(findings, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column),
@@ -55,12 +55,12 @@
 	return slices.Compact(findings)
 }
 
-// HasErrors reports whether there is an error among them.
+// HasErrors reports whether any of the findings is an error.
 func (findings Findings) HasErrors() bool {
 	return slices.ContainsFunc(findings, func(f Finding) bool { return f.Severity == Error })
 }
 
-// Err returns the findings that are errors, one a line; nil if there are none.
+// Err returns one error that lists the findings of severity Error, one per line; nil if there are none.
 func (findings Findings) Err() error {
 	var lines []string
 	for _, f := range findings {
--- a/internal/sitelang/format.go
+++ b/internal/sitelang/format.go
@@ -9,8 +9,8 @@
 	"cuelang.org/go/cue/token"
 )
 
-// Format returns a file of the site language in its canonical form. Comments stay, and so does what the file compiles
-// to. It needs valid syntax only; formatting the result again changes nothing.
+// Format returns the canonical form of a file of the site language. It preserves the comments and the site that the file
+// compiles to. The text needs valid syntax only; otherwise Format returns nil and the findings. Format is idempotent.
 func Format(name string, text []byte) ([]byte, Findings) {
 	s := newSourceSet()
 	file, err := parser.ParseFile(name, text, parser.ParseComments)
@@ -20,7 +20,7 @@
 	}
 	normalizeUnitSpacing(file)
 	out, err := format.Node(file)
-	if err == nil { // one pass may move what only a second one aligns
+	if err == nil { // the first pass may move fields that only a second pass aligns
 		out, err = format.Source(out)
 	}
 	if err != nil {
@@ -72,11 +72,11 @@
 	return parent.record.byName[name].valueType
 }
 
-// normalizeQuantity rewrites a literal that is a valid quantity. Any other one stays as it is.
+// normalizeQuantity rewrites a literal that is a valid quantity, and leaves any other literal unchanged.
 func normalizeQuantity(value *ast.BasicLit, q *quantity) {
 	text, err := strconv.Unquote(value.Value)
 	if err != nil {
-		return // another kind of literal, such as one over several lines
+		return // another kind of literal, such as a multi-line string
 	}
 	if _, problem := q.parse(text); problem != "" {
 		return
