--- a/internal/sitelang/from_json.go
+++ b/internal/sitelang/from_json.go
@@ -14,15 +14,15 @@
 	"cuelang.org/go/cue/format"
 )
 
-// maxNumberDigits bounds the text of a JSON number that is converted; a longer one is kept under "extra".
-const maxNumberDigits = 100
+// maxNumberBytes is the length of the longest JSON number that is converted. A longer one is kept in the field "extra".
+const maxNumberBytes = 100
 
-// errNotOneObject means that the text is null, or goes on after its object.
+// errNotOneObject means that the text is null, or that more text follows its object.
 var errNotOneObject = errors.New("not one JSON object")
 
-// FromJSON converts the JSON form to the site language, formatted. Members that the schema doesn't describe, and values
-// of another type than it asks for, are kept in the field "extra". The text must be one JSON object; the values
-// themselves are not checked.
+// FromJSON converts the JSON form to formatted text in the site language. The field "extra" keeps members that the schema
+// doesn't describe and values whose type differs from the schema's. FromJSON returns an error if the text is not exactly
+// one JSON object; it does not check the values themselves.
 func FromJSON(text []byte) ([]byte, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -45,21 +45,21 @@
 	return out, nil
 }
 
-// cueWriter writes the site language and removes from the JSON form what it has written.
+// cueWriter converts the JSON form to the site language. It removes each member that it has written from the JSON form.
 type cueWriter struct {
 	buf  bytes.Buffer
-	site jsonObject // the whole JSON form: parallel lists lie outside of the records that they belong to
+	site jsonObject // the whole JSON form, since parallel lists are outside the records that they belong to
 }
 
-// parallelLists are the values of fields that the JSON form keeps in a list beside the list of records, by field name.
+// parallelLists maps the names of fields with layoutParallel to their lists in the JSON form.
 type parallelLists map[string][]any
 
-// writeRecord writes the fields of a record and removes them from object. A value that is not of the schema's type stays in
-// it. index is the record's place in the list that parallels belong to.
+// writeRecord writes the fields of a record and removes them from object, except for values that are not of the schema's
+// type. index is the record's position in its list, and selects the elements of parallels.
 func (w *cueWriter) writeRecord(r *record, object jsonObject, parallels parallelLists, index int) {
 	for _, f := range r.fields {
 		switch {
-		case f.name == fieldInclude || f.layout == layoutMerged: // no member of the JSON form is one of these
+		case f.name == fieldInclude || f.layout == layoutMerged: // the JSON form has no member for either
 		case f.layout == layoutParallel:
 			w.writeParallel(f, parallels[f.name], index)
 		case f.isInlineRecord():
@@ -77,7 +77,7 @@
 	}
 }
 
-// writeParallel writes the value that a parallel list has for the record at index, if any.
+// writeParallel writes the value at index in a parallel list, if there is one.
 func (w *cueWriter) writeParallel(f *field, list []any, index int) {
 	if index >= len(list) {
 		return
@@ -87,7 +87,7 @@
 	}
 }
 
-// writeInlineRecord writes a record whose fields are members of its parent in the JSON form. An empty one is left out.
+// writeInlineRecord writes a record whose fields are members of its parent in the JSON form. It omits an empty record.
 func (w *cueWriter) writeInlineRecord(f *field, object jsonObject) {
 	start := w.buf.Len()
 	fmt.Fprintf(&w.buf, "%s: {\n", f.name)
@@ -112,8 +112,8 @@
 	return true
 }
 
-// writeValue writes a value of type t. f is the field that it belongs to, or that has it in a list or map. If the value is
-// not of the type, writeValue returns false, and what it has written is of no use.
+// writeValue writes a value of type t. f is the field that holds the value, directly or in a list or map. If the value is
+// not of the type, writeValue returns false, and the caller must discard what it has written.
 func (w *cueWriter) writeValue(f *field, t *fieldType, value any) bool {
 	switch t.kind {
 	case kindRecord:
@@ -157,7 +157,8 @@
 	return true
 }
 
-// writeUnknownMembers writes what an object has beyond the schema. It returns false if the record has no field for that.
+// writeUnknownMembers writes the members that remain in an object after conversion. It returns false if there are any and
+// the record has no field "extra" for them.
 func (w *cueWriter) writeUnknownMembers(r *record, object jsonObject) bool {
 	rest := pruneEmpty(object)
 	if len(rest) == 0 {
@@ -170,14 +171,14 @@
 	return true
 }
 
-// writeExtra writes the field for what the schema doesn't describe.
+// writeExtra writes the field "extra", which holds members that the schema doesn't describe.
 func (w *cueWriter) writeExtra(rest jsonObject) {
 	text, _ := json.Marshal(rest) // decoded JSON always encodes
 	fmt.Fprintf(&w.buf, "%s: %s\n", fieldExtra, text)
 }
 
 // formatScalar returns the text of a value that is neither record nor list; false if it is not of the schema's type. f is the
-// field that the value belongs to, or that has it in a list or map.
+// field that holds the value, directly or in a list or map.
 func formatScalar(f *field, t *fieldType, value any) (string, bool) {
 	switch value := value.(type) {
 	case json.Number:
@@ -191,10 +192,10 @@
 	return "", false
 }
 
-// formatNumber returns the text of a number or a quantity; false if the language has no exact text for it.
+// formatNumber returns the text of a number or a quantity; false if the language cannot express it exactly.
 func formatNumber(f *field, t *fieldType, digits string) (string, bool) {
 	number, ok := new(big.Rat).SetString(digits)
-	if !ok || len(digits) > maxNumberDigits {
+	if !ok || len(digits) > maxNumberBytes {
 		return "", false
 	}
 	switch t.kind {
@@ -212,7 +213,7 @@
 	return "", false
 }
 
-// fieldLabel returns a name as a CUE label, quoted where CUE needs it.
+// fieldLabel returns a name as a CUE label, quoted if CUE requires quotes.
 func fieldLabel(name string) string {
 	if ast.IsValidIdent(name) && !isHiddenOrDefinition(name) {
 		return name
@@ -224,7 +225,7 @@
 func quoteString(text string) string {
 	var out strings.Builder
 	encoder := json.NewEncoder(&out)
-	encoder.SetEscapeHTML(false) // which would make "<" unreadable
+	encoder.SetEscapeHTML(false) // escaping would make "<" unreadable
 	_ = encoder.Encode(text)     // a string always encodes
 	return strings.TrimSuffix(out.String(), "\n")
 }
--- a/internal/sitelang/from_json_entries.go
+++ b/internal/sitelang/from_json_entries.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// writeEntries writes a map of the language from the object or the list that the JSON form has for it. It returns false
-// if the value is not of the schema's type.
+// writeEntries converts an object or a list of the JSON form to a map of the language. It returns false if the value is
+// not of the schema's type.
 func (w *cueWriter) writeEntries(f *field, t *fieldType, value any) bool {
 	if f.layout == layoutObject {
 		return w.writeObjectEntries(f, t, value)
@@ -52,7 +52,8 @@
 	return true
 }
 
-// writePairs writes a map that is a list of objects of two members in the JSON form. hasUniqueNames holds for the list.
+// writePairs writes a map that is a list of objects with two members each in the JSON form. The list must satisfy
+// hasUniqueNames.
 func (w *cueWriter) writePairs(f *field, t *fieldType, list []any) bool {
 	const membersOfPair = 2
 	w.buf.WriteString("{\n")
@@ -71,7 +72,7 @@
 	return true
 }
 
-// writeRecordList writes a map that is a list of records in the JSON form. hasUniqueNames holds for the list.
+// writeRecordList writes a map that is a list of records in the JSON form. The list must satisfy hasUniqueNames.
 func (w *cueWriter) writeRecordList(f *field, t *fieldType, list []any) bool {
 	parallels := w.removeParallelLists(t, len(list))
 	ok := w.writeRecords(f, t, list, parallels)
@@ -98,11 +99,11 @@
 	return true
 }
 
-// hasUniqueNames reports whether all elements are objects that have a name of their own in the member key.
+// hasUniqueNames reports whether each element is an object whose member key is a non-empty string that no other element has.
 func hasUniqueNames(list []any, key string) bool {
 	seen := map[string]bool{}
 	for _, element := range list {
-		object, _ := element.(jsonObject) // an element that is none has no name
+		object, _ := element.(jsonObject) // an element that is not an object has no name
 		name, _ := object[key].(string)
 		if name == "" || seen[name] {
 			return false
@@ -112,8 +113,8 @@
 	return true
 }
 
-// removeParallelLists removes the lists beside a list of count records from the JSON form and returns them. A list that
-// doesn't match the records in length or type remains where it is.
+// removeParallelLists removes the parallel lists of a list of count records from the JSON form and returns them. It leaves a
+// list in place if it is empty, longer than count, or holds a value that is not of the schema's type.
 func (w *cueWriter) removeParallelLists(t *fieldType, count int) parallelLists {
 	out := parallelLists{}
 	if t.element.kind != kindRecord {
@@ -145,7 +146,7 @@
 	})
 }
 
-// restoreParallelLists puts lists back into the JSON form.
+// restoreParallelLists returns the lists that removeParallelLists removed to the JSON form.
 func (w *cueWriter) restoreParallelLists(t *fieldType, parallels parallelLists) {
 	for name, list := range parallels {
 		setPath(w.site, t.element.record.byName[name].jsonPath, list)
--- a/internal/sitelang/golden_test.go
+++ b/internal/sitelang/golden_test.go
@@ -8,8 +8,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// Sites are converted to the JSON form that a proxy runs from, and back to the language, with the same bytes as ever.
-// every-key.cue sets each key that the schema knows.
+// Converting sites to the JSON form that a proxy runs from, and back to the language, yields the bytes of the golden
+// files. every-key.cue sets each key of the schema.
 func TestGoldenSites(t *testing.T) {
 	for name, path := range map[string]string{
 		"thies":     filepath.Join("..", "..", "deploy", "thies.cue"),
@@ -27,12 +27,12 @@
 			if roundTripped == nil {
 				t.Fatal(findings)
 			}
-			testkit.Equal(t, "there and back", string(golden), string(roundTripped.JSON))
+			testkit.Equal(t, "round trip", string(golden), string(roundTripped.JSON))
 		})
 	}
 }
 
-// The fixture has each key of each record of the schema, so that it pins the conversion of all of them.
+// The fixture sets each key of each record of the schema, so that the golden files cover the conversion of all keys.
 func TestGoldenSiteHasEveryKey(t *testing.T) {
 	sources := readSources(filepath.Join("testdata", "golden", "every-key.cue"))
 	tree := sources.evaluate()
@@ -44,13 +44,13 @@
 	for name, record := range schema() {
 		for _, f := range record.fields {
 			if !seen[f] && f.name != "include" {
-				t.Errorf("%s has no %s in the fixture", name, f.name)
+				t.Errorf("the fixture doesn't set %s of %s", f.name, name)
 			}
 		}
 	}
 }
 
-// markFields notes the fields of the schema that a value has, its own and those of the records below it.
+// markFields adds to seen the fields of the schema that a value sets, including those of nested records.
 func markFields(r *record, value *node, seen map[*field]bool) {
 	for _, f := range r.fields {
 		if member := value.member(f.name); member != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Findings as editors read them.
+// The JSON form of findings, which editors read, equals the golden files.
 func TestGoldenFinding(t *testing.T) {
 	finding := Finding{File: "site.cue", Line: 7, Column: 3, Severity: Warning, Message: `route "feeds" <is> never taken`, Resolution: "drop it"}
 	testkit.CheckAllSet(t, "finding", reflect.ValueOf(finding))
--- a/internal/sitelang/includes.go
+++ b/internal/sitelang/includes.go
@@ -11,12 +11,12 @@
 	"cuelang.org/go/cue/token"
 )
 
-// globMetacharacters are the characters by which a path is a pattern of filepath.Glob.
+// globMetacharacters are the characters that make a path a pattern of filepath.Glob.
 const globMetacharacters = "*?["
 
 // include is one entry of an include list.
 type include struct {
-	path string // or a pattern of filepath.Glob
+	path string // a path, or a pattern of filepath.Glob
 	pos  token.Pos
 }
 
@@ -29,7 +29,7 @@
 			return false
 		}
 		name, _, err := ast.LabelName(f.Label)
-		if err != nil || name != fieldInclude { // an error: a label that is no plain name
+		if err != nil || name != fieldInclude { // err: the label is not a plain name
 			return false
 		}
 		includes = append(includes, s.includeEntries(f.Value)...)
@@ -38,7 +38,7 @@
 	return includes
 }
 
-// includeEntries returns the entries of one include list, and reports those that name no file.
+// includeEntries returns the entries of one include list, and reports those that are not paths.
 func (s *sourceSet) includeEntries(value ast.Expr) []include {
 	list, ok := value.(*ast.ListLit)
 	if !ok {
@@ -67,7 +67,7 @@
 	return path, err == nil && path != ""
 }
 
-// addInclude reads the files that an include of src names. chain leads from the root to src, which is its last file.
+// addInclude reads the files that an include of src names. chain holds the files from the root to src, both included.
 func (s *sourceSet) addInclude(inc include, src *source, chain []*source) {
 	path := inc.path
 	if !filepath.IsAbs(path) {
@@ -88,13 +88,13 @@
 	}
 	for _, name := range names {
 		if realPath, err := s.resolveLinks(name); err == nil && realPath == src.realPath {
-			continue // a pattern that matches the including file means the other files
+			continue // a pattern that also matches the including file includes only the other files
 		}
 		s.addFile(name, inc.path, chain, inc.pos)
 	}
 }
 
-// sortedGlob returns the names of the files that a pattern matches. filepath.Glob sorts them folder by folder only.
+// sortedGlob returns the paths of the files that a pattern matches, sorted. filepath.Glob sorts only within each folder.
 func sortedGlob(pattern string) ([]string, error) {
 	names, err := filepath.Glob(pattern)
 	slices.Sort(names)
--- a/internal/sitelang/json_object.go
+++ b/internal/sitelang/json_object.go
@@ -2,10 +2,11 @@
 
 import "encoding/json"
 
-// jsonObject is a decoded JSON object. Numbers in it are json.Number, so that no digit is lost.
+// jsonObject is a decoded JSON object. Its numbers are json.Number, which preserves all digits.
 type jsonObject = map[string]any
 
-// setPath sets the value at a path and creates the objects on the way. A value on the way that is no object is replaced.
+// setPath sets the value at a path. It creates missing objects along the path, and replaces values there that are not
+// objects.
 func setPath(object jsonObject, path []string, value any) {
 	for _, name := range path[:len(path)-1] {
 		next, ok := object[name].(jsonObject)
@@ -33,8 +34,8 @@
 	return value, ok
 }
 
-// mergeObjects copies the members of source into target. Objects that both have are merged; any other member of source
-// replaces that of target.
+// mergeObjects copies the members of source into target. It merges members that are objects in both; any other member of
+// source replaces that of target.
 func mergeObjects(target, source jsonObject) {
 	for name, value := range source {
 		targetObject, targetIsObject := target[name].(jsonObject)
@@ -66,11 +67,11 @@
 	return value
 }
 
-// splitObjects are the objects of the JSON form whose members the language divides among several records, by name. Their
-// members are removed one by one, so they may be left empty, and are dropped then.
+// splitObjects are the names of the objects of the JSON form whose members belong to several records of the language.
+// Conversion removes their members one by one, and pruneEmpty drops those that are empty afterwards.
 var splitObjects = map[string]bool{"settings": true, "limits": true, "routing": true}
 
-// pruneEmpty returns the object without the objects that became empty when their members were converted.
+// pruneEmpty returns the object without the objects that became empty because all of their members were converted.
 func pruneEmpty(object jsonObject) jsonObject {
 	out := jsonObject{}
 	for name, value := range object {
--- a/internal/sitelang/limits.go
+++ b/internal/sitelang/limits.go
@@ -8,11 +8,11 @@
 
 // Scales of a share.
 var (
-	partsPerMillion = mustRational("1000000") // the finest share of a split is one of these
+	partsPerMillion = mustRational("1000000") // a share of a split is a whole number of these
 	percent         = mustRational("100")
 )
 
-// checkPolicyBounds checks a policy's numbers against the limits of the whole site.
+// checkPolicyBounds checks a policy's numbers against the limits and rules of the whole site.
 func (r *referenceChecker) checkPolicyBounds(policy member, path string) {
 	attempts := policy.node.member("attempts")
 	limit := integerValue(r.site.member("limits").member("attempts"))
@@ -24,9 +24,9 @@
 }
 
 // checkRetryAfter checks the range of times after which a client is asked to retry.
-func (r *referenceChecker) checkRetryAfter(comeBack *node, path string) {
-	from := comeBack.member("from")
-	to := comeBack.member("to")
+func (r *referenceChecker) checkRetryAfter(retryAfter *node, path string) {
+	from := retryAfter.member("from")
+	to := retryAfter.member("to")
 	fromValue := quantityValue(from, durationQuantity)
 	toValue := quantityValue(to, durationQuantity)
 	if fromValue != nil && toValue != nil && fromValue.Cmp(toValue) > 0 {
@@ -38,7 +38,7 @@
 		return
 	}
 	for _, name := range []string{"from", "to"} {
-		n := comeBack.member(name)
+		n := retryAfter.member(name)
 		value := quantityValue(n, durationQuantity)
 		if value != nil && value.Cmp(limitValue) > 0 {
 			r.reportError(n, "", "%s.come_back.%s is %s, above limits.come_back_most of %s", path, name, n.text, limit.text)
@@ -46,7 +46,7 @@
 	}
 }
 
-// checkDeadline checks that a policy's deadline leaves time for a request.
+// checkDeadline checks that a policy's deadline is longer than rules.answer_slack; otherwise every request is refused.
 func (r *referenceChecker) checkDeadline(deadline *node, path string) {
 	answerSlack := r.site.member("rules").member("answer_slack")
 	slackValue := quantityValue(answerSlack, durationQuantity)
@@ -58,7 +58,7 @@
 		path, deadline.text, answerSlack.text)
 }
 
-// checkSplit checks the pools of a route and their shares, and counts them as used.
+// checkSplit checks the pools of a route and their shares, and marks the pools as used.
 func (r *referenceChecker) checkSplit(route member, path string) {
 	split := route.node.member("to")
 	if split == nil || split.form != formStruct {
@@ -99,7 +99,7 @@
 	return share
 }
 
-// checkFallbackOfSolePool checks that the policy of a route to a single pool falls back to another one, if to any.
+// checkFallbackOfSolePool checks a route to a single pool: if its policy has fallbacks, one of them must be another pool.
 func (r *referenceChecker) checkFallbackOfSolePool(route member, pool string) {
 	fallback := r.policyFallback(route)
 	if len(fallback) == 0 {
@@ -120,7 +120,7 @@
 	return stringElements(r.site.member("policy").member(policy.text).member("fallback"))
 }
 
-// checkConnectionLimits checks the limits of a pool or a route against each other and against that of the whole site.
+// checkConnectionLimits checks the connection limits of a pool or a route against each other and against limits.open_most.
 func (r *referenceChecker) checkConnectionLimits(part member, path string) {
 	siteLimit := integerValue(r.site.member("limits").member("open_most"))
 	for _, name := range []string{"max_open", "max_waiting"} {
@@ -136,7 +136,7 @@
 	}
 }
 
-// checkRouteLimit checks the limit of a route's open connections against the sum of its pools' limits, if all have one.
+// checkRouteLimit checks a route's limit of open connections against the sum of its pools' limits, if each pool has one.
 func (r *referenceChecker) checkRouteLimit(route member, path string) {
 	routeLimit := route.node.member("max_open")
 	sum := 0
--- a/internal/sitelang/literal.go
+++ b/internal/sitelang/literal.go
@@ -8,7 +8,8 @@
 	"cuelang.org/go/cue/token"
 )
 
-// literalNode reads an expression that consists of literals alone. It returns false for any that CUE has to evaluate.
+// literalNode converts an expression that consists of literals alone. It returns false for an expression that CUE must
+// evaluate.
 func literalNode(expression ast.Expr) (*node, bool) {
 	switch expression := expression.(type) {
 	case *ast.BasicLit:
@@ -93,7 +94,7 @@
 	return n, true
 }
 
-// literalMember reads a regular field; false for any other kind of field, and for a value that is no literal.
+// literalMember converts a regular field whose value is a literal. It returns false for any other field.
 func literalMember(declaration *ast.Field) (member, bool) {
 	name, _, err := ast.LabelName(declaration.Label)
 	isRegular := err == nil && !hasConstraint(declaration) && declaration.Alias == nil && !isHiddenOrDefinition(name)
@@ -107,7 +108,7 @@
 // hasConstraint reports whether a field is optional or required ("name?:", "name!:") rather than a regular one.
 func hasConstraint(declaration *ast.Field) bool { return declaration.Constraint != token.ILLEGAL }
 
-// isHiddenOrDefinition reports whether CUE leaves a field of this name out of the result.
+// isHiddenOrDefinition reports whether a name is that of a hidden field or a definition, which CUE omits from its result.
 func isHiddenOrDefinition(name string) bool {
 	return strings.HasPrefix(name, "_") || strings.HasPrefix(name, "#")
 }
--- a/internal/sitelang/node.go
+++ b/internal/sitelang/node.go
@@ -13,10 +13,10 @@
 	form     nodeForm
 	pos      token.Pos
 	text     string   // of a string, a number or a boolean ("true" or "false")
-	members  []member // of a struct, each name once
+	members  []member // of a struct; names are unique
 	elements []*node  // of a list
 
-	indexByName map[string]int // of the first members in the list; it is extended when a member is looked up
+	indexByName map[string]int // indices of the first members by name; memberIndex adds the missing ones
 }
 
 // nodeForm is the form of an evaluated value.
@@ -32,14 +32,14 @@
 	formInvalid // a value whose error has been reported already
 )
 
-// member is a field of a struct. Members are in the order of the files.
+// member is a field of a struct. Members have the order in which the files declare them.
 type member struct {
 	name string
 	pos  token.Pos
 	node *node
 }
 
-// indexThreshold is the number of members from which on they are looked up by a map.
+// indexThreshold is the smallest number of members for which lookups use indexByName instead of a linear search.
 const indexThreshold = 16
 
 // memberIndex returns the index of a member, or -1.
@@ -76,8 +76,8 @@
 	return m.node
 }
 
-// mergeFrom adds the members of another struct. Structs that both have are merged; any other member that both have with
-// different values is passed to conflict, with its path. mergeFrom stops and returns false when conflict does.
+// mergeFrom adds the members of another struct. It merges members that are structs in both, and passes any other member
+// whose values differ to conflict, with its path. mergeFrom stops and returns false when conflict returns false.
 func (n *node) mergeFrom(other *node, parentPath string, conflict func(path string, own, others *node) bool) bool {
 	for _, m := range other.members {
 		i := n.memberIndex(m.name)
@@ -110,7 +110,7 @@
 	return out
 }
 
-// describe returns the value for a finding's text. The value is valid.
+// describe returns a description of the value for a finding's text. The value must be valid.
 func (n *node) describe() string {
 	switch n.form {
 	case formString:
@@ -127,7 +127,8 @@
 	return "a list"
 }
 
-// equalNodes reports whether two values are equal, whatever their positions. The members of structs have the same order.
+// equalNodes reports whether two values are equal regardless of their positions. Structs are equal only if their members
+// have the same order.
 func equalNodes(a, b *node) bool {
 	if a.form != b.form || a.text != b.text {
 		return false
@@ -137,7 +138,7 @@
 
 func equalMembers(a, b member) bool { return a.name == b.name && equalNodes(a.node, b.node) }
 
-// formatPosition returns a position in the form that editors follow.
+// formatPosition returns a position as FILE:LINE:COLUMN, which editors can jump to.
 func formatPosition(p token.Pos) string {
 	return fmt.Sprintf("%s:%d:%d", p.Filename(), p.Line(), p.Column())
 }
--- a/internal/sitelang/reference.go
+++ b/internal/sitelang/reference.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// referenceIntro is the reference's text before the tables of the records.
+// referenceIntro is the text of the reference that precedes the table of units and the tables of the records.
 const referenceIntro = "# The site language\n\nMade from the schema by `micafront config reference`; edit the schema, not this page.\n\n" +
 	"A site is one CUE file or several: `include` names the others. Every figure carries its unit, with or without a space\n" +
 	"before it; a number without one is refused. Fields marked * are required. What the language has beside fields is CUE's\n" +
 	"own: patterns such as `[string]: {…}`, defaults, references, `if` and interpolation; `import` and `for` are refused.\n\n## Units\n\n" +
 	"| figure | units | example |\n| --- | --- | --- |\n"
 
-// WriteReference writes the language reference in Markdown, generated from the schema. Its errors are those of w.
+// WriteReference writes the language reference, which it generates from the schema, in Markdown. It returns w's errors.
 func WriteReference(w io.Writer) error {
 	if _, err := io.WriteString(w, referenceIntro); err != nil {
 		return err
@@ -35,8 +35,8 @@
 	return err
 }
 
-// writeRecordReference writes the section of a record and then those of the records in it, each once. written has the names
-// of the records that have their section.
+// writeRecordReference writes the section of a record, and then the sections of the records that its fields hold. written
+// contains the names of the records whose section has been written; those are skipped.
 func writeRecordReference(w io.Writer, r *record, written map[string]bool) error {
 	if written[r.name] {
 		return nil
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// tableCell returns what a field holds, for the reference's tables.
+// tableCell describes a field's type and range in the reference's tables.
 func (f *field) tableCell() string {
 	out := f.valueType.tableCell()
 	if f.rangeText != "" {
@@ -77,7 +77,7 @@
 	return out
 }
 
-// tableCell returns the type for the reference's tables. Lists, maps and records name what they hold.
+// tableCell describes the type in the reference's tables. Lists, maps and records include the type of their contents.
 func (t *fieldType) tableCell() string {
 	switch t.kind {
 	case kindRecord:
--- a/internal/sitelang/references.go
+++ b/internal/sitelang/references.go
@@ -8,7 +8,7 @@
 	"example.org/micafront/internal/routing"
 )
 
-// integerValue returns an integer that has passed the checks; 0 if there is none.
+// integerValue returns the value of an integer; 0 if n is nil or not a valid integer.
 func integerValue(n *node) int {
 	if n == nil || n.form != formNumber {
 		return 0
@@ -20,7 +20,7 @@
 	return int(value.Num().Int64())
 }
 
-// quantityValue returns a quantity in its base unit; nil if there is none or it is not valid.
+// quantityValue returns a quantity in its base unit; nil if n is nil or not a valid quantity.
 func quantityValue(n *node, q *quantity) *big.Rat {
 	if n == nil || n.form != formString {
 		return nil
@@ -29,7 +29,7 @@
 	return value
 }
 
-// stringElements returns the strings of a list; none if it is no list.
+// stringElements returns the elements of a list that are strings; nil if n is not a list.
 func stringElements(n *node) []*node {
 	if n == nil || n.form != formList {
 		return nil
@@ -43,7 +43,7 @@
 	return out
 }
 
-// membersOf returns the members of a struct; none if it is no struct.
+// membersOf returns the members of a struct; nil if n is not a struct.
 func membersOf(n *node) []member {
 	if n == nil || n.form != formStruct {
 		return nil
@@ -51,7 +51,7 @@
 	return n.members
 }
 
-// referenceChecker checks what the parts of a site say of one another, as far as the parts themselves are valid.
+// referenceChecker checks the references and limits between the parts of a site. It skips parts that are invalid.
 type referenceChecker struct {
 	*checker
 	site *node
@@ -62,9 +62,9 @@
 	routes    []string
 	classes   []string
 	zones     []string
-	listeners []string // the main one included
+	listeners []string // including the main listener
 
-	usedPools    map[string]bool // by a route, or as a fallback of a used policy
+	usedPools    map[string]bool // pools that a route or the fallback of a used policy names
 	usedPolicies map[string]bool
 }
 
@@ -102,7 +102,8 @@
 	}
 }
 
-// checkReference reports a name that is not among the known ones, and whether it is. noun says what it names.
+// checkReference returns whether a name is among the known ones, and reports an error if it is not. noun is the kind of
+// entry that the name refers to, such as "pool".
 func (r *referenceChecker) checkReference(n *node, noun string, known []string, path string) bool {
 	if slices.Contains(known, n.text) {
 		return true
@@ -111,7 +112,8 @@
 	return false
 }
 
-// unknownNameResolution returns the resolution for a name that is not among the known ones. noun says what it names.
+// unknownNameResolution returns the resolution for a name that is not among the known ones. noun is the kind of entry that
+// the name refers to.
 func unknownNameResolution(name, noun string, known []string) string {
 	if len(known) == 0 {
 		return fmt.Sprintf("no %s is declared", noun)
@@ -119,7 +121,7 @@
 	return suggestName(name, known)
 }
 
-// checkNames checks that names can be part of metrics and log lines, and that none is reserved.
+// checkNames checks that names are valid in metrics and log lines, and that no name is reserved.
 func (r *referenceChecker) checkNames() {
 	if n := r.site.member("listener").member(routing.MainListener); n != nil {
 		r.reportError(n, "give it another name", "listener.main is what proxy.listen names already")
@@ -149,7 +151,7 @@
 	r.checkPolicyBounds(policy, path)
 }
 
-// checkRoute checks a route's policy, pools, limits and conditions, and counts the policy and the pools as used.
+// checkRoute checks a route's policy, pools, limits and conditions, and marks the policy and the pools as used.
 func (r *referenceChecker) checkRoute(route member) {
 	if route.node.form != formStruct {
 		return
@@ -179,7 +181,7 @@
 	}
 }
 
-// matchConditions are the fields of a first line that have a match condition of their own, with its name.
+// matchConditions maps those fields of a first line that have a dedicated match condition to the condition's name.
 var matchConditions = map[string]string{"c": "class", "g": "group"}
 
 // perAttemptFields are the fields of a first line that differ between the attempts of one client, so that no route may
@@ -201,7 +203,7 @@
 	}
 }
 
-// checkDefaultRoute checks that the default route exists, and that there is one unless a route matches every connection.
+// checkDefaultRoute checks that the default route exists. It warns if none is set and no route matches every connection.
 func (r *referenceChecker) checkDefaultRoute() {
 	n := r.site.member("default_route")
 	if n != nil && n.form == formString {
@@ -218,7 +220,7 @@
 	})
 }
 
-// checkPolicyUse reports policies without a route, and counts the fallbacks of the others as used pools.
+// checkPolicyUse warns about policies that no route uses, and marks the fallbacks of the other policies as used pools.
 func (r *referenceChecker) checkPolicyUse() {
 	for _, policy := range membersOf(r.site.member("policy")) {
 		if !r.usedPolicies[policy.name] {
@@ -231,7 +233,7 @@
 	}
 }
 
-// checkPool checks whether a pool is used, its limits, and which endpoints it selects.
+// checkPool warns about an unused pool, and checks the pool's limits and the conditions by which it selects endpoints.
 func (r *referenceChecker) checkPool(pool member) {
 	path := joinPath("pool", pool.name)
 	if !r.usedPools[pool.name] && len(r.routes) > 0 {
