--- a/internal/sitelang/route_check.go
+++ b/internal/sitelang/route_check.go
@@ -10,9 +10,9 @@
 	"example.org/micafront/internal/routing"
 )
 
-// compileRoutes compiles the routes of a site that has passed the other checks, and reports what only the compiled form
-// shows: ambiguous routes, routes that are never reached, and endpoints that belong to two pools or to none. It returns nil if
-// the routes do not compile.
+// compileRoutes compiles the routes of a site that has passed the other checks, and reports the problems that only the
+// compiled form reveals: ambiguous routes, unreached routes, and endpoints that belong to two pools or to none. It returns
+// nil if the routes do not compile.
 func (c *checker) compileRoutes(site *node, set *routing.Set, endpoints []routing.EndpointAttributes) *routing.Table {
 	c.checkPoolOverlaps(site, set)
 	table, err := routing.New(*set)
@@ -27,10 +27,10 @@
 	return table
 }
 
-// declaration returns an entry of a collection: of its section in the language, or of the JSON form that the field "extra"
-// holds. Where both have it, the later one of the two is what the site compiles to. An entry that is found in neither,
-// because its key is spelled there in another case than the schema's, has the position of "extra". The entry's node is
-// never nil.
+// declaration returns an entry of a collection, from the collection's field or from the JSON form in the field "extra". If
+// both contain the entry, the later one takes effect, and declaration returns that one. If neither does, because "extra"
+// spells the key in a different case than the schema, the result has the position of "extra". The entry's node is never
+// nil.
 func declaration(site *node, collection, name string) member {
 	schemaField := siteRecord().byName[collection]
 	for _, part := range slices.Backward(site.members) {
@@ -45,7 +45,7 @@
 			}
 		}
 	}
-	extra, _ := site.find(fieldExtra) // without it, the entry has no position
+	extra, _ := site.find(fieldExtra) // a site without the field yields no position
 	return member{name: name, pos: extra.pos, node: &node{pos: extra.pos}}
 }
 
@@ -82,7 +82,8 @@
 	}
 }
 
-// reportRoutingErrors reports the errors for which the routes do not compile, ambiguous routes at the second one.
+// reportRoutingErrors reports the errors that prevent the routes from compiling. It reports two ambiguous routes at the
+// position of the second one.
 func (c *checker) reportRoutingErrors(site *node, err error) {
 	for _, e := range flattenErrors(err) {
 		var ambiguity routing.AmbiguityError
@@ -95,11 +96,11 @@
 	}
 }
 
-// checkUnreachedRoutes warns of routes whose connections all match other routes.
+// checkUnreachedRoutes warns about routes that never take effect because preferred routes match all of their connections.
 func (c *checker) checkUnreachedRoutes(site *node, set *routing.Set, table *routing.Table) {
 	unreached, err := table.UnreachedRoutes(MatchSpaceOf(set, site.member("class").memberNames()))
 	if err != nil {
-		c.report(site.pos, Warning, "the routes are too many to look for some that are never reached: "+err.Error(), "")
+		c.report(site.pos, Warning, "there are too many routes to search for unreached ones: "+err.Error(), "")
 	}
 	for name, preferred := range unreached {
 		noun := "route"
@@ -113,7 +114,7 @@
 	}
 }
 
-// checkPoolMembership warns of pools without an endpoint and of endpoints without a pool.
+// checkPoolMembership warns about pools without an endpoint and endpoints without a pool.
 func (c *checker) checkPoolMembership(site *node, set *routing.Set, endpoints []routing.EndpointAttributes) {
 	for i := range set.Pools {
 		pool := &set.Pools[i]
@@ -141,7 +142,7 @@
 	return out
 }
 
-// describeOverlap describes an endpoint that two pools select, by the conditions of both.
+// describeOverlap describes an endpoint that two pools select, by the attributes to which either pool sets a condition.
 func describeOverlap(endpoint routing.EndpointAttributes, first, second *routing.Pool) string {
 	a := &first.Select
 	b := &second.Select
--- a/internal/sitelang/schema.cue
+++ b/internal/sitelang/schema.cue
@@ -1,8 +1,9 @@
-// The site language: typed records, every figure with its unit. The checker, the converter and the reference are made
-// from this file. @json(path, …) says where a field lies in the JSON form, and behind the path in what unit or layout
-// (schema.go lists them), @range(low, high) what is accepted, @match("pattern","what it is") the same of a text.
+// The schema of the site language: typed records whose quantities carry units. The checker, the converters and the
+// language reference read it. @json(path, …) gives the path of a field in the JSON form, followed by its unit or layout
+// (schema.go lists them). @range(low, high) gives the range of accepted values. @match("pattern","description") gives a
+// regular expression that a text must match, and describes such a text.
 
-// A time, such as "300 ms". Units: us, ms, s, min, h, d.
+// A duration, such as "300 ms". Units: us, ms, s, min, h, d.
 #Duration: =~"^[0-9]+([.][0-9]+)? ?(us|ms|s|min|h|d)$"
 
 // A rate, such as "20/s". Units: /s, /min, /h.
@@ -11,7 +12,7 @@
 // A size in memory, such as "192 MiB". Units: B, KiB, MiB, GiB.
 #Bytes: =~"^[0-9]+([.][0-9]+)? ?(B|KiB|MiB|GiB)$"
 
-// A part of a whole, such as "5 %". Units: %, ppm.
+// A fraction of a whole, such as "5 %". Units: %, ppm.
 #Share: =~"^[0-9]+([.][0-9]+)? ?(%|ppm)$"
 
 // An address: a numeric host and a port, such as "127.0.0.1:8081".
--- a/internal/sitelang/schema.go
+++ b/internal/sitelang/schema.go
@@ -51,8 +51,8 @@
 	byName map[string]*field
 }
 
-// soleValueField returns the only field of a record that the JSON form replaces by that field's value; nil for any other
-// record.
+// soleValueField returns the only field of a record that the JSON form represents by that field's value alone; nil for any
+// other record.
 func (r *record) soleValueField() *field {
 	if r == nil || len(r.fields) != 1 {
 		return nil
@@ -64,21 +64,21 @@
 	return only
 }
 
-// Fields of the language that the conversions treat in their own way.
+// Fields of the language that the conversions handle separately.
 const (
 	fieldInclude = "include" // names further files; it has no JSON form
-	fieldExtra   = "extra"   // holds what of the JSON form the schema doesn't describe
+	fieldExtra   = "extra"   // holds the members of the JSON form that the schema doesn't describe
 )
 
-// jsonLayout says how a field lies in the JSON form. Every map has one of the three layouts for maps.
+// jsonLayout is the representation of a field in the JSON form. Every map uses one of the three layouts for maps.
 type jsonLayout int
 
 const (
-	layoutValue      jsonLayout = iota // the value alone, as its type asks for
+	layoutValue      jsonLayout = iota // the value itself, in the representation of its type
 	layoutObject                       // of a map: an object
 	layoutRecordList                   // of a map: a list of records, each with its name in the member field.nameKey
 	layoutPairList                     // of a map: a list of objects of two members, field.nameKey and field.valueKey
-	layoutParallel                     // the values of all records are a list beside the list of the records
+	layoutParallel                     // one list holds the values of all records, in the order of the list of records
 	layoutMerged                       // the value's members are merged into the record
 )
 
@@ -88,7 +88,7 @@
 	doc                string
 	optional           bool
 	valueType          *fieldType
-	jsonPath           []string // in the JSON form, from the parent's object; nil: the parent's object itself
+	jsonPath           []string // in the JSON form, relative to the parent's object; nil: the parent's object itself
 	layout             jsonLayout
 	nameKey            string    // of layoutRecordList and layoutPairList
 	valueKey           string    // of layoutPairList
@@ -97,7 +97,7 @@
 	high               *big.Rat
 	rangeText          string         // the range as the schema writes it, "LOW to HIGH"
 	pattern            *regexp.Regexp // that a text must match; nil: none
-	patternDescription string         // what a text that matches is, for findings
+	patternDescription string         // describes a matching text in findings
 }
 
 // isInlineRecord reports whether the field is a record whose fields are members of its parent in the JSON form.
@@ -106,7 +106,7 @@
 // schema returns the records of the parsed schema by name.
 var schema = sync.OnceValue(parseSchema)
 
-// parseSchema parses the embedded schema. An error in it is a programming error and panics.
+// parseSchema parses the embedded schema. It panics if the schema is invalid, which is a programming error.
 func parseSchema() map[string]*record {
 	file, err := parser.ParseFile("schema.cue", schemaText, parser.ParseComments)
 	if err != nil {
@@ -114,7 +114,7 @@
 	}
 	records := map[string]*record{}
 	bodies := map[*record]*ast.StructLit{}
-	for _, declaration := range file.Decls { // all names first: records refer to one another
+	for _, declaration := range file.Decls { // register all records first because they refer to one another
 		definition, ok := declaration.(*ast.Field)
 		if !ok {
 			continue
@@ -181,7 +181,7 @@
 	return strings.Join(strings.Fields(strings.Join(out, " ")), " ")
 }
 
-// namedTypes are the types that the schema names, beside quantities and records.
+// namedTypes maps the names of the schema's types, except quantities and records, to their kinds.
 var namedTypes = map[string]kind{
 	"string":   kindString,
 	"int":      kindInt,
@@ -190,7 +190,7 @@
 	"#Address": kindAddress,
 }
 
-// parseType returns the type that an expression of the schema stands for.
+// parseType returns the type that an expression of the schema denotes.
 func parseType(expression ast.Expr, records map[string]*record) *fieldType {
 	switch expression := expression.(type) {
 	case *ast.Ident:
@@ -274,7 +274,7 @@
 	case "pairs":
 		f.layout = layoutPairList
 		f.nameKey, f.valueKey, _ = strings.Cut(value, ":")
-		f.unit = jsonUnits[f.valueKey] // the member with the value is named by the value's unit
+		f.unit = jsonUnits[f.valueKey] // the member that holds the value has the name of the value's unit
 	case "parallel":
 		f.layout = layoutParallel
 	case "extra":
@@ -296,7 +296,7 @@
 	return value
 }
 
-// describe says what a field holds, for a finding's resolution.
+// describe returns a description of a field's type and range, for a finding's resolution.
 func (f *field) describe() string {
 	out := f.valueType.describe()
 	if f.rangeText != "" {
@@ -305,7 +305,7 @@
 	return out
 }
 
-// describe returns the type for a finding's text.
+// describe returns a description of the type, for a finding's text.
 func (t *fieldType) describe() string {
 	switch t.kind {
 	case kindString:
--- a/internal/sitelang/site.go
+++ b/internal/sitelang/site.go
@@ -17,21 +17,21 @@
 
 // Site is a configuration that has been checked and compiled.
 type Site struct {
-	JSON           []byte             // the form that a proxy runs from
+	JSON           []byte             // the configuration that a proxy runs from
 	Files          []string           // all files that were read, the root first
-	RoutingSet     routing.Set        // pools, policies and routes, completed as a proxy does it
+	RoutingSet     routing.Set        // pools, policies and routes, with the defaults that a proxy applies
 	RoutingTable   *routing.Table     // compiled from RoutingSet
-	MatchSpace     routing.MatchSpace // what a connection can be, for comparisons of tables
+	MatchSpace     routing.MatchSpace // the attributes that a connection can have, to compare routing tables
 	Settings       balancer.Settings
 	KnownEndpoints discovery.List // the endpoints that the configuration itself lists
 }
 
-// Load reads a file and what it includes, checks all of it and compiles it. It returns a site if no finding is an
-// error. A file whose name ends in .json is read as the JSON form.
+// Load reads a file and the files that it includes, checks them and compiles them. It returns a nil site if one of the
+// findings is an error. It reads a file whose name ends in .json as the JSON form.
 func Load(path string) (*Site, Findings) { return LoadWithEndpoints(path, nil) }
 
-// LoadWithEndpoints does what Load does, and checks the pools against an endpoint list; nil stands for the list of the site
-// itself.
+// LoadWithEndpoints works like Load, but checks the pools against list instead of the site's own endpoint list. A nil list
+// selects the site's own.
 func LoadWithEndpoints(path string, list *discovery.List) (*Site, Findings) {
 	if strings.HasSuffix(path, ".json") {
 		return loadJSON(path, list)
@@ -39,8 +39,8 @@
 	return readSources(path).compile(list)
 }
 
-// loadJSON converts the JSON form to the language and compiles that. Its findings have no line and column: those would
-// be of the converted text.
+// loadJSON converts the JSON form to the language and compiles the result. Its findings have no line and column because
+// these would refer to the converted text.
 func loadJSON(path string, list *discovery.List) (*Site, Findings) {
 	s := newSourceSet()
 	text, err := os.ReadFile(path)
@@ -62,20 +62,21 @@
 	return site, findings.sorted()
 }
 
-// Compile checks and compiles one text, which may not include files. name is the file in the findings.
+// Compile checks and compiles one text, which must not include files. Its findings use name as the file name. It returns a
+// nil site if one of the findings is an error.
 func Compile(name string, text []byte) (*Site, Findings) {
 	s := newSourceSet()
 	src := s.addText(name, text)
 	if src.file != nil {
 		for _, inc := range s.extractIncludes(src) {
-			s.report(inc.pos, Error, "a text of its own has nothing to include from", "")
+			s.report(inc.pos, Error, "include is not supported here: this text is not read from a file", "")
 		}
 	}
 	return s.compile(nil)
 }
 
-// compile checks and compiles the files of the set. list is the endpoint list to check the pools against; nil stands for
-// that of the site itself. It returns no site if there is an error among the findings.
+// compile checks and compiles the files of the set. It checks the pools against list, or against the site's own endpoint
+// list if list is nil. It returns a nil site if one of the findings is an error.
 func (s *sourceSet) compile(list *discovery.List) (*Site, Findings) {
 	site := s.compileSite(list)
 	findings := s.findings.sorted()
@@ -85,10 +86,10 @@
 	return site, findings
 }
 
-// compileSite does the work of compile and reports the findings. It goes on after errors as far as the next step does not
-// depend on what is wrong.
+// compileSite compiles the site and adds the findings to the set. After an error it continues with the steps that do not
+// depend on the invalid part.
 func (s *sourceSet) compileSite(list *discovery.List) *Site {
-	if s.findings.HasErrors() { // a file that is missing or has syntax errors; what would follow from that misleads
+	if s.findings.HasErrors() { // a file is missing or has syntax errors, so further findings would be misleading
 		return nil
 	}
 	tree := s.evaluate()
@@ -117,7 +118,7 @@
 	return site
 }
 
-// newSite encodes a tree that has passed the checks, and decodes the result as the proxy will.
+// newSite encodes a tree that has passed the checks in the JSON form, and decodes the result as the proxy does.
 func newSite(tree *node) (*Site, error) {
 	site := &Site{}
 	var err error
@@ -130,7 +131,7 @@
 	return site, nil
 }
 
-// decode decodes and checks the parts of the JSON form that this program needs.
+// decode decodes the settings, the endpoint list and the routing of the JSON form, and validates the settings.
 func (s *Site) decode() error {
 	var parts struct {
 		Settings json.RawMessage
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// ActiveEndpoints returns the attributes of the endpoints of a list that are not removed, sorted by id.
+// ActiveEndpoints returns the attributes of the endpoints in a list whose phase is not Removed, sorted by id.
 func ActiveEndpoints(list *discovery.List) []routing.EndpointAttributes {
 	var out []routing.EndpointAttributes
 	for _, entry := range list.Entries() {
--- a/internal/sitelang/sources.go
+++ b/internal/sitelang/sources.go
@@ -19,22 +19,22 @@
 const (
 	maxFileMiB      = 64
 	maxFiles        = 10_000
-	maxReadAttempts = 5   // of a set of files that changes while it is read
-	maxPathSteps    = 255 // components and links on the way to one file
+	maxReadAttempts = 5   // for a set of files that changes while it is read
+	maxPathSteps    = 255 // path components and symbolic links to resolve for one file
 )
 
 const (
-	// minSettledAge is the age from which on a file counts as completely written. A younger one is checked again.
+	// minSettledAge is the age at which a file counts as completely written. A younger file is checked again after this time.
 	minSettledAge = 100 * time.Millisecond
-	// maxClockSkew is how far in the future a modification time may lie and still count as young.
+	// maxClockSkew is how far a modification time may be in the future for the file to still count as just modified.
 	maxClockSkew = time.Hour
 )
 
-// source is one file that was read, or a text that stands for one.
+// source is one file that was read, or a text that was passed in place of a file.
 type source struct {
 	name     string      // as given: the root's path, or one joined to the including file's folder
 	realPath string      // without symbolic links; "" for a text
-	info     fs.FileInfo // when the file was read; nil for a text
+	info     fs.FileInfo // as of the read; nil for a text
 	text     []byte
 	file     *ast.File // the parsed text without its include lists; nil if it has syntax errors
 }
@@ -44,7 +44,7 @@
 	sources     []*source // the root first, each file before those that it includes
 	byRealPath  map[string]*source
 	globMatches map[string][]string // file names by pattern
-	linkTargets map[string]string   // each symbolic link is read once, so that all files are found by the same targets
+	linkTargets map[string]string   // targets by symbolic link; each link is read only once, so that all paths resolve consistently
 	findings    Findings
 }
 
@@ -57,7 +57,7 @@
 	s.reportInFile(s.rootFile(), pos, severity, message, resolution)
 }
 
-// reportInFile adds a finding at a position. file is named if the position has none of its own.
+// reportInFile adds a finding at a position. The finding names file if the position has no file name.
 func (s *sourceSet) reportInFile(file string, pos token.Pos, severity Severity, message, resolution string) {
 	f := Finding{File: file, Severity: severity, Message: message, Resolution: resolution}
 	if pos.IsValid() {
@@ -78,8 +78,8 @@
 	return ""
 }
 
-// readSources reads a file and all that it includes as one consistent set: if a file, a link or the matches of a pattern
-// changed meanwhile, all is read again.
+// readSources reads a file and all files that it includes as one consistent set. If a file, a link or the matches of a
+// pattern change meanwhile, it reads everything again, at most maxReadAttempts times in all.
 func readSources(path string) *sourceSet {
 	for attempt := 1; ; attempt++ {
 		s := newSourceSet()
@@ -97,7 +97,7 @@
 	}
 }
 
-// changedPath returns a file, link or pattern that is no longer what was read; "" if there is none.
+// changedPath returns a file, link or pattern that has changed since it was read; "" if there is none.
 func (s *sourceSet) changedPath() string {
 	s.awaitSettled()
 	for _, src := range s.sources {
@@ -119,7 +119,7 @@
 	return ""
 }
 
-// hasChanged reports whether the file is no longer the one that was read.
+// hasChanged reports whether the file was replaced, modified or removed since it was read.
 func (src *source) hasChanged() bool {
 	now, err := os.Stat(src.realPath)
 	if err != nil || !os.SameFile(now, src.info) {
@@ -128,18 +128,18 @@
 	return now.Size() != src.info.Size() || !now.ModTime().Equal(src.info.ModTime())
 }
 
-// awaitSettled waits if a file is so young that it may be half written.
+// awaitSettled waits if a file was modified so recently that it may be only partly written.
 func (s *sourceSet) awaitSettled() {
-	isYoung := func(src *source) bool {
+	isRecent := func(src *source) bool {
 		age := time.Since(src.info.ModTime())
 		return -maxClockSkew < age && age < minSettledAge
 	}
-	if slices.ContainsFunc(s.sources, isYoung) {
+	if slices.ContainsFunc(s.sources, isRecent) {
 		time.Sleep(minSettledAge)
 	}
 }
 
-// addText adds a text that was not read from a file of the set. name is the file in its findings.
+// addText adds a text that is not read from a file. Its findings use name as the file name.
 func (s *sourceSet) addText(name string, text []byte) *source {
 	src := &source{name: name, text: text}
 	s.sources = append(s.sources, src)
@@ -147,8 +147,9 @@
 	return src
 }
 
-// addFile reads one file, unless it was read before, and then what it includes. displayName is the name in findings,
-// chain the files through which it was reached, from the root on, and pos the position of the include; the root has none.
+// addFile reads one file, unless it was read before, and the files that it includes. displayName is its name in findings,
+// chain holds the files from the root to the including file, and pos is the position of the include. The root file has an
+// empty chain and no position.
 func (s *sourceSet) addFile(name, displayName string, chain []*source, pos token.Pos) {
 	realPath, err := s.resolveLinks(name)
 	if err != nil {
@@ -161,7 +162,7 @@
 		return
 	}
 	if s.byRealPath[realPath] != nil {
-		return // a file counts once, however it is reached
+		return // a file is read once, even if several paths lead to it
 	}
 	if len(s.sources) >= maxFiles {
 		s.report(pos, Error, fmt.Sprintf("over %d files", maxFiles), "")
@@ -184,7 +185,7 @@
 	}
 }
 
-// includeCycle returns the names of the files in the chain from realPath on; nil if realPath is not in the chain.
+// includeCycle returns the names of the files in the chain, starting at realPath; nil if realPath is not in the chain.
 func includeCycle(chain []*source, realPath string) []string {
 	start := slices.IndexFunc(chain, func(src *source) bool { return src.realPath == realPath })
 	if start < 0 {
@@ -218,7 +219,7 @@
 	return err
 }
 
-// describeReadError returns the predicate of a sentence about a file that could not be read.
+// describeReadError returns the reason why a file could not be read, worded to follow the file's name in a sentence.
 func describeReadError(err error) string {
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -233,7 +234,7 @@
 	return err.Error()
 }
 
-// resolveLinks returns a path without symbolic links, by the target that each link had when it was first met.
+// resolveLinks returns a path without symbolic links. It uses the target that each link had when it was first read.
 func (s *sourceSet) resolveLinks(path string) (string, error) {
 	path, err := filepath.Abs(path)
 	if err != nil {
@@ -263,7 +264,7 @@
 	return resolved, nil
 }
 
-// linkTarget returns where a symbolic link leads; false if the path is no link.
+// linkTarget returns the target of a symbolic link; false if the path is not a link.
 func (s *sourceSet) linkTarget(path string) (target string, isLink bool, err error) {
 	if target, known := s.linkTargets[path]; known {
 		return target, true, nil
@@ -279,7 +280,7 @@
 	return target, true, nil
 }
 
-// parse parses a file's text. If it fails, the errors are reported and the source has no file.
+// parse parses a source's text. If that fails, it reports the errors and leaves src.file nil.
 func (s *sourceSet) parse(src *source) {
 	file, err := parser.ParseFile(src.name, src.text, parser.ParseComments)
 	if err != nil {
--- a/internal/sitelang/suggest.go
+++ b/internal/sitelang/suggest.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// maxSuggestionBytes is the length up to which names are compared for a suggestion.
+// maxSuggestionBytes is the length of the longest names that are compared for a suggestion.
 const maxSuggestionBytes = 64
 
-// incomparableDistance is the distance of names that are too long to be compared.
+// incomparableDistance is the distance between names if one of them is too long to compare.
 const incomparableDistance = math.MaxInt
 
-// closestName returns the known name that a mistyped one most likely means; "" if none is similar.
+// closestName returns the known name that is most similar to a mistyped one; "" if none is similar enough.
 func closestName(name string, known []string) string {
 	closest := ""
-	closestDistance := len(name)/3 + 2 // a third of the name's bytes and one more may be wrong
+	closestDistance := len(name)/3 + 2 // the distance is at most a third of the name's bytes plus one
 	for _, candidate := range known {
 		distance := editDistance(strings.ToLower(name), strings.ToLower(candidate))
 		if distance < closestDistance || distance == closestDistance && closest != "" && candidate < closest {
@@ -54,10 +54,10 @@
 	return rows[1][len(b)]
 }
 
-// maxListedNames is how many names a finding lists.
+// maxListedNames is the number of names that a finding lists at most.
 const maxListedNames = 8
 
-// quotedList lists the first few names, quoted.
+// quotedList lists the first maxListedNames names, quoted, and the number of the others.
 func quotedList(names []string) string {
 	quoted := make([]string, 0, maxListedNames)
 	for i, name := range names {
--- a/internal/sitelang/units.go
+++ b/internal/sitelang/units.go
@@ -13,14 +13,14 @@
 type unit struct {
 	name      string
 	factor    *big.Rat // of the quantity's base unit
-	parseOnly bool     // accepted, but not chosen by quantity.format
+	parseOnly bool     // accepted as input, but never chosen by quantity.format
 }
 
 // quantity is a kind of value that consists of a number and a unit.
 type quantity struct {
 	description string    // for findings, such as "a time"
-	units       []unit    // the smallest first
-	commonUnits [2]string // the two that a number without a unit most likely means; the first is preferred for output
+	units       []unit    // smallest first
+	commonUnits [2]string // the two most likely units of a number without one; the first is preferred for output
 	example     string    // as the language writes it
 }
 
@@ -33,10 +33,10 @@
 	return r
 }
 
-// one is the number 1, as which a share's whole is written too. It must not be changed.
+// one is the number 1, which is also the sum of the shares of a split. It must not be modified.
 var one = mustRational("1")
 
-// The quantities. Their base units are second, per second, MiB and ratio.
+// The quantities, whose base units are second, per second, MiB and ratio.
 var (
 	durationQuantity = &quantity{
 		description: "a time",
@@ -94,10 +94,10 @@
 // jsonUnit is the unit of a quantity in the JSON form.
 type jsonUnit struct {
 	factor    *big.Rat // of the quantity's base unit
-	isInteger bool     // the JSON form has whole numbers of it
+	isInteger bool     // the JSON form requires a whole number of this unit
 }
 
-// baseJSONUnit is the unit of a field whose @json attribute names none.
+// baseJSONUnit is the base unit, which applies to a field whose @json attribute names no unit.
 var baseJSONUnit = &jsonUnit{factor: one}
 
 // jsonUnits are the units by their names in @json attributes.
@@ -118,7 +118,7 @@
 	bareNumberPattern = regexp.MustCompile(`^ *[-+]?[0-9.]+(?:[eE][-+]?[0-9]+)? *$`)
 )
 
-// parse returns a quantity in its base unit. The problem, "" if there is none, is a text for a finding.
+// parse returns a quantity in its base unit. If the text is invalid, problem is the text for a finding; otherwise it is "".
 func (q *quantity) parse(text string) (value *big.Rat, problem string) {
 	if bareNumberPattern.MatchString(text) {
 		return nil, q.missingUnitMessage(strings.TrimSpace(text))
@@ -138,7 +138,7 @@
 	return nil, fmt.Sprintf("%q has the unit %q, which is none of %s", text, unitName, strings.Join(names, ", "))
 }
 
-// missingUnitMessage is the problem of a bare number: it names two quantities that the number could mean.
+// missingUnitMessage returns the text of a finding about a number without a unit. It suggests the two common units.
 func (q *quantity) missingUnitMessage(number string) string {
 	return fmt.Sprintf("%s has no unit: it could be %q or %q", number, q.withUnit(number, q.commonUnits[0]),
 		q.withUnit(number, q.commonUnits[1]))
@@ -152,10 +152,10 @@
 	return number + " " + unitName
 }
 
-// format writes a value of the base unit exactly, in the unit that reads best: the one with the fewest characters, if
-// possible one in which the value is not below 1. Of units that read equally well it prefers the first common one.
+// format returns the text of a value in base units. Among the units in which the value is at least 1, or all units if there
+// is none, it chooses the one with the shortest number, and the first common unit if several are equally short.
 func (q *quantity) format(value *big.Rat) string {
-	const belowOnePenalty = 100 // characters; more than a number has
+	const belowOnePenalty = 100 // characters; longer than any number
 	best := ""
 	bestCost := math.MaxInt
 	for _, u := range q.units {
@@ -177,7 +177,7 @@
 	return best
 }
 
-// formatDecimal writes a number in full; one without a finite decimal form as the nearest float64.
+// formatDecimal returns the exact decimal form of a number, or that of the nearest float64 if the number has none.
 func formatDecimal(r *big.Rat) string {
 	if digits, exact := r.FloatPrec(); exact {
 		return r.FloatString(digits)
