--- a/cmd/micafrontctl/config.go
+++ b/cmd/micafrontctl/config.go
@@ -28,9 +28,9 @@
 // limitCheckInterval is how often the limits on the evaluation of a site are checked.
 const limitCheckInterval = 50 * time.Millisecond
 
-// AfterApply starts to watch the limits, and the program ends once a command exceeds one: CUE has none of its own, and a site
-// whose values refer to one another may grow without bound. The goroutine runs as long as the program. Kong calls AfterApply
-// before the command runs.
+// AfterApply starts a goroutine that ends the program when a command exceeds a limit on time or memory. CUE has no such
+// limits, and a site whose values refer to one another may grow without bound. Kong calls AfterApply before the command
+// runs.
 func (c *configCommand) AfterApply() error { //nolint:unparam // kong requires an error
 	deadline := time.Now().Add(c.Timeout)
 	go func() {
@@ -38,7 +38,7 @@
 			var memory runtime.MemStats
 			runtime.ReadMemStats(&memory)
 			if memory.HeapAlloc > uint64(c.MemoryMiB)<<20 || time.Now().After(deadline) {
-				fmt.Fprintf(os.Stderr, "micafront: working this out takes over %v or %d MiB; is it circular?\n", c.Timeout, c.MemoryMiB)
+				fmt.Fprintf(os.Stderr, "micafront: evaluating the site took over %v or %d MiB; does it refer to itself in a cycle?\n", c.Timeout, c.MemoryMiB)
 				os.Exit(exitLimitExceeded)
 			}
 		}
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// loadSite loads a site. If it has errors, it prints them and returns an exitCode.
+// loadSite loads a site. If the site has errors, it prints them and returns an exitCode.
 func loadSite(path string) (*sitelang.Site, error) {
 	site, findings := sitelang.Load(path)
 	for _, finding := range findings {
@@ -60,7 +60,7 @@
 	return site, nil
 }
 
-// readEndpointList reads an endpoint list in the form that discovery sends; nil for the path "".
+// readEndpointList reads an endpoint list in the form that discovery sends. It returns nil if path is "".
 func readEndpointList(path string) (*discovery.List, error) {
 	if path == "" {
 		return nil, nil
@@ -76,7 +76,7 @@
 	return &list, nil
 }
 
-// now returns the present time for the decision module: the time since the Unix epoch, in whole microseconds.
+// now returns the current time for the balancers: the time since the Unix epoch, in whole microseconds.
 func now() balancer.Instant {
 	return time.Duration(time.Now().UnixMicro()) * time.Microsecond
 }
--- a/cmd/micafrontctl/config_check.go
+++ b/cmd/micafrontctl/config_check.go
@@ -14,7 +14,7 @@
 	Against string   `help:"An endpoint list in discovery's form, to check the pools against." type:"existingfile"`
 }
 
-// Run prints the findings of all sites and a summary of those that are valid.
+// Run prints the findings of all sites, and a summary of each valid site.
 func (c *checkCommand) Run() error {
 	list, err := readEndpointList(c.Against)
 	if err != nil {
--- a/cmd/micafrontctl/config_convert.go
+++ b/cmd/micafrontctl/config_convert.go
@@ -21,12 +21,12 @@
 	case !toSite:
 		return c.printJSONForm()
 	case !isJSON:
-		return fmt.Errorf("%s is a site already", c.File)
+		return fmt.Errorf("%s is already in the site language", c.File)
 	}
 	return c.printSite()
 }
 
-// printSite prints a file of the JSON form as a site. It does not check what the file says.
+// printSite converts a file of the JSON form to the site language and prints it. It does not check the file's values.
 func (c *convertCommand) printSite() error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return err
 }
 
-// printJSONForm prints the JSON form of a site, or of a file that has it already, once it is checked.
+// printJSONForm checks a site, or a file of the JSON form, and prints its JSON form.
 func (c *convertCommand) printJSONForm() error {
 	site, err := loadSite(c.File)
 	if err != nil {
--- a/cmd/micafrontctl/config_fmt.go
+++ b/cmd/micafrontctl/config_fmt.go
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// replaceFile replaces a file's content atomically and keeps its mode. A symbolic link stays, and its target is replaced.
+// replaceFile replaces a file's content atomically and preserves its mode. If path is a symbolic link, it replaces the
+// link's target.
 func replaceFile(path string, text []byte) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -73,7 +74,7 @@
 		err = os.Rename(temporary.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary.Name()) // the first error says more
+		_ = os.Remove(temporary.Name()) // the first error is returned instead
 	}
 	return err
 }
--- a/cmd/micafrontctl/config_report.go
+++ b/cmd/micafrontctl/config_report.go
@@ -17,7 +17,7 @@
 	KeysPerClass int    `name:"keys" help:"How many keys of each class to count." default:"10000"`
 }
 
-// Run prints what the proposed version changes. The exit code is 1 if it changes anything, as diff's is.
+// Run prints what the proposed version changes. As with diff(1), the exit code is 1 if it changes anything.
 func (c *diffCommand) Run() error {
 	list, err := readEndpointList(c.Against)
 	if err != nil {
--- a/cmd/micafrontctl/main.go
+++ b/cmd/micafrontctl/main.go
@@ -1,6 +1,6 @@
-// Command micafrontctl is micafront's command line: it checks, formats, compares, explains and converts configurations,
-// runs a demonstration and benchmarks. The program micafront executes it when it is called with arguments, so that the
-// proxy itself links none of this.
+// Command micafrontctl is micafront's command-line tool: it checks, formats, compares, explains and converts
+// configurations, and runs a demonstration and benchmarks. The program micafront executes it when it is called with
+// arguments, so that the proxy itself does not link the code of these commands.
 package main
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/willabides/kongplete"
 )
 
-// Exit codes of the program beside 0.
+// Nonzero exit codes of the program.
 const (
 	exitFailure       = 1 // an error, findings that are errors, or a difference
 	exitLimitExceeded = 3 // evaluating a site took too long or too much memory
 )
 
-// commitDigits is how many digits of the commit the version shows.
+// commitDigits is the number of digits of the commit hash in the version.
 const commitDigits = 12
 
 // commandLine is the command line as kong parses it.
@@ -33,7 +33,7 @@
 	Completion kongplete.InstallCompletions `cmd:"" help:"Print the commands that make a shell complete this command line."`
 }
 
-// exitCode is an error that ends the program with a code; the message, if any, has been printed.
+// exitCode is an error that ends the program with this exit code. Messages have been printed before it is returned.
 type exitCode int
 
 func (code exitCode) Error() string { return fmt.Sprint("exit code ", int(code)) }
@@ -44,7 +44,7 @@
 		kong.Description("A proxy that places long-lived connections on upstream servers. Without a command it serves with the configuration that EDGE_CONFIG names."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, Summary: true}))
 	if err != nil {
-		panic(err) // the struct tags above are wrong
+		panic(err) // the struct tags of commandLine are invalid
 	}
 	kongplete.Complete(parser)
 	command, err := parser.Parse(os.Args[1:])
@@ -66,7 +66,7 @@
 func (versionCommand) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("this program was built without its version")
+		return errors.New("this program was built without version information")
 	}
 	commit := stats.Commit(commitDigits)
 	if commit != "" {
--- a/cmd/micafrontctl/main_test.go
+++ b/cmd/micafrontctl/main_test.go
@@ -17,10 +17,10 @@
 
 const childEnv = "MICAFRONT_TOOLS_TEST_CHILD"
 
-// TestMain lets the test binary be the real program when it is started as such.
+// TestMain makes the test binary run main instead of the tests if the environment sets childEnv.
 func TestMain(m *testing.M) { testkit.RunTestsOrProgram(m, childEnv, main) }
 
-// runProgram runs the program and returns what it printed and its exit code.
+// runProgram runs the program and returns its output and exit code.
 func runProgram(t *testing.T, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -35,10 +35,11 @@
 	return stdoutBuffer.String(), stderrBuffer.String(), cmd.ProcessState.ExitCode()
 }
 
-// sampleSite is the site that is compiled into the program.
+// sampleSite is the path of the site that is embedded in the program.
 const sampleSite = "../../deploy/thies.cue"
 
-// writeChangedSite writes the sample with a text replaced to a file of its own, and returns its path.
+// writeChangedSite writes a copy of the sample site in which the first occurrence of a text is replaced, and returns the
+// copy's path.
 func writeChangedSite(t *testing.T, from, to string) string {
 	t.Helper()
 	text, err := os.ReadFile(sampleSite)
@@ -46,7 +47,7 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), from) {
-		t.Fatalf("the sample has no %q", from)
+		t.Fatalf("the sample site does not contain %q", from)
 	}
 	path := filepath.Join(t.TempDir(), "site.cue")
 	if err := os.WriteFile(path, []byte(strings.Replace(string(text), from, to, 1)), 0o600); err != nil {
@@ -57,25 +58,25 @@
 
 func TestConfigCheck(t *testing.T) {
 	stdout, stderr, code := runProgram(t, "config", "check", "--strict", sampleSite)
-	testkit.Equal(t, "the sample", []any{"", 0}, []any{stderr, code})
+	testkit.Equal(t, "check of the sample site", []any{"", 0}, []any{stderr, code})
 	testkit.Equal(t, "summary", sampleSite+": 1 files, 2 classes, 2 pools, 2 routes, 2 policies\n", stdout)
 	bad := writeChangedSite(t, `"90 %"`, `90`)
 	_, stderr, code = runProgram(t, "config", "check", bad)
-	testkit.Equal(t, "a bare figure", []any{bad + `:83:11: error: route.feeds.to.thies: 90 has no unit: it could be "90 %" or "90 ppm"` + "\n", 1}, []any{stderr, code})
+	testkit.Equal(t, "a number without a unit", []any{bad + `:83:11: error: route.feeds.to.thies: 90 has no unit: it could be "90 %" or "90 ppm"` + "\n", 1}, []any{stderr, code})
 	stdout, _, code = runProgram(t, "config", "check", "--json", bad)
 	var findings []sitelang.Finding
 	if err := json.Unmarshal([]byte(stdout), &findings); err != nil || code != 1 {
 		t.Fatal(err, code, stdout)
 	}
-	testkit.Equal(t, "for editors", []any{83, 11, sitelang.Error}, []any{findings[0].Line, findings[0].Column, findings[0].Severity})
+	testkit.Equal(t, "finding as JSON", []any{83, 11, sitelang.Error}, []any{findings[0].Line, findings[0].Column, findings[0].Severity})
 }
 
 func TestConfigFmt(t *testing.T) {
 	messy := writeChangedSite(t, `aim:         "300 ms"`, `aim: "300ms"`)
 	stdout, _, code := runProgram(t, "config", "fmt", "--check", messy, sampleSite)
-	testkit.Equal(t, "named", []any{messy + "\n", 1}, []any{stdout, code})
+	testkit.Equal(t, "unformatted files", []any{messy + "\n", 1}, []any{stdout, code})
 	_, stderr, code := runProgram(t, "config", "fmt", "-w", messy)
-	testkit.Equal(t, "written", []any{"", 0}, []any{stderr, code})
+	testkit.Equal(t, "formatting in place", []any{"", 0}, []any{stderr, code})
 	want, err := os.ReadFile(sampleSite)
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.Equal(t, "the sample again", string(want), string(got))
+	testkit.Equal(t, "formatted file", string(want), string(got))
 }
 
 func TestConfigDiffAndExplain(t *testing.T) {
@@ -99,29 +100,29 @@
 			dakar: "30 %"`)
 	stdout, stderr, code := runProgram(t, "config", "diff", "--against", list, "--keys", "1000", sampleSite, next)
 	if !strings.HasPrefix(stdout, "class \"album-feed\": 20 % of the keys: from pool \"thies\" to pool \"dakar\"\n") || code != 1 || stderr != "" {
-		t.Errorf("%d %s%s", code, stdout, stderr)
+		t.Errorf("diff: exit code %d, output %s%s", code, stdout, stderr)
 	}
 	if !strings.Contains(stdout, "of 1000 keys of each class") || !strings.Contains(stdout, "t-1 ") {
-		t.Errorf("no count of keys: %s", stdout)
+		t.Errorf("the output has no count of moved keys: %s", stdout)
 	}
 	stdout, stderr, code = runProgram(t, "config", "diff", sampleSite, writeChangedSite(t, "// A tenth of", "// Some of"))
 	testkit.Equal(t, "a comment changes nothing", []any{"routing stays as it is\n", "", 0}, []any{stdout, stderr, code})
 	stdout, stderr, code = runProgram(t, "config", "explain", "--against", list, sampleSite, "OPEN id key c=album-feed,d=2000")
-	testkit.Equal(t, "explained", []any{"", 0}, []any{stderr, code})
+	testkit.Equal(t, "explain", []any{"", 0}, []any{stderr, code})
 	for _, want := range []string{`route "feeds" matches (class "album-feed"): it has the connection`, `policy "patient": at most 5 attempts in 2s, then falls back to pool "dakar"`,
 		`1. t-1 of pool "thies": its key's place in the table of pool "thies"`, `2. d-1 of pool "dakar": its key's place in the table of pool "dakar", since pool "thies" has refused`,
 		`if all of these are full: BUSY, once pool "dakar" has refused`} {
 		if !strings.Contains(stdout, want) {
-			t.Errorf("no %q in\n%s", want, stdout)
+			t.Errorf("the output does not contain %q:\n%s", want, stdout)
 		}
 	}
 	_, stderr, code = runProgram(t, "config", "explain", sampleSite, "HELLO")
-	if code != 1 || !strings.Contains(stderr, `"HELLO\r\n" is no first line`) {
-		t.Errorf("%d %s", code, stderr)
+	if code != 1 || !strings.Contains(stderr, `"HELLO\r\n" is not a first line`) {
+		t.Errorf("explain of an invalid line: exit code %d, output %s", code, stderr)
 	}
 }
 
-// The sample's JSON form, converted to the language, has the same JSON form.
+// The sample site's JSON form survives conversion to the site language and back.
 func TestConfigConvert(t *testing.T) {
 	stdout, stderr, code := runProgram(t, "config", "convert", sampleSite)
 	testkit.Equal(t, "to JSON", []any{"", 0}, []any{stderr, code})
@@ -136,10 +137,11 @@
 		t.Fatal(err)
 	}
 	again, _, _ := runProgram(t, "config", "convert", back)
-	testkit.Equal(t, "and back", stdout, again)
+	testkit.Equal(t, "round trip", stdout, again)
 }
 
-// The evaluation of a site whose values grow without bound ends with a message.
+// The program ends with a message if evaluating a site exceeds the memory limit. Each value of the site is twice as long as
+// the one before it.
 func TestEvaluationLimits(t *testing.T) {
 	text := "_a0: \"xxxxxxxxxxxxxxxx\"\n"
 	const doublings = 30
@@ -148,12 +150,12 @@
 	}
 	path := writeChangedSite(t, "proxy: {", text+"proxy: {\n\tzone: _a30")
 	_, stderr, code := runProgram(t, "config", "--memory", "512", "check", path)
-	if code != 3 || !strings.Contains(stderr, "is it circular?") {
-		t.Errorf("%d %.300s", code, stderr)
+	if code != 3 || !strings.Contains(stderr, "does it refer to itself in a cycle?") {
+		t.Errorf("exit code %d, output %.300s", code, stderr)
 	}
 }
 
-// The reference in the docs is what the program prints.
+// The language reference in the docs equals the program's output.
 func TestReferenceIsCurrent(t *testing.T) {
 	stdout, _, _ := runProgram(t, "config", "reference")
 	page, err := os.ReadFile("../../docs/SITE-LANGUAGE.md")
@@ -163,7 +165,7 @@
 	testkit.Equal(t, "docs/SITE-LANGUAGE.md, made by: micafront config reference", stdout, string(page))
 }
 
-// The demonstration runs the real proxy through a deploy, and no rule is broken.
+// The demonstration runs the real proxy during a deploy of its endpoints and finds no violation.
 func TestDemo(t *testing.T) {
 	dir := t.TempDir()
 	for name, from := range map[string]string{"micafront": "../micafront", "micafrontctl": "."} {
--- a/cmd/micafrontctl/process_usage.go
+++ b/cmd/micafrontctl/process_usage.go
@@ -13,10 +13,10 @@
 
 const kibPerMiB = 1024
 
-// clockTick is the unit of processor times in /proc, see proc_pid_stat(5).
+// clockTick is the unit of processor times in /proc; see proc_pid_stat(5).
 const clockTick = 10 * time.Millisecond
 
-// residentMiB returns the resident memory of a process.
+// residentMiB returns the resident memory of a process in MiB.
 func residentMiB(pid int) (float64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -31,9 +31,9 @@
 	return kib / kibPerMiB, err
 }
 
-// processorTime returns the processor time that a process has used, in whole clock ticks; 0 if it is not known.
+// processorTime returns the user and system time that a process has used, in whole clock ticks; 0 if it is not known.
 func processorTime(pid int) time.Duration {
-	// Indices after the command's name, which is in parentheses.
+	// Field indices in /proc/PID/stat after the command's name, which is in parentheses.
 	const (
 		userField   = 11
 		systemField = 12
@@ -49,7 +49,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// peakResidentKiB returns the largest resident memory that an ended process had; 0 if it is not known.
+// peakResidentKiB returns the peak resident memory, in KiB, of a process that has ended; 0 if it is not known.
 func peakResidentKiB(cmd *exec.Cmd) int64 {
 	if usage, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 		return usage.Maxrss
--- a/cmd/micafrontctl/serve.go
+++ b/cmd/micafrontctl/serve.go
@@ -14,7 +14,7 @@
 	LogFormat string `help:"The log's format: console or json." enum:"console,json" default:"console"`
 }
 
-// Run replaces this process by the proxy's program. It returns only if that fails.
+// Run replaces this process with the proxy's program. It returns only if that fails.
 func (c *serveCommand) Run() error {
 	program, err := proxyProgram()
 	if err != nil {
@@ -25,7 +25,7 @@
 	return fmt.Errorf("executing %s: %w", program, err)
 }
 
-// proxyProgram returns the path of the proxy's program, which lies beside this one.
+// proxyProgram returns the path of the proxy's program, which must be in the same directory as this program.
 func proxyProgram() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -33,13 +33,13 @@
 	}
 	program := filepath.Join(filepath.Dir(self), "micafront")
 	if _, err := os.Stat(program); err != nil {
-		return "", fmt.Errorf("the proxy is not beside this program: %w", err)
+		return "", fmt.Errorf("the proxy's program is not in this program's directory: %w", err)
 	}
 	return program, nil
 }
 
-// proxyCommand returns a command that runs the proxy with a configuration file alone, whatever this process's environment
-// says. Its temporary files are below dir.
+// proxyCommand returns a command that runs the proxy with a configuration file. It clears the environment variables that
+// would override the configuration, and makes dir the proxy's directory for temporary files.
 func proxyCommand(program, configPath, dir string) *exec.Cmd {
 	cmd := exec.Command(program)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+configPath, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_OPERATOR=", "TMPDIR="+dir)
--- a/internal/sitelang/sitelang_test.go
+++ b/internal/sitelang/sitelang_test.go
@@ -18,13 +18,13 @@
 	"pgregory.net/rapid"
 )
 
-var update = flag.Bool("update", false, "rewrite the expected findings; review them before a commit")
+var update = flag.Bool("update", false, "rewrite the expected findings; review them before committing")
 
-// Each invalid file has its expected findings, literally, in a file beside it.
+// The findings of each invalid file equal those in the .want file beside it.
 func TestFindingsOfInvalidFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.cue")
 	if err != nil || len(files) < 80 {
-		t.Fatalf("%d invalid files, %v", len(files), err)
+		t.Fatalf("found %d invalid files, want at least 80: %v", len(files), err)
 	}
 	files = append(files, "testdata/circle/a.cue", "testdata/self/a.cue")
 	for _, file := range files {
@@ -37,7 +37,7 @@
 			t.Errorf("%s: no finding", file)
 		}
 		if (site == nil) != findings.HasErrors() {
-			t.Errorf("%s: site %v", file, site != nil)
+			t.Errorf("%s: site returned: %v, errors found: %v", file, site != nil, findings.HasErrors())
 		}
 		wantFile := strings.TrimSuffix(file, ".cue") + ".want"
 		if *update {
@@ -69,7 +69,7 @@
 	testkit.Equal(t, "teams", 2, len(site.Settings.Tenants))
 }
 
-// A pattern's files are read in the order of their whole names, in which "a-b/" comes before "a/".
+// The files that a pattern matches are read in the order of their whole paths, in which "a-b/" precedes "a/".
 func TestPatternOverFolders(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"a/x.cue", "a-b/x.cue"} {
@@ -95,14 +95,15 @@
 	return v
 }
 
-// Converting the JSON form to the language and back loses nothing, members that the schema doesn't know included.
+// Converting the JSON form to the language and back preserves everything, including members that the schema doesn't
+// describe.
 func TestJSONRoundTrip(t *testing.T) {
 	text, err := os.ReadFile("testdata/platform.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkRoundTrip(t, text)
-	// A text that spells an escape sequence out stays that text.
+	// A string that contains the characters of an escape sequence keeps them.
 	checkRoundTrip(t, []byte(strings.Replace(string(text), `"name":"`, `"name":"<\\u003c>`, 1)))
 	site := mustLoad(t, "testdata/base.cue")
 	again := checkRoundTrip(t, site.JSON)
@@ -128,7 +129,7 @@
 	return site
 }
 
-// Random members anywhere in the JSON form, of valid types and of others, survive the round trip.
+// Random members anywhere in the JSON form, of valid and invalid types, survive the round trip.
 func TestJSONRoundTripWithRandomMembers(t *testing.T) {
 	text, err := os.ReadFile("testdata/platform.json")
 	if err != nil {
@@ -156,7 +157,7 @@
 		if site == nil {
 			// The change made the site invalid, so there is nothing to compare.
 			if !findings.HasErrors() {
-				rt.Fatal("no site and no error")
+				rt.Fatal("Compile returned neither a site nor an error")
 			}
 			return
 		}
@@ -166,7 +167,7 @@
 	})
 }
 
-// changeRandomMember adds or replaces one member somewhere in the object.
+// changeRandomMember adds or replaces one member of the object or of an object nested in it.
 func changeRandomMember(t *rapid.T, object map[string]any) {
 	for {
 		name := rapid.SampledFrom(slices.Sorted(maps.Keys(object))).Draw(t, "member")
@@ -188,7 +189,7 @@
 	}
 }
 
-// Reading literals directly gives the same value as CUE's evaluator.
+// Converting literals directly yields the same site as CUE's evaluator.
 func TestLiteralNodeEqualsCUEEvaluation(t *testing.T) {
 	for _, file := range []string{"testdata/base.cue", "testdata/diamond/a.cue"} {
 		loaded := mustLoad(t, file)
@@ -226,8 +227,8 @@
 	testkit.Equal(t, "team", 0.125, site.Settings.Tenants[0].Share)
 }
 
-// scrambleFormatting adds blanks, line breaks and comments to a text outside of its strings and comments. It returns the
-// number of comments, which are "// remark 0" and so on.
+// scrambleFormatting adds spaces, line breaks and comments to a text, outside its strings and comments. It returns the
+// number of added comments, which are "// remark 0", "// remark 1" and so on.
 func scrambleFormatting(rt *rapid.T, text string) (scrambled string, comments int) {
 	var out strings.Builder
 	insideString := false
@@ -271,7 +272,7 @@
 		}
 		twice, _ := Format("x.cue", once)
 		if string(once) != string(twice) {
-			rt.Fatalf("twice differs: %s", cmp.Diff(string(once), string(twice)))
+			rt.Fatalf("formatting twice differs: %s", cmp.Diff(string(once), string(twice)))
 		}
 		for i := range comments {
 			if !strings.Contains(string(once), fmt.Sprintf("// remark %d\n", i)) {
@@ -279,7 +280,7 @@
 			}
 		}
 		if strings.Contains(string(once), "300ms") {
-			rt.Fatal("the unit has no space")
+			rt.Fatal("the formatted file has no space before the unit in 300ms")
 		}
 		site, findings := Compile("x.cue", once)
 		if site == nil {
@@ -292,7 +293,8 @@
 	})
 }
 
-// writeSettledFile writes a file with a modification time so old that the file counts as completely written.
+// writeSettledFile writes a file and sets its modification time beyond minSettledAge, so that the file counts as completely
+// written.
 func writeSettledFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o755), os.WriteFile(path, []byte(text), 0o644)); err != nil {
@@ -304,7 +306,7 @@
 	}
 }
 
-// swapLink points the symbolic link dir/now to one target and then the other, until the test ends.
+// swapLink switches the symbolic link dir/now between two targets until the test ends.
 func swapLink(t *testing.T, dir string, targets [2]string) {
 	t.Helper()
 	point := func(target string) {
@@ -333,7 +335,7 @@
 	}()
 }
 
-// While a symbolic link is swapped between two folders, a read returns the files of one of them, never parts of both.
+// While a symbolic link switches between two folders, each read returns files of one folder only, never a mix.
 func TestReadSourcesIsConsistent(t *testing.T) {
 	dir := t.TempDir()
 	base, err := os.ReadFile("testdata/base.cue")
@@ -364,7 +366,7 @@
 			from = append(from, filepath.Base(filepath.Dir(src.realPath)))
 		}
 		if from[0] != from[1] {
-			t.Fatalf("files of both folders: %v", from)
+			t.Fatalf("one read returned files of both folders: %v", from)
 		}
 	}
 }
@@ -412,7 +414,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		site, findings := Compile("x.cue", text)
 		if (site == nil) != findings.HasErrors() {
-			t.Fatalf("site %v with %v", site != nil, findings)
+			t.Fatalf("site returned: %v, findings: %v", site != nil, findings)
 		}
 		if once, _ := Format("x.cue", text); once != nil {
 			if twice, f := Format("x.cue", once); string(twice) != string(once) {
--- a/internal/sitereport/diff.go
+++ b/internal/sitereport/diff.go
@@ -14,7 +14,7 @@
 	"example.org/micafront/internal/sitelang"
 )
 
-// Diff is what another version of a site would change in routing.
+// Diff lists what another version of a site would change in routing.
 type Diff struct {
 	Changes   []routing.Change `json:"changes"`
 	Pools     []string         `json:"pools,omitempty"`     // sentences: added, removed and renamed pools
@@ -25,14 +25,14 @@
 // MovedKeys counts the keys whose first endpoint changes.
 type MovedKeys struct {
 	KeysPerClass int            `json:"keys"`
-	Moved        int            `json:"moved"` // of all classes together
-	LostBy       map[string]int `json:"off"`   // keys by the endpoint that they had
-	GainedBy     map[string]int `json:"onto"`  // keys by the endpoint that they get
+	Moved        int            `json:"moved"` // in all classes together
+	LostBy       map[string]int `json:"off"`   // moved keys by their current endpoint
+	GainedBy     map[string]int `json:"onto"`  // moved keys by their new endpoint
 }
 
-// NewDiff compares two versions of a site. With an endpoint list, which may be nil, it compares the pools of the endpoints as
-// well, and the first endpoints of keysPerClass keys of each class; the keys are the same at each call. It fails if the routes
-// are too many to be compared.
+// NewDiff compares two versions of a site. If list is not nil, it also compares the pools of the listed endpoints, and the
+// first endpoints of keysPerClass keys of each class; the keys are the same in each call. It returns an error if there are
+// too many routes to compare, or if the settings of a site are invalid.
 func NewDiff(current, proposed *sitelang.Site, list *discovery.List, keysPerClass int, now balancer.Instant) (*Diff, error) {
 	space := unionSpace(&current.MatchSpace, &proposed.MatchSpace)
 	changes, err := routing.Diff(current.RoutingTable, proposed.RoutingTable, space)
@@ -56,13 +56,13 @@
 	return d, nil
 }
 
-// unionSpace returns what a connection can be under either of two versions.
+// unionSpace returns the attributes that a connection can have in either of two versions.
 func unionSpace(current, proposed *routing.MatchSpace) routing.MatchSpace {
 	space := routing.MatchSpace{
 		Classes:   union(current.Classes, proposed.Classes),
 		Listeners: union(current.Listeners, proposed.Listeners),
 	}
-	if len(current.Zones) > 0 && len(proposed.Zones) > 0 { // a version without zones allows any
+	if len(current.Zones) > 0 && len(proposed.Zones) > 0 { // a version without declared zones allows any zone
 		space.Zones = union(current.Zones, proposed.Zones)
 	}
 	return space
@@ -95,7 +95,7 @@
 	return out
 }
 
-// endpointChanges describes which endpoints of the list change pools.
+// endpointChanges describes the endpoints of the list that change pools.
 func endpointChanges(before, after *sitePools, list *discovery.List) []string {
 	var out []string
 	for _, endpoint := range sitelang.ActiveEndpoints(list) {
@@ -117,7 +117,7 @@
 	return fmt.Sprintf("pool %q", p.site.RoutingSet.Pools[pool].Name)
 }
 
-// countMovedKeys compares the first endpoint of generated keys in both versions.
+// countMovedKeys counts the generated keys whose first endpoint differs between the two versions.
 func countMovedKeys(before, after *sitePools, classes []string, keysPerClass int) *MovedKeys {
 	moved := &MovedKeys{KeysPerClass: keysPerClass, LostBy: map[string]int{}, GainedBy: map[string]int{}}
 	for _, class := range classes {
@@ -135,11 +135,11 @@
 	return moved
 }
 
-// noEndpoint is counted in place of an endpoint for keys that no endpoint would get.
+// noEndpoint is the name under which keys without an endpoint are counted.
 const noEndpoint = "none"
 
-// placement returns the first endpoint for a connection in the site's zone without further fields, that of a fallback pool if
-// its own has none.
+// placement returns the first endpoint for a connection in the site's zone without further fields. If the connection's pool
+// has no endpoint, it is the first endpoint of a fallback pool; if no pool has one, it is noEndpoint.
 func (p *sitePools) placement(connection *routing.ConnectionAttributes) string {
 	local := *connection
 	local.Zone = p.site.Settings.Zone
@@ -159,7 +159,7 @@
 // Empty reports whether nothing would change.
 func (d *Diff) Empty() bool { return len(d.Changes)+len(d.Pools)+len(d.Endpoints) == 0 }
 
-// Write writes the differences as text. Its errors are those of w.
+// Write writes the differences as text. It returns w's errors.
 func (d *Diff) Write(w io.Writer) error {
 	var out strings.Builder
 	d.write(&out)
--- a/internal/sitereport/explain.go
+++ b/internal/sitereport/explain.go
@@ -13,36 +13,36 @@
 	"example.org/micafront/internal/sitelang"
 )
 
-// Attempt is one endpoint that would be tried.
+// Attempt is an attempt that the proxy would make at an endpoint.
 type Attempt struct {
 	Pool     string `json:"pool"`
 	Endpoint string `json:"next_hop"`
 	Reason   string `json:"why"`
 }
 
-// Explanation is how a site routes one connection. Fields that have no value are left out of its JSON form. Conclusion is
-// always set.
+// Explanation describes how a site routes one connection. Its JSON form omits fields without a value. Conclusion is always
+// set.
 type Explanation struct {
 	Class         string              `json:"class"`
 	Routes        []routing.Candidate `json:"routes"` // all that match, the preferred one first
 	Route         string              `json:"route,omitempty"`
-	SplitPosition string              `json:"place_in_split,omitempty"` // of the connection's key, in percent
+	SplitPosition string              `json:"place_in_split,omitempty"` // of the connection's key, in percent of the split
 	Pool          string              `json:"pool,omitempty"`
 	Policy        string              `json:"policy,omitempty"`
 	Fallback      []string            `json:"fallback,omitempty"` // pools, in order
-	Deadline      string              `json:"deadline,omitempty"` // a duration from the first line on
+	Deadline      string              `json:"deadline,omitempty"` // a duration that starts when the first line is received
 	MaxAttempts   int                 `json:"attempts,omitempty"`
-	Attempts      []Attempt           `json:"steps,omitempty"` // if each endpoint is full
+	Attempts      []Attempt           `json:"steps,omitempty"` // in order, if every endpoint is full
 	Conclusion    string              `json:"conclusion"`
 }
 
-// Explain follows a connection's first line through a site with a list of endpoints, each of which rejects it as full.
-// listener is the name of the one that accepted the connection. A text that is no first line is an error; a connection that
-// the site does not serve is not, and the conclusion says why.
+// Explain routes a connection's first line through a site with a list of endpoints, each of which rejects it as full.
+// listener is the name of the listener that accepted the connection. Explain returns an error if the text is not a first
+// line. A connection that the site does not serve is no error; the conclusion gives the reason.
 func Explain(site *sitelang.Site, firstLine []byte, listener string, list *discovery.List, now balancer.Instant) (*Explanation, error) {
 	open, err := lineprotocol.ParseOpen(firstLine)
-	if err != nil { // lineprotocol.ErrSyntax says no more than that
-		return nil, fmt.Errorf("%q is no first line; one looks like OPEN ID KEY c=CLASS,d=MS", firstLine)
+	if err != nil { // lineprotocol.ErrSyntax gives no further reason
+		return nil, fmt.Errorf("%q is not a first line; the form is OPEN ID KEY c=CLASS,d=MS", firstLine)
 	}
 	out := &Explanation{Class: open.Class}
 	class := slices.IndexFunc(site.Settings.Classes, func(c balancer.Class) bool { return c.Name == open.Class })
@@ -73,20 +73,20 @@
 	return out, nil
 }
 
-// newConnection returns what routing sees of a connection with this first line.
+// newConnection returns the routing attributes of a connection with this first line.
 func newConnection(site *sitelang.Site, open *lineprotocol.Open, listener string) *routing.ConnectionAttributes {
 	connection := &routing.ConnectionAttributes{Class: open.Class, Key: open.Key, Group: open.Group, Zone: site.Settings.Zone, Listener: listener}
 	for _, name := range site.RoutingTable.FieldNames {
-		value, _ := open.Field(name) // a line without the field matches as one with the value ""
+		value, _ := open.Field(name) // a line without the field matches like one with the value ""
 		connection.Fields = append(connection.Fields, value)
 	}
 	return connection
 }
 
-// noUsage is the usage of each pool when the connection is the only one.
+// noUsage reports that a pool has no other connections or requests, so that no limit is reached.
 func noUsage(int) routing.Usage { return routing.Usage{} }
 
-// describeDecision fills in the route, its pools and its policy.
+// describeDecision sets the fields for the route, its pools and its policy.
 func (e *Explanation) describeDecision(site *sitelang.Site, decision routing.Decision, progress *routing.RequestProgress) {
 	set := &site.RoutingSet
 	e.Route = set.Routes[decision.Route].Name
@@ -99,7 +99,7 @@
 	e.MaxAttempts = progress.AttemptsLeft(site.Settings.Limits.Attempts)
 }
 
-// addAttempts fills in the attempts, pool by pool until the policy has no other pool, and the conclusion.
+// addAttempts adds the attempts, pool by pool until the policy has no further pool, and sets the conclusion.
 func (e *Explanation) addAttempts(pools *sitePools, progress *routing.RequestProgress, connection *routing.ConnectionAttributes, deadline balancer.Instant) {
 	site := pools.site
 	attemptLimit := site.Settings.Limits.Attempts
@@ -125,8 +125,8 @@
 	}
 }
 
-// firstAttemptReason says why a pool's first endpoint is tried. previousPool is the pool that rejected the connection before;
-// "": none.
+// firstAttemptReason returns the reason why a pool's first endpoint is tried. previousPool is the pool that has just rejected
+// the connection; "" if there is none.
 func firstAttemptReason(pool, previousPool string) string {
 	reason := fmt.Sprintf("its key's place in the table of pool %q", pool)
 	if previousPool != "" {
@@ -135,7 +135,7 @@
 	return reason
 }
 
-// Write writes the explanation as text. Its errors are those of w.
+// Write writes the explanation as text. It returns w's errors.
 func (e *Explanation) Write(w io.Writer) error {
 	var out strings.Builder
 	for _, route := range e.Routes {
--- a/internal/sitereport/pools.go
+++ b/internal/sitereport/pools.go
@@ -10,25 +10,26 @@
 	"example.org/micafront/internal/sitelang"
 )
 
-// requestTimeout is the time that a request has which is made to learn the first endpoint of a key: more than any pool needs.
+// requestTimeout is the timeout of the requests that find the first endpoint of a key. It is longer than any pool needs.
 const requestTimeout = time.Minute
 
-// sitePools are the pools of a site, each with a balancer that knows the pool's part of an endpoint list.
+// sitePools holds the pools of a site, each with a balancer that has received the pool's part of an endpoint list.
 type sitePools struct {
 	site       *sitelang.Site
 	membership *routing.PoolMembership
 	balancers  []*balancer.Balancer // by pool
 	now        balancer.Instant
-	requests   int // made by firstEndpoint so far, for their ids
+	requests   int // number of requests that firstEndpoint has made, for their ids
 }
 
-// newSitePools returns the pools in the state that a proxy of the site has after it received the list. Each balancer draws from
-// its pool's position as the seed, so the same list gives the same answers. It fails if the site's settings are not valid.
+// newSitePools returns the pools in the state that they have in a proxy after it has received the list. The seed of each
+// balancer is derived from its pool's position, so the same list yields the same results. newSitePools returns an error if
+// the site's settings are invalid.
 func newSitePools(site *sitelang.Site, list *discovery.List, now balancer.Instant) (*sitePools, error) {
 	p := &sitePools{site: site, membership: routing.NewPoolMembership(&site.RoutingSet, site.Settings.Rules.WarmUp), now: now}
 	for i, update := range p.membership.ApplyList(now, balancer.CachedList, list.Generation, list.Entries()) {
 		settings := site.Settings
-		settings.Subscribe = false // there is no discovery to ask
+		settings.Subscribe = false // there is no discovery to subscribe to
 		b, err := balancer.New(settings, uint64(i)+1)
 		if err != nil {
 			return nil, err
@@ -44,8 +45,8 @@
 	return balancer.Request{ID: id, Class: connection.Class, Key: connection.Key, Group: connection.Group, Deadline: deadline}
 }
 
-// firstEndpoint returns the endpoint that a pool tries first; "" if there is none. The request is taken back, so that the next
-// one finds the pool as it was.
+// firstEndpoint returns the endpoint that a pool tries first; "" if there is none. It cancels its request before it returns,
+// so that the pool's state is the same for the next request.
 func (p *sitePools) firstEndpoint(pool int, connection *routing.ConnectionAttributes) string {
 	p.requests++
 	id := fmt.Sprint("k", p.requests)
@@ -55,7 +56,7 @@
 		b.Handle(p.now, balancer.AttemptEnded{ID: id, Status: balancer.NotSent, Final: true})
 	}()
 	request := newRequest(id, connection, p.now+requestTimeout)
-	request.ClientRetry = true // it does not count as traffic of its group
+	request.ClientRetry = true // a retry is not counted as traffic of its group
 	for _, action := range b.Handle(p.now, request) {
 		if send, ok := action.(balancer.Send); ok {
 			return send.Endpoint
@@ -64,7 +65,7 @@
 	return ""
 }
 
-// attemptOrder returns the endpoints that the request's current pool tries in turn if each of them is full, and counts the
+// attemptOrder returns the endpoints that the request's current pool tries, in order, if each of them is full. It records the
 // attempts in the request's progress.
 func (p *sitePools) attemptOrder(progress *routing.RequestProgress, connection *routing.ConnectionAttributes, deadline balancer.Instant, attemptLimit int) []string {
 	const requestID = "x"
@@ -89,7 +90,8 @@
 	return endpoints
 }
 
-// advanceToNextPool moves a request that its current pool has rejected on to the next pool of its policy, and reports whether there is one.
+// advanceToNextPool moves a request that its current pool has rejected to the next pool of its policy, and reports whether
+// there is one.
 func (p *sitePools) advanceToNextPool(progress *routing.RequestProgress, deadline balancer.Instant) bool {
 	settings := &p.site.Settings
 	rejection := routing.Rejection{
