--- a/cmd/micafrontctl/bench.go
+++ b/cmd/micafrontctl/bench.go
@@ -15,18 +15,18 @@
 	Check   benchCheckCommand   `cmd:"" help:"Measure the check of a large site."`
 }
 
-// printHeading prints how the measurements below it can be reproduced.
+// printHeading prints the command, the seed and the environment, by which the measurements below it can be reproduced.
 func printHeading(seed uint64) {
 	fmt.Printf("command: micafront %s\nseed: %d, processors: %d, %s\n\n", strings.Join(os.Args[1:], " "), seed, runtime.NumCPU(), runtime.Version())
 }
 
-// median returns the upper median of values in any order.
+// median returns the upper median of values, which need not be sorted.
 func median[T cmp.Ordered](values []T) T {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
 
-// medianRatio returns the median of the ratios of values measured in the same round.
+// medianRatio returns the median of the ratios of values that were measured in the same round.
 func medianRatio(numerators, denominators []float64) float64 {
 	ratios := make([]float64, len(numerators))
 	for i := range numerators {
--- a/cmd/micafrontctl/bench_check.go
+++ b/cmd/micafrontctl/bench_check.go
@@ -19,13 +19,13 @@
 	Rounds int `help:"How often it is checked." default:"5"`
 }
 
-// benchPolicies is how many policies the generated site has.
+// benchPolicies is the number of policies in the generated site.
 const benchPolicies = 100
 
-// maxBenchAttempts is the largest limit of attempts among these policies.
+// maxBenchAttempts is the largest attempt limit among these policies.
 const maxBenchAttempts = 5
 
-// Run checks a generated site once a round in a process of its own, and prints the time and memory of these.
+// Run checks a generated site in a separate process for each round, and prints the time and memory of these processes.
 func (c *benchCheckCommand) Run() error {
 	printHeading(0)
 	dir, err := os.MkdirTemp("", "micafront-bench")
@@ -37,8 +37,8 @@
 	if err := os.WriteFile(path, []byte(c.largeSite()), 0o600); err != nil {
 		return err
 	}
-	written := time.Now().Add(-time.Minute)
-	_ = os.Chtimes(path, written, written) // if it fails, the check waits for a file that was just written
+	modified := time.Now().Add(-time.Minute)
+	_ = os.Chtimes(path, modified, modified) // if it fails, the check waits because the file was just written
 	self, err := os.Executable()
 	if err != nil {
 		return err
--- a/cmd/micafrontctl/bench_proxy.go
+++ b/cmd/micafrontctl/bench_proxy.go
@@ -23,17 +23,17 @@
 
 const (
 	benchEndpoints        = 4
-	benchEndpointCapacity = 1 << 20 // connections: no endpoint gets full
+	benchEndpointCapacity = 1 << 20 // connections; large enough that no endpoint is ever full
 	proxyStartTimeout     = 20 * time.Second
-	proxySettleTime       = 300 * time.Millisecond // until the proxy's watch of the endpoints is open and it is idle
+	proxySettleTime       = 300 * time.Millisecond // time for the proxy to open its watch of the endpoints and become idle
 )
 
-// proxyMeasurement is what one round measures of one build.
+// proxyMeasurement holds the results of one round for one build.
 type proxyMeasurement struct {
-	startup         time.Duration // to the first PONG
+	startup         time.Duration // from the start to the first PONG
 	residentMiB     float64       // when idle
 	setupsPerSecond float64
-	linesPerSecond  float64 // each line sent and answered
+	linesPerSecond  float64 // lines that are sent and answered
 	microsPerSetup  float64 // processor time of the proxy
 	microsPerLine   float64 // processor time of the proxy
 }
@@ -80,7 +80,8 @@
 	{"processor time a line, µs", func(m proxyMeasurement) float64 { return m.microsPerLine }},
 }
 
-// printMeasurements prints the medians of each build, and their ratio if there are two. rounds are by build.
+// printMeasurements prints the medians of each build, and their ratios if there are two builds. rounds holds the
+// measurements of each build.
 func printMeasurements(rounds [][]proxyMeasurement) {
 	fmt.Println("| figure | this build | the other | ratio, median of pairs |\n| --- | --- | --- | --- |")
 	for _, row := range proxyRows {
@@ -100,13 +101,14 @@
 	}
 }
 
-// benchConfig is a JSON configuration without routes. Its verbs are the port, discovery's address and the endpoint list.
+// benchConfig is the format of a JSON configuration without routes. Its arguments are the port, discovery's address and the
+// endpoint list.
 const benchConfig = `{"name":"bench","listen":"127.0.0.1:%d","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":4096},
 "known":%s,"settings":{"Balancers":1,"Me":0,"Zone":"a","Discovery":"subscribe","Categories":[{"Aim":1,"GiveUp":30,"Credit":1,"Effect":"safe",
 "DedupScope":"all","Name":"feed"}],"Limits":{"AttemptsCap":6,"ConnectTimeout":5,"MaxRetryAfter":1,"MaxOpen":100000,"RetryAfter":true,"MayCancel":true},
 "Invariants":{"AnswerSlack":0.016,"AskEvery":1,"Cold":8.9,"ColdFrom":0.3,"DrainGrace":3,"Fall":1,"OverloadFactor":3}}}`
 
-// measure runs one build between fake endpoints and clients, and measures it.
+// measure runs one build with fake endpoints and clients, and returns its measurements.
 func (c *benchProxyCommand) measure(program string) (measured proxyMeasurement, err error) {
 	discovery, err := fakes.NewDiscoveryServer()
 	if err != nil {
@@ -139,12 +141,12 @@
 		return measured, err
 	}
 	if violations := checker.Violations(); len(violations) > 0 {
-		return measured, errors.New("a rule was broken: " + violations[0])
+		return measured, errors.New("the proxy violated a rule: " + violations[0])
 	}
 	return measured, nil
 }
 
-// measureProcess starts the proxy, measures it at addr and ends it.
+// measureProcess starts the proxy, which serves at addr, measures it and ends it.
 func (c *benchProxyCommand) measureProcess(program, configPath, dir, addr string) (measured proxyMeasurement, err error) {
 	cmd := proxyCommand(program, configPath, dir)
 	began := time.Now()
@@ -181,7 +183,7 @@
 	return measured, nil
 }
 
-// freePort returns a port of loopback that was free a moment ago.
+// freePort returns a loopback port that is free at the time of the call.
 func freePort() (int, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -192,5 +194,5 @@
 
 // removeAll removes a temporary directory.
 func removeAll(dir string) {
-	_ = os.RemoveAll(dir) // what stays is in the system's directory for temporary files
+	_ = os.RemoveAll(dir) // any remaining file is in the system's directory for temporary files
 }
--- a/cmd/micafrontctl/bench_routing.go
+++ b/cmd/micafrontctl/bench_routing.go
@@ -17,12 +17,12 @@
 
 const (
 	decisionsPerRound  = 2_000_000 // per round and table
-	allocationSamples  = 10_000    // decisions for the count of allocations
+	allocationSamples  = 10_000    // decisions over which allocations are counted
 	benchRoutingLines  = 4096
-	benchRoutingStream = 3 // of the random numbers of the lines
+	benchRoutingStream = 3 // PCG stream of the connections
 )
 
-// benchTable is a table and the connections that are routed by it.
+// benchTable is a routing table with its test connections and measurements.
 type benchTable struct {
 	routes      int
 	table       *routing.Table
@@ -36,7 +36,7 @@
 	fmt.Println("| routes | ns a decision | ratio to 100 routes, median of rounds | allocations |\n| --- | --- | --- | --- |")
 	var tables []*benchTable
 	for _, routes := range []int{100, 10_000, 100_000} {
-		t, err := newRoutingTable(routes, c.Seed)
+		t, err := newBenchTable(routes, c.Seed)
 		if err != nil {
 			return err
 		}
@@ -56,19 +56,19 @@
 	return nil
 }
 
-// measure adds one round.
+// measure measures one round and appends the result to nanoseconds.
 func (t *benchTable) measure() error {
 	began := time.Now()
 	for i := range decisionsPerRound {
 		if _, ok := t.table.Decide(&t.connections[i%len(t.connections)]); !ok {
-			return errors.New("a line has no route")
+			return errors.New("a generated connection matches no route")
 		}
 	}
 	t.nanoseconds = append(t.nanoseconds, float64(time.Since(began).Nanoseconds())/decisionsPerRound)
 	return nil
 }
 
-// allocationsPerDecision returns the mean over allocationSamples decisions.
+// allocationsPerDecision returns the mean number of allocations over allocationSamples decisions.
 func (t *benchTable) allocationsPerDecision() float64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -79,9 +79,9 @@
 	return float64(after.Mallocs-before.Mallocs) / allocationSamples
 }
 
-// newRoutingTable returns a table whose routes match a class and a prefix of the group each, and connections that match
-// them in random order.
-func newRoutingTable(routes int, seed uint64) (*benchTable, error) {
+// newBenchTable returns a table in which each route matches a class and a prefix of the group. Each connection matches a
+// randomly chosen route.
+func newBenchTable(routes int, seed uint64) (*benchTable, error) {
 	classes := []string{"album-feed", "album-notes", "chat"}
 	set := routing.Set{Pools: []routing.Pool{{Name: "a"}, {Name: "b"}}}
 	for i := range routes {
--- a/cmd/micafrontctl/demo.go
+++ b/cmd/micafrontctl/demo.go
@@ -23,7 +23,7 @@
 	Log     string `help:"Write the proxy's log to this file."`
 }
 
-// Help is the detailed help of the command.
+// Help returns the detailed help of the command. Kong calls it.
 func (demoCommand) Help() string {
 	return "Starts fake discovery, endpoints and clients on loopback and the real proxy between them, prints each " +
 		"second what is served, rejected and migrated, and replaces the endpoints one after the other. Exit code 1 if " +
@@ -33,14 +33,14 @@
 const (
 	minServers          = 2
 	minSeconds          = 3
-	warmSetupTime       = 2 * time.Millisecond  // of an endpoint that is warm
-	initialSetupTime    = 20 * time.Millisecond // of one that has just started
+	warmSetupTime       = 2 * time.Millisecond  // of a warm endpoint
+	initialSetupTime    = 20 * time.Millisecond // of an endpoint that has just started
 	minServerCapacity   = 8
-	serverCapacityRatio = 4               // capacity of all servers per client
-	drainTime           = 5 * time.Second // of an endpoint, before it ends
+	serverCapacityRatio = 4               // total capacity of all endpoints, in connections per client
+	drainTime           = 5 * time.Second // between the start of an endpoint's drain and its stop
 )
 
-// demo is a whole site on loopback.
+// demo is a site that runs on loopback: discovery, endpoints and clients.
 type demo struct {
 	demoCommand
 	checker   *fakes.ProtocolChecker
@@ -48,15 +48,15 @@
 	clients   *fakes.Clients
 
 	mu        sync.Mutex
-	endpoints []*fakes.Endpoint // those that serve
+	endpoints []*fakes.Endpoint // the endpoints that are not draining
 	draining  []drainingEndpoint
-	started   int // endpoints so far, for their ids
+	started   int // number of endpoints started so far, for their ids
 }
 
-// drainingEndpoint is an endpoint that another one has replaced.
+// drainingEndpoint is an endpoint that drains and is being replaced.
 type drainingEndpoint struct {
 	endpoint *fakes.Endpoint
-	removal  *time.Timer // takes it out of the list and stops it
+	removal  *time.Timer // marks the endpoint as terminated in discovery and stops it
 }
 
 // Run runs the demonstration.
@@ -98,7 +98,7 @@
 	return runErr
 }
 
-// loadSite loads the sample site or the one that the command line names. The error lists the findings.
+// loadSite loads the site that the command line names, by default the sample site. Its error lists the findings.
 func (c *demoCommand) loadSite() (*sitelang.Site, error) {
 	var site *sitelang.Site
 	var findings sitelang.Findings
@@ -113,7 +113,7 @@
 	return site, nil
 }
 
-// startEndpoints starts the first endpoints, in the site's zones in turn.
+// startEndpoints starts the initial endpoints, assigned to the site's zones in turn.
 func (d *demo) startEndpoints(site *sitelang.Site) error {
 	zones := site.MatchSpace.Zones
 	if len(zones) == 0 {
@@ -130,8 +130,8 @@
 
 func (d *demo) serverCount() int { return max(d.Servers, minServers) }
 
-// startEndpoint starts an endpoint and lists it in discovery, as started at a time. It takes the place of the one at index in
-// d.endpoints, if there is one.
+// startEndpoint starts an endpoint and lists it in discovery with the given start time. It replaces the endpoint at index in
+// d.endpoints, or is appended if there is none.
 func (d *demo) startEndpoint(zone string, started time.Time, setupTime time.Duration, index int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,14 +151,14 @@
 	return nil
 }
 
-// currentEndpoints returns the endpoints without those that drain.
+// currentEndpoints returns the endpoints that are not draining.
 func (d *demo) currentEndpoints() []*fakes.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.endpoints)
 }
 
-// stopEndpoints stops all endpoints that have not ended.
+// stopEndpoints stops all endpoints, including the draining ones.
 func (d *demo) stopEndpoints() {
 	for _, endpoint := range d.currentEndpoints() {
 		endpoint.Stop()
@@ -167,11 +167,12 @@
 	defer d.mu.Unlock()
 	for _, drained := range d.draining {
 		drained.removal.Stop()
-		drained.endpoint.Stop() // a second time, if the timer has stopped it
+		drained.endpoint.Stop() // the timer may have stopped it already
 	}
 }
 
-// proxyConfig returns the site's JSON form with the addresses of the demonstration.
+// proxyConfig returns the site's JSON form with the addresses, seed and endpoint list of the demonstration. It removes the
+// operator address and the additional listeners.
 func (d *demo) proxyConfig(site *sitelang.Site) ([]byte, error) {
 	var config map[string]any
 	if err := json.Unmarshal(site.JSON, &config); err != nil {
--- a/cmd/micafrontctl/demo_proxy.go
+++ b/cmd/micafrontctl/demo_proxy.go
@@ -12,18 +12,18 @@
 	"syscall"
 )
 
-// proxyReadyText is in the proxy's log line that ends in the address at which it serves.
+// proxyReadyText precedes the address in the log line by which the proxy announces that it serves.
 const proxyReadyText = "serves at "
 
 // demoProxy is a running proxy.
 type demoProxy struct {
 	addr    string
 	command *exec.Cmd
-	logDone chan struct{} // closed when the proxy's log has ended, which it does with the process
+	logDone chan struct{} // closed when the proxy's log ends, which happens when the process ends
 }
 
-// startDemoProxy starts the proxy's program with a configuration, waits until it serves, and copies its log to the file
-// logPath; "" discards it. If it fails, no process is left.
+// startDemoProxy starts the proxy's program with a configuration and waits until it serves. It copies the proxy's log to the
+// file logPath; "" discards the log. If startDemoProxy returns an error, the process has ended.
 func startDemoProxy(program, dir string, config []byte, logPath string) (*demoProxy, error) {
 	configPath := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(configPath, config, 0o600); err != nil {
@@ -46,8 +46,8 @@
 	}
 	lines := bufio.NewScanner(output)
 	if proxy.addr = copyUntilReady(lines, log); proxy.addr == "" {
-		_ = proxy.command.Process.Kill() // it has most likely ended by itself
-		failure := errors.New("the proxy ended before it served; --log FILE keeps what it said")
+		_ = proxy.command.Process.Kill() // the process has most likely exited already
+		failure := errors.New("the proxy exited before it served; run with --log FILE to keep its log")
 		return nil, errors.Join(failure, proxy.command.Wait(), log.Close())
 	}
 	go func() {
@@ -55,12 +55,12 @@
 		for lines.Scan() {
 			writeLine(log, lines.Text())
 		}
-		_ = log.Close() // a log that cannot be written doesn't end the demonstration
+		_ = log.Close() // errors of the log don't stop the demonstration
 	}()
 	return proxy, nil
 }
 
-// copyUntilReady copies log lines until the proxy serves, and returns its address; "" if the log ends before.
+// copyUntilReady copies log lines until the proxy serves, and returns its address; "" if the log ends first.
 func copyUntilReady(lines *bufio.Scanner, log io.Writer) string {
 	for lines.Scan() {
 		writeLine(log, lines.Text())
@@ -72,12 +72,12 @@
 }
 
 func writeLine(w io.Writer, line string) {
-	_, _ = fmt.Fprintln(w, line) // a log that cannot be written doesn't end the demonstration
+	_, _ = fmt.Fprintln(w, line) // errors of the log don't stop the demonstration
 }
 
-// stop asks the proxy to end and waits until it has. The error is that of the process.
+// stop sends SIGTERM to the proxy and waits until it exits. It returns the error with which the process ended.
 func (p *demoProxy) stop() error {
-	_ = p.command.Process.Signal(syscall.SIGTERM) // it may have ended by itself
+	_ = p.command.Process.Signal(syscall.SIGTERM) // the process may have exited already
 	<-p.logDone
 	return p.command.Wait()
 }
--- a/cmd/micafrontctl/demo_run.go
+++ b/cmd/micafrontctl/demo_run.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	demoArrivalStream    = 2 // of the random numbers of the clients
+	demoArrivalStream    = 2 // PCG stream of the clients' groups and keys
 	maxPrintedViolations = 10
 	groupedClientRatio   = 3 // one client in this many belongs to a group
-	groupSize            = 8 // clients per group, if all were grouped
+	groupSize            = 8 // clients per group if every client belonged to one
 )
 
-// Lifecycles of an endpoint that ends, as discovery sends them.
+// Lifecycles of an endpoint that is shutting down, as discovery sends them.
 const (
 	lifecycleTerminating = "terminating"
 	lifecycleTerminated  = "terminated"
 )
 
-// run lets the clients connect, prints counts each second, and deploys the endpoints anew on the way. All clients have ended
+// run connects the clients, prints counts each second, and replaces the endpoints during that time. All clients have ended
 // when it returns.
 func (d *demo) run(addr string, site *sitelang.Site) error {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,8 +49,8 @@
 	return err
 }
 
-// printProgress prints counts each second for the length of the demonstration, during which it deploys the endpoints. It
-// returns the deploy's error once that has ended.
+// printProgress prints counts each second until the demonstration ends, and starts the deploy during that time. It waits
+// for the deploy to end and returns its error.
 func (d *demo) printProgress(ctx context.Context, began time.Time, length time.Duration) error {
 	deployAt := length * 2 / 5
 	deployTime := length / 2
@@ -67,10 +67,10 @@
 		d.printCounts(tick, counts, last)
 		last = counts
 	}
-	return <-deployed // the deploy has begun by the last tick
+	return <-deployed // the deploy has started by the last tick, so the channel is not nil
 }
 
-// connectClients lets the clients connect one after the other, over a time.
+// connectClients connects the clients one after the other, evenly spread over duration.
 func (d *demo) connectClients(ctx context.Context, classes []string, began time.Time, duration time.Duration) {
 	rng := rand.New(rand.NewPCG(d.Seed, demoArrivalStream))
 	for i := range d.Clients {
@@ -88,7 +88,7 @@
 	}
 }
 
-// printCounts prints what happened since the last counts.
+// printCounts prints the changes since the last counts, and the current numbers of connections.
 func (d *demo) printCounts(elapsed time.Duration, counts, last fakes.Counts) {
 	const microsPerMillisecond = 1e3
 	p50, p99 := d.clients.SetupLatency()
@@ -97,7 +97,7 @@
 		float64(p50)/microsPerMillisecond, float64(p99)/microsPerMillisecond, d.openPerEndpoint())
 }
 
-// printSummary prints the totals and the broken rules, and reports whether there are none of these.
+// printSummary prints the totals and the rule violations, and reports whether there are no violations.
 func (d *demo) printSummary() bool {
 	total := d.checker.Counts()
 	fmt.Printf("in all: %d requests answered, %d served, %d refused, %d failed; %d attempts at endpoints, %d moves\n",
@@ -113,7 +113,7 @@
 	if len(violations) > 0 {
 		return false
 	}
-	fmt.Println("no rule was seen broken: one final answer each, no attempts that overlap, nothing new to a drainer")
+	fmt.Println("no rule violation was observed: one final answer per request, no overlapping attempts, nothing new sent to draining endpoints")
 	return true
 }
 
@@ -126,7 +126,7 @@
 	return strings.Join(out, " ")
 }
 
-// deploy replaces every endpoint, one after the other, over a time. It returns early when the context ends.
+// deploy replaces every endpoint, one after the other, evenly spread over duration. It returns early when the context ends.
 func (d *demo) deploy(ctx context.Context, duration time.Duration) error {
 	former := d.currentEndpoints()
 	interval := duration / time.Duration(len(former))
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// drainEndpoint lists an endpoint as draining, and stops it after drainTime.
+// drainEndpoint marks an endpoint as draining in discovery, and stops it after drainTime.
 func (d *demo) drainEndpoint(endpoint *fakes.Endpoint, began time.Time) {
 	entry := endpoint.Entry
 	entry.Lifecycle = lifecycleTerminating
--- a/cmd/micafrontctl/main_test.go
+++ b/cmd/micafrontctl/main_test.go
@@ -174,7 +174,7 @@
 		}
 	}
 	out, err := exec.Command(filepath.Join(dir, "micafront"), "demo", "--seconds", "6", "--clients", "40", "--servers", "4").CombinedOutput()
-	if err != nil || !strings.Contains(string(out), "no rule was seen broken") || !strings.Contains(string(out), "a deploy begins") {
+	if err != nil || !strings.Contains(string(out), "no rule violation was observed") || !strings.Contains(string(out), "a deploy begins") {
 		t.Errorf("%v\n%s", err, out)
 	}
 }
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,5 +1,5 @@
-// Package deploy embeds the sample site. The command line uses it for the demonstration and for a benchmark; the tests of
-// this package check the deploy file and the other sites in this directory.
+// Package deploy embeds the sample site, which the command-line tool uses for the demonstration and for a benchmark. The
+// tests of this package check the deploy file and the other sites in this directory.
 package deploy
 
 import _ "embed"
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// deployValue returns the string that the deploy file has for a key.
+// deployValue returns the string value of a key in the deploy file.
 func deployValue(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile("balancer.toml")
@@ -26,7 +26,7 @@
 }
 
 // The platform preloads a library into the proxy, which works only in a program that is dynamically linked against the C
-// library. The build command must produce that, whatever the toolchain's default is.
+// library. The build command must produce such a program regardless of the toolchain's default.
 func TestDeployedProgramsAreLinkedDynamically(t *testing.T) {
 	build := exec.Command("sh", "-c", deployValue(t, "build"))
 	build.Dir = ".."
@@ -44,7 +44,7 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		defer func() { _ = f.Close() }() // it is only read
+		defer func() { _ = f.Close() }() // the file was opened for reading only
 		if !slices.ContainsFunc(f.Progs, func(program *elf.Prog) bool { return program.Type == elf.PT_INTERP }) {
 			t.Errorf("%s: %s is linked statically", name, path)
 		}
--- a/deploy/sites_test.go
+++ b/deploy/sites_test.go
@@ -12,7 +12,7 @@
 	"cuelang.org/go/encoding/toml"
 )
 
-// benchSite is the part of a site file of deploy/sites whose consistency is checked.
+// benchSite holds the parts of a site file in deploy/sites whose consistency is checked.
 type benchSite struct {
 	Name  string             `json:"name"`
 	Wire  string             `json:"wire"`
@@ -32,12 +32,12 @@
 	Fam struct{ Class []map[string]any }
 }
 
-// The synthetic sites are consistent and have no name in common. Their classes are safe, the only effect that the bench
-// accepts in a site of connections; on its short days it sets other effects itself.
+// The synthetic sites are consistent and share no names. All of their classes have the effect "safe", the only one that the
+// bench accepts in a site of connections. On its short days the bench sets other effects itself.
 func TestBenchSitesAreConsistent(t *testing.T) {
 	files, err := filepath.Glob("sites/*/*.toml")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("found %q, %v", files, err)
+		t.Fatalf("found the site files %q, want at least 2: %v", files, err)
 	}
 	fileOfName := map[string]string{}
 	for _, file := range files {
@@ -81,22 +81,22 @@
 	return names
 }
 
-// check checks a site by itself: its files, its classes, and that shares add up to 1. A share that is a range counts by
-// its middle.
+// check checks a single site: its file names, its classes, and that the shares of each kind add up to 1. The midpoint
+// represents a share that is a range.
 func (s *benchSite) check(t *testing.T, file string) {
 	t.Helper()
 	directory := filepath.Base(filepath.Dir(file))
 	if s.Name != directory || filepath.Base(file) != directory+".toml" || s.Wire != "wire.json" {
-		t.Errorf("%s: name %q, wire %q", file, s.Name, s.Wire)
+		t.Errorf("%s: name is %q, want the directory's name; wire is %q, want wire.json", file, s.Name, s.Wire)
 	}
 	sums := map[string]float64{}
 	for _, share := range s.Goal {
 		sums["goal"] += share
 	}
 	for _, class := range s.Class {
-		sums["classes"] += middle(class.Share)
+		sums["classes"] += midpoint(class.Share)
 		if class.Effect != "safe" {
-			t.Errorf("%s: %s is %q", file, class.Name, class.Effect)
+			t.Errorf("%s: class %s has the effect %q, want safe", file, class.Name, class.Effect)
 		}
 		if class.Aim >= class.Deadline {
 			t.Errorf("%s: %s has a latency objective of %v ms and a timeout of %v ms", file, class.Name, class.Aim, class.Deadline)
@@ -106,7 +106,7 @@
 		sums["tenants"] += tenant.Share
 	}
 	for _, kind := range s.Tier[0].Kind {
-		sums["kinds"] += middle(kind.Share)
+		sums["kinds"] += midpoint(kind.Share)
 	}
 	for what, sum := range sums {
 		if math.Abs(sum-1) > 1e-9 {
@@ -114,9 +114,9 @@
 		}
 	}
 	if len(s.Fam.Class) != len(s.Class) {
-		t.Errorf("%s: %d classes, %d of them in fam", file, len(s.Class), len(s.Fam.Class))
+		t.Errorf("%s: %d classes, but fam.class has %d entries", file, len(s.Class), len(s.Fam.Class))
 	}
 }
 
-// middle returns the middle of a range of two values.
-func middle(bounds []float64) float64 { return (bounds[0] + bounds[1]) / 2 }
+// midpoint returns the midpoint of a range, given its two bounds.
+func midpoint(bounds []float64) float64 { return (bounds[0] + bounds[1]) / 2 }
