--- a/cmd/micafront/attempts_test.go
+++ b/cmd/micafront/attempts_test.go
@@ -49,8 +49,8 @@
 	"too long":            func(s *fakes.Peer) { s.Send("UP " + strings.Repeat("x", 4096) + "\r\n") },
 }
 
-// retryTrial is one attempt and what follows it.
-type retryTrial struct {
+// retryCase is one attempt and what follows it.
+type retryCase struct {
 	effect    string
 	scope     string // of the deduplication
 	memory    float64
@@ -59,31 +59,31 @@
 	want      string // what follows
 }
 
-// retryTrials lists an unsafe class with each reaction, and other classes with some.
-func retryTrials() []retryTrial {
+// retryCases lists an unsafe class with each reaction, and other classes with some.
+func retryCases() []retryCase {
 	sameCell := []fakes.Entry{{Cell: 3}, {Cell: 3}}
 	twoCells := []fakes.Entry{{Cell: 3}, {Cell: 4}}
 	twoZones := []fakes.Entry{{Cell: 3}, {Cell: 4, Zone: "b"}}
-	var all []retryTrial
+	var all []retryCase
 	for reaction := range endpointReactions {
 		if reaction == "full" {
-			all = append(all, retryTrial{"unsafe", "all", 60, sameCell, reaction, "again"}, retryTrial{"keyed", "cell", 0, twoZones, reaction, "again"})
+			all = append(all, retryCase{"unsafe", "all", 60, sameCell, reaction, "again"}, retryCase{"keyed", "cell", 0, twoZones, reaction, "again"})
 			continue
 		}
-		all = append(all, retryTrial{"unsafe", "all", 60, sameCell, reaction, "ERR"})
+		all = append(all, retryCase{"unsafe", "all", 60, sameCell, reaction, "ERR"})
 	}
 	all = append(all,
-		retryTrial{"safe", "cell", 0, twoZones, "reset", "again"},
-		retryTrial{"keyed", "all", 60, twoZones, "reset", "again"},
-		retryTrial{"keyed", "all", 60, twoZones, "too long", "again"},
-		retryTrial{"keyed", "zone", 60, twoCells, "end", "again"},
-		retryTrial{"keyed", "zone", 60, twoZones, "end", "ERR"},
-		retryTrial{"keyed", "cell", 60, sameCell, "error", "again"},
-		retryTrial{"keyed", "cell", 60, twoCells, "error", "ERR"},
-		retryTrial{"keyed", "rack", 60, sameCell, "error", "ERR"}, // an unknown scope
-		retryTrial{"some", "all", 60, sameCell, "error", "ERR"},   // an unknown effect
-		retryTrial{"keyed", "all", 1e-6, sameCell, "end", "BUSY"}, // no repeat is recognized any more, but none does harm
-		retryTrial{"keyed", "cell", 1e-6, sameCell, "end", "ERR"}, // nor here, where one might
+		retryCase{"safe", "cell", 0, twoZones, "reset", "again"},
+		retryCase{"keyed", "all", 60, twoZones, "reset", "again"},
+		retryCase{"keyed", "all", 60, twoZones, "too long", "again"},
+		retryCase{"keyed", "zone", 60, twoCells, "end", "again"},
+		retryCase{"keyed", "zone", 60, twoZones, "end", "ERR"},
+		retryCase{"keyed", "cell", 60, sameCell, "error", "again"},
+		retryCase{"keyed", "cell", 60, twoCells, "error", "ERR"},
+		retryCase{"keyed", "rack", 60, sameCell, "error", "ERR"}, // an unknown scope
+		retryCase{"some", "all", 60, sameCell, "error", "ERR"},   // an unknown effect
+		retryCase{"keyed", "all", 1e-6, sameCell, "end", "BUSY"}, // no repeat is recognized any more, but none does harm
+		retryCase{"keyed", "cell", 1e-6, sameCell, "end", "ERR"}, // nor here, where one might
 	)
 	return all
 }
@@ -92,7 +92,7 @@
 // harmless, or ERR, which promises nothing. It depends on the effect of the class and on whether the attempt may have
 // run, not on the names of classes.
 func TestRetryAfterAttempt(t *testing.T) {
-	for _, c := range retryTrials() {
+	for _, c := range retryCases() {
 		t.Run(fmt.Sprint(c.effect, " ", c.scope, " ", c.memory, " ", c.reaction), func(t *testing.T) {
 			t.Parallel()
 			conns := make(chan *fakes.Peer, 8)
@@ -133,12 +133,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			proxy, delayed, free := startWithDelayedEndpoint(t, withClasses(classJSON("mint", "unsafe", "all", 0)))
+			proxy, delayed, unblock := startWithDelayedEndpoint(t, withClasses(classJSON("mint", "unsafe", "all", 0)))
 			client := proxy.dial()
 			client.Send(openLineOfClass("mint", "key", ",d=20000"))
 			waitForSocketState(t, delayed.Addr().String(), socketSynSent)
 			resume := proxy.suspend()
-			upstream := acceptDelayed(t, delayed, free)
+			upstream := acceptDelayed(t, delayed, unblock)
 			act(upstream)
 			upstream.CloseWrite()
 			waitForSocketState(t, delayed.Addr().String(), socketCloseWait)
@@ -167,7 +167,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			proxy, listener, free := startWithDelayedEndpoint(t)
+			proxy, listener, unblock := startWithDelayedEndpoint(t)
 			fakes.Await(t, proxy.discovery.Watches)
 			client := proxy.dial()
 			client.Send(openLine("key"))
@@ -178,7 +178,7 @@
 			} else {
 				proxy.waitForCounter("list_changes=1")
 			}
-			upstream := acceptDelayed(t, listener, free)
+			upstream := acceptDelayed(t, listener, unblock)
 			expectNoRequest(t, upstream)
 			if got := client.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 				t.Errorf("answer %q", got)
@@ -191,18 +191,18 @@
 // now arrive at this proxy, continues there while the grace lasts.
 func TestResumeAtDrainingEndpoint(t *testing.T) {
 	t.Parallel()
-	for grace, goesOn := range map[string]bool{`"DrainGrace":30`: true, `"DrainGrace":0`: false} {
+	for grace, continues := range map[string]bool{`"DrainGrace":30`: true, `"DrainGrace":0`: false} {
 		t.Run(grace, func(t *testing.T) {
 			t.Parallel()
-			proxy, listener, free := startWithDelayedEndpoint(t, withReplacement(`"DrainGrace":3`, grace))
+			proxy, listener, unblock := startWithDelayedEndpoint(t, withReplacement(`"DrainGrace":3`, grace))
 			fakes.Await(t, proxy.discovery.Watches)
 			client := proxy.dial()
 			client.Send(openLineOfClass("feed", "key", ",d=20000,mid=1"))
 			waitForSocketState(t, listener.Addr().String(), socketSynSent)
 			proxy.discovery.Lists <- fakes.List(2, false, listEntry("s-late", listener.Addr().String(), "terminating"))
 			proxy.waitForCounter("list_changes=1")
-			upstream := acceptDelayed(t, listener, free)
-			if !goesOn {
+			upstream := acceptDelayed(t, listener, unblock)
+			if !continues {
 				expectNoRequest(t, upstream)
 				return
 			}
@@ -263,7 +263,7 @@
 	for name, act := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			proxy, conns := startWithEndpoints(t, 2, withOperator)
+			proxy, conns := startWithEndpoints(t, 2, withAdminListener)
 			client := proxy.dial()
 			client.Send(openLine("key"))
 			upstream := fakes.Await(t, conns)
--- a/cmd/micafront/deadline_test.go
+++ b/cmd/micafront/deadline_test.go
@@ -16,13 +16,13 @@
 	for scope, want := range map[string]string{"all": `^BUSY`, "zone": `^ERR$`} {
 		t.Run(scope, func(t *testing.T) {
 			t.Parallel()
-			proxy, delayed, free, client, upstream := startWithDelayedSecondEndpoint(t, withClasses(classJSON("mint", "keyed", scope, 3)), withConnectTimeout(100))
+			proxy, delayed, unblock, client, upstream := startWithDelayedSecondEndpoint(t, withClasses(classJSON("mint", "keyed", scope, 3)), withConnectTimeout(100))
 			upstream.Close()
 			waitForSocketState(t, delayed.Addr().String(), socketSynSent)
 			if got := client.ReadLine(); !regexp.MustCompile(want).MatchString(got) {
 				t.Errorf("answer %q", got)
 			}
-			free()
+			unblock()
 			proxy.waitForCounter("attempts=1")
 			proxy.waitForCounter("open=0")
 		})
@@ -33,12 +33,12 @@
 // is suspended while the window ends and the connection is established.
 func TestDedupWindowEndsAsConnectionIsEstablished(t *testing.T) {
 	t.Parallel()
-	proxy, delayed, free, client, s := startWithDelayedSecondEndpoint(t, withClasses(classJSON("mint", "keyed", "zone", 4)), withConnectTimeout(100))
+	proxy, delayed, unblock, client, s := startWithDelayedSecondEndpoint(t, withClasses(classJSON("mint", "keyed", "zone", 4)), withConnectTimeout(100))
 	s.Close()
 	waitForSocketState(t, delayed.Addr().String(), socketSynSent)
 	sent := time.Now()
 	resume := proxy.suspend()
-	upstream := acceptDelayed(t, delayed, free)
+	upstream := acceptDelayed(t, delayed, unblock)
 	time.Sleep(time.Until(sent.Add(4100 * time.Millisecond))) // the window ends
 	resume()
 	expectNoRequest(t, upstream)
@@ -49,13 +49,13 @@
 // client's deadline.
 func TestConnectionEstablishedAfterDeadline(t *testing.T) {
 	t.Parallel()
-	proxy, delayed, free := startWithDelayedEndpoint(t, withClasses(classJSON("mint", "unsafe", "all", 0)))
+	proxy, delayed, unblock := startWithDelayedEndpoint(t, withClasses(classJSON("mint", "unsafe", "all", 0)))
 	client := proxy.dial()
 	sentAt := time.Now()
 	client.Send(openLineOfClass("mint", "key", ",d=4000"))
 	waitForSocketState(t, delayed.Addr().String(), socketSynSent)
 	resume := proxy.suspend()
-	upstream := acceptDelayed(t, delayed, free)
+	upstream := acceptDelayed(t, delayed, unblock)
 	time.Sleep(time.Until(sentAt.Add(4100 * time.Millisecond))) // the client's deadline passes
 	resume()
 	expectNoRequest(t, upstream)
@@ -160,10 +160,10 @@
 	}
 }
 
-// TestCloseOfAttemptThatTimesOutWhileHeldUp has an attempt's time pass and its endpoint close its connection while the process
+// TestEndpointCloseBeforeAttemptTimeout has an attempt's time pass and its endpoint close its connection while the process
 // stands still: what has come is read before the attempt is given up, so that it ends by the close, and the next attempt, which
 // reuses its descriptor, is served.
-func TestCloseOfAttemptThatTimesOutWhileHeldUp(t *testing.T) {
+func TestEndpointCloseBeforeAttemptTimeout(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoints(t, 2, withClasses(classJSON("mint", "keyed", "all", 60)), withConnectTimeout(2))
 	client := proxy.dial()
--- a/cmd/micafront/delayed_endpoint_test.go
+++ b/cmd/micafront/delayed_endpoint_test.go
@@ -51,9 +51,9 @@
 )
 
 // acceptDelayed frees a delayed listener and accepts the connection that was dialed.
-func acceptDelayed(t *testing.T, delayed net.Listener, free func()) *fakes.Peer {
+func acceptDelayed(t *testing.T, delayed net.Listener, unblock func()) *fakes.Peer {
 	t.Helper()
-	free()
+	unblock()
 	if err := delayed.(*net.TCPListener).SetDeadline(time.Now().Add(fakes.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -66,11 +66,11 @@
 
 // startWithDelayedEndpoint starts the program with one endpoint whose connections are established only once it is
 // freed.
-func startWithDelayedEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, free func()) {
+func startWithDelayedEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, unblock func()) {
 	t.Helper()
-	delayed, free = newDelayedListener(t)
+	delayed, unblock = newDelayedListener(t)
 	proxy = startProxy(t, fakes.List(1, true, listEntry("s-late", delayed.Addr().String(), "in_service")), options...)
-	return proxy, delayed, free
+	return proxy, delayed, unblock
 }
 
 // expectNoRequest checks that a connection of an endpoint ends without a first line.
@@ -83,9 +83,9 @@
 
 // startWithDelayedSecondEndpoint starts the program with an endpoint that answers and one whose connections are
 // delayed. It returns a request whose first attempt went to the former.
-func startWithDelayedSecondEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, free func(), client, upstream *fakes.Peer) {
+func startWithDelayedSecondEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, unblock func(), client, upstream *fakes.Peer) {
 	t.Helper()
-	delayed, free = newDelayedListener(t)
+	delayed, unblock = newDelayedListener(t)
 	conns := make(chan *fakes.Peer, 8)
 	endpoint := fakes.NewScriptedEndpoint(t, "s-1", conns)
 	proxy = startProxy(t, fakes.List(1, true, listEntry(endpoint.ID, endpoint.Addr, "in_service"), listEntry("s-late", delayed.Addr().String(), "in_service")), options...)
@@ -110,7 +110,7 @@
 		case upstream = <-conns:
 			cancel()
 			upstream.ReadLine()
-			return proxy, delayed, free, c, upstream
+			return proxy, delayed, unblock, c, upstream
 		case <-placed:
 		}
 		cancel()
@@ -123,10 +123,10 @@
 // on the channel.
 func newDelayedEndpoint(t *testing.T) (addr string, accept func(), conns chan *fakes.Peer) {
 	t.Helper()
-	l, free := newDelayedListener(t)
+	l, unblock := newDelayedListener(t)
 	conns = make(chan *fakes.Peer, 16)
 	return l.Addr().String(), func() {
-		free()
+		unblock()
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -141,7 +141,7 @@
 
 // newDelayedListener returns a listener at which connections are established only once it is freed: its queue is full
 // until then.
-func newDelayedListener(t *testing.T) (listener net.Listener, free func()) {
+func newDelayedListener(t *testing.T) (listener net.Listener, unblock func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/micafront/descriptors_test.go
+++ b/cmd/micafront/descriptors_test.go
@@ -18,7 +18,7 @@
 // its deadline: nothing has run.
 func TestDescriptorsExhaustedByAttempts(t *testing.T) {
 	t.Parallel()
-	proxy, conns := startWithEndpoint(t, withSockets(64), withClasses(classJSON("mint", "unsafe", "all", 0)))
+	proxy, conns := startWithEndpoint(t, withMaxDescriptors(64), withClasses(classJSON("mint", "unsafe", "all", 0)))
 	var all []*fakes.Peer
 	rejected := 0
 	for i := range 60 {
@@ -49,7 +49,7 @@
 // TestEvictedClientIsAnswered checks that a client that is evicted to free a descriptor gets an answer, whatever it was
 // sending.
 func TestEvictedClientIsAnswered(t *testing.T) {
-	proxy, _ := startWithEndpoint(t, withSockets(48)) // fewer idle clients than are accepted in one iteration
+	proxy, _ := startWithEndpoint(t, withMaxDescriptors(48)) // fewer idle clients than are accepted in one iteration
 	var clients []*fakes.Peer
 	proxy.whileSuspended(func() {
 		for range 20 {
@@ -76,7 +76,7 @@
 // TestRequestFromEvictionCandidate checks that an idle client that sends a request just when it would be evicted is
 // served.
 func TestRequestFromEvictionCandidate(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withSockets(96))
+	proxy, conns := startWithEndpoint(t, withMaxDescriptors(96))
 	var clients []*fakes.Peer
 	for range 16 {
 		p := proxy.dial()
@@ -158,7 +158,7 @@
 // TestRejectedClientsDoNotBlockNewOnes checks that clients that were answered with an error and stay do not keep out a
 // new one.
 func TestRejectedClientsDoNotBlockNewOnes(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withSockets(96))
+	proxy, conns := startWithEndpoint(t, withMaxDescriptors(96))
 	for range 60 {
 		p := proxy.dial()
 		p.Send("X\r\n")
@@ -170,7 +170,7 @@
 // TestIdleClientsAreEvicted checks that clients that send nothing, half a line or only PING are closed in time, also
 // one that sends slowly, and that many of them leave descriptors to requests.
 func TestIdleClientsAreEvicted(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withSockets(96))
+	proxy, conns := startWithEndpoint(t, withMaxDescriptors(96))
 	trickle, began := proxy.dial(), time.Now()
 	go func() {
 		for t.Context().Err() == nil {
@@ -209,7 +209,7 @@
 
 // TestOutOfDescriptors checks that the proxy survives running out of descriptors.
 func TestOutOfDescriptors(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withSockets(48))
+	proxy, conns := startWithEndpoint(t, withMaxDescriptors(48))
 	var idle []*fakes.Peer
 	for range 100 {
 		idle = append(idle, proxy.dial())
--- a/cmd/micafront/disconnect_test.go
+++ b/cmd/micafront/disconnect_test.go
@@ -25,7 +25,7 @@
 	t.Run("sent", func(t *testing.T) {
 		t.Parallel()
 		for word, want := range map[string]string{"UP r\r\n": "outcome_cancelled=1", "BYE\r\n": "outcome_ok=1"} {
-			proxy, conns := startWithEndpoint(t, withoutCancel, withOperator)
+			proxy, conns := startWithEndpoint(t, withoutCancel, withAdminListener)
 			client := proxy.dial()
 			client.Send(openLine("key"))
 			upstream := fakes.Await(t, conns)
@@ -40,14 +40,14 @@
 	})
 	t.Run("dialing", func(t *testing.T) {
 		t.Parallel()
-		proxy, delayed, free := startWithDelayedEndpoint(t, withoutCancel, withOperator)
+		proxy, delayed, unblock := startWithDelayedEndpoint(t, withoutCancel, withAdminListener)
 		client := proxy.dial()
 		client.Send(openLine("key"))
 		waitForSocketState(t, delayed.Addr().String(), socketSynSent)
 		client.Close()
 		proxy.waitForCounter("client_gone=1")
 		proxy.waitForCounter("outcome_cancelled=1") // the dial has been ended: nothing is established once it could be
-		free()
+		unblock()
 		proxy.waitForMetrics(map[string]string{"svc.pending": "0"})
 		proxy.waitForCounter("attempts=0")
 	})
@@ -113,7 +113,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr, accept, conns := newDelayedEndpoint(t)
-			proxy := startProxy(t, fakes.List(1, true, listEntry("s-1", addr, "in_service")), withOperator)
+			proxy := startProxy(t, fakes.List(1, true, listEntry("s-1", addr, "in_service")), withAdminListener)
 			proxy.disableCancel()
 			client := proxy.dial()
 			client.Send(openLine("key"))
@@ -141,7 +141,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr, accept, conns := newDelayedEndpoint(t)
-			proxy := startProxy(t, fakes.List(1, true, listEntry("s-1", addr, "in_service")), withOperator)
+			proxy := startProxy(t, fakes.List(1, true, listEntry("s-1", addr, "in_service")), withAdminListener)
 			client := proxy.dial()
 			client.Send(openLine("key"))
 			proxy.waitForMetrics(map[string]string{"svc.pending": "1"})
@@ -163,7 +163,7 @@
 func TestManyClientsDisconnectOnRejection(t *testing.T) {
 	conns := make(chan *fakes.Peer, 64)
 	a, b := fakes.NewScriptedEndpoint(t, "s-1", conns), fakes.NewScriptedEndpoint(t, "s-2", conns)
-	proxy := startProxy(t, fakes.List(1, true, listEntry(a.ID, a.Addr, "in_service"), listEntry(b.ID, b.Addr, "in_service")), withOperator)
+	proxy := startProxy(t, fakes.List(1, true, listEntry(a.ID, a.Addr, "in_service"), listEntry(b.ID, b.Addr, "in_service")), withAdminListener)
 	const many = 40
 	var clients, at []*fakes.Peer
 	for range many {
@@ -231,9 +231,9 @@
 // TestMoveDuringPartialLine checks that a move closes a connection on which the endpoint is just sending with an end
 // and not a reset, which would discard what the endpoint has not read.
 func TestMoveDuringPartialLine(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client, upstream := proxy.connect(conns, "key")
-	if status, _ := proxy.operatorCall("PUT", "/api/evacuate"); status != 200 {
+	if status, _ := proxy.adminCall("PUT", "/api/evacuate"); status != 200 {
 		t.Errorf("status %d", status)
 	}
 	proxy.whileSuspended(func() {
@@ -255,7 +255,7 @@
 			for _, first := range []bool{true, false} {
 				t.Run(fmt.Sprintf("client %s and endpoint %s, client first %v", manner, other, first), func(t *testing.T) {
 					t.Parallel()
-					proxy, conns := startWithEndpoint(t, withOperator)
+					proxy, conns := startWithEndpoint(t, withAdminListener)
 					fakes.Await(t, proxy.discovery.Watches)
 					before := proxy.countDescriptors()
 					c, upstream := proxy.connect(conns, "key")
@@ -282,7 +282,7 @@
 // TestClientsDisconnectAtAnyStage checks that clients that disconnect at any stage, with an end or a reset, leave no
 // request, attempt or descriptor.
 func TestClientsDisconnectAtAnyStage(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
 	before := proxy.countDescriptors()
 	var upstream *fakes.Peer // the connection of the client's attempt; nil: there is none
--- a/cmd/micafront/discovery_test.go
+++ b/cmd/micafront/discovery_test.go
@@ -98,7 +98,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			proxy, conns := startWithEndpoint(t, withOperator, func(proxy *proxyProcess) { proxy.discovery.NextHandlers <- c.answer })
+			proxy, conns := startWithEndpoint(t, withAdminListener, func(proxy *proxyProcess) { proxy.discovery.NextHandlers <- c.answer })
 			testkit.Equal(t, "first call", "watch=1&from=1", fakes.Await(t, proxy.discovery.Watches))
 			if c.again == "" {
 				c.again = "watch=1&from=1"
@@ -126,7 +126,7 @@
 func TestDiscoveryWatchStalls(t *testing.T) {
 	t.Parallel()
 	stalled := make(chan time.Time, 1)
-	proxy, _ := startWithEndpoint(t, withOperator, func(proxy *proxyProcess) {
+	proxy, _ := startWithEndpoint(t, withAdminListener, func(proxy *proxyProcess) {
 		proxy.discovery.NextHandlers <- func(rw http.ResponseWriter, r *http.Request) {
 			respondWatch(false, fakes.List(2, false), `{"generation":3,"ins`)(rw, r)
 			stalled <- time.Now()
@@ -155,7 +155,7 @@
 	t.Parallel()
 	conns := make(chan *fakes.Peer, 64)
 	endpoint := fakes.NewScriptedEndpoint(t, "s-1", conns)
-	proxy := startProxy(t, "null", withOperator, func(proxy *proxyProcess) {
+	proxy := startProxy(t, "null", withAdminListener, func(proxy *proxyProcess) {
 		proxy.extraSettings = `"Discovery":"automatic",`
 		for range 3 { // an outage
 			proxy.discovery.NextHandlers <- respondRaw("")
@@ -181,7 +181,7 @@
 	for i := range 600 {
 		entries = append(entries, listEntry(fmt.Sprintf("s-%d", i+1), endpoint.Addr, "in_service"))
 	}
-	proxy := startProxy(t, fakes.List(1, true, entries[0]), withOperator)
+	proxy := startProxy(t, fakes.List(1, true, entries[0]), withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
 	many := fakes.List(2, true, entries...)
 	for range 3 {
@@ -208,7 +208,7 @@
 			t.Parallel()
 			conns := make(chan *fakes.Peer, 64)
 			endpoint := fakes.NewScriptedEndpoint(t, "s-1", conns)
-			proxy := startProxy(t, c.known, withOperator)
+			proxy := startProxy(t, c.known, withAdminListener)
 			testkit.Equal(t, "first call", c.first, fakes.Await(t, proxy.discovery.Watches))
 			list := fakes.List(20, true, listEntry(endpoint.ID, endpoint.Addr, "in_service"))
 			proxy.discovery.Lists <- list
--- a/cmd/micafront/discovery_watch_test.go
+++ b/cmd/micafront/discovery_watch_test.go
@@ -15,7 +15,7 @@
 // The pauses themselves are tested in internal/discovery, without a clock.
 func TestWatchRetryInterval(t *testing.T) {
 	t.Parallel()
-	proxy, _ := startWithEndpoint(t, withOperator)
+	proxy, _ := startWithEndpoint(t, withAdminListener)
 	testkit.Equal(t, "first call", "watch=1&from=1", fakes.Await(t, proxy.discovery.Watches))
 	proxy.reload(`"AskEvery":1,`, `"AskEvery":86400,`)
 	proxy.waitForLog("configuration read again")
@@ -35,7 +35,7 @@
 // one is followed all the while and continues without a new call.
 func TestReloadToUnavailableDiscoveryAndBack(t *testing.T) {
 	t.Parallel()
-	proxy, _ := startWithEndpoint(t, withOperator)
+	proxy, _ := startWithEndpoint(t, withAdminListener)
 	testkit.Equal(t, "first call", "watch=1&from=1", fakes.Await(t, proxy.discovery.Watches))
 	proxy.discovery.Lists <- fakes.List(2, true, listEntry("s-1", "127.0.0.1:1", "in_service"))
 	proxy.waitForCounter("lists=2")
@@ -60,7 +60,7 @@
 // there applies, and lists of the second are ignored.
 func TestReloadDiscoveryTwice(t *testing.T) {
 	t.Parallel()
-	proxy, _ := startWithEndpoint(t, withOperator)
+	proxy, _ := startWithEndpoint(t, withAdminListener)
 	testkit.Equal(t, "first call", "watch=1&from=1", fakes.Await(t, proxy.discovery.Watches))
 	second, third := fakes.NewScriptedDiscovery(t), fakes.NewScriptedDiscovery(t)
 	proxy.reload(proxy.discovery.Addr, second.Addr)
@@ -77,7 +77,7 @@
 // that a watch that was lost meanwhile is reopened from there.
 func TestWatchWhileSuspended(t *testing.T) {
 	t.Parallel()
-	proxy, _ := startWithEndpoint(t, withOperator)
+	proxy, _ := startWithEndpoint(t, withAdminListener)
 	testkit.Equal(t, "first call", "watch=1&from=1", fakes.Await(t, proxy.discovery.Watches))
 	proxy.command.Process.Signal(syscall.SIGSTOP)
 	proxy.discovery.Lists <- fakes.List(2, true, listEntry("s-1", "127.0.0.1:1", "terminating"), listEntry("s-2", "127.0.0.1:1", "in_service"))
--- a/cmd/micafront/fake_replica_test.go
+++ b/cmd/micafront/fake_replica_test.go
@@ -49,10 +49,10 @@
 // ServeHTTP answers renewals and calls for versions, or leaves all calls to handler.
 func (r *fakeReplica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
-	active, proposed, instead := r.activeVersion, r.proposedVersion, r.handler
+	active, proposed, handler := r.activeVersion, r.proposedVersion, r.handler
 	r.mu.Unlock()
-	if instead != nil {
-		instead(w, request)
+	if handler != nil {
+		handler(w, request)
 		return
 	}
 	if request.URL.Path != "/v1/renew" {
@@ -87,10 +87,10 @@
 }
 
 // waitForRenewal waits for a renewal that meets a condition; what names it in the failure.
-func (r *fakeReplica) waitForRenewal(what string, is func(fleetconfig.Renewal) bool) fleetconfig.Renewal {
+func (r *fakeReplica) waitForRenewal(what string, matches func(fleetconfig.Renewal) bool) fleetconfig.Renewal {
 	r.t.Helper()
 	for end := time.Now().Add(fakes.WaitTimeout); time.Now().Before(end); {
-		if r := fakes.Await(r.t, r.renewals); is(r) {
+		if r := fakes.Await(r.t, r.renewals); matches(r) {
 			return r
 		}
 	}
--- a/cmd/micafront/fleet_test.go
+++ b/cmd/micafront/fleet_test.go
@@ -40,8 +40,8 @@
 
 // routesByKey returns routes to two pools by zone: keys that begin with "b" go to pool b, those with "a" to the given
 // pool.
-func routesByKey(ofA string) string {
-	return strings.Replace(twoPools(`"attempts":3`), `"to":[{"pool":"a"`, `"to":[{"pool":"`+ofA+`"`, 1)
+func routesByKey(poolOfA string) string {
+	return strings.Replace(twoPools(`"attempts":3`), `"to":[{"pool":"a"`, `"to":[{"pool":"`+poolOfA+`"`, 1)
 }
 
 // withControlPlane adds a fleet record with these replicas to the configuration; more holds further members of it.
@@ -52,7 +52,7 @@
 			addrs = append(addrs, fmt.Sprintf("%q", replica.addr))
 		}
 		proxy.routing = fmt.Sprintf(`"routing":%s,"fleet":{"keepers":[%s]%s},`, routesByKey("a"), strings.Join(addrs, ","), more)
-		proxy.operatorListen = "127.0.0.1:0"
+		proxy.adminListen = "127.0.0.1:0"
 	}
 }
 
@@ -67,16 +67,16 @@
 	return proxy, replica, conns
 }
 
-// expectRejection sends a request that must be rejected at once, with a time to retry.
-func (p *proxyProcess) expectRejection(key string) {
+// expectKeyRejected sends a request that must be rejected at once, with a time to retry.
+func (p *proxyProcess) expectKeyRejected(key string) {
 	p.t.Helper()
 	client := p.dial()
 	client.Send(openLine(key))
-	p.expectRejected(client)
+	p.expectRejectionAnswer(client)
 }
 
-// expectRejected reads the rejection of a request that was sent.
-func (p *proxyProcess) expectRejected(client *fakes.Peer) {
+// expectRejectionAnswer reads the rejection of a request that was sent.
+func (p *proxyProcess) expectRejectionAnswer(client *fakes.Peer) {
 	p.t.Helper()
 	var ms int
 	if l := client.ReadLine(); !strings.HasPrefix(l, "BUSY ") {
@@ -90,7 +90,7 @@
 // metric returns the present value of one figure of the telemetry.
 func (p *proxyProcess) metric(name string) (n int) {
 	p.t.Helper()
-	_, body := p.operatorCall("GET", "/api/telemetry")
+	_, body := p.adminCall("GET", "/api/telemetry")
 	_, value, _ := strings.Cut("\n"+body, "\n"+name+"=")
 	if _, err := fmt.Sscan(value, &n); err != nil {
 		p.t.Fatalf("%s: %v in %s", name, err, body)
@@ -139,10 +139,10 @@
 	testkit.Equal(t, "memory limit", uint64(192)<<20*3/4, replica.waitForRenewal("memory limit", func(renewal fleetconfig.Renewal) bool { return renewal.Headroom.Limit > 0 }).Headroom.Limit)
 	testkit.Equal(t, "readiness", "ERR DRAINED", proxy.ping())
 	proxy.waitForMetrics(map[string]string{"svc.fleet.state": "starting", "svc.fleet.in_force": "0"})
-	proxy.expectRejection("alpha")
+	proxy.expectKeyRejected("alpha")
 	client := proxy.dial()
 	client.Send("OPEN x alpha c=later,d=60000\r\n") // the file lacks the class, the first version may have it
-	proxy.expectRejected(client)
+	proxy.expectRejectionAnswer(client)
 	resumed := proxy.dial() // a connection that is established somewhere continues in any case
 	resumed.Send(fmt.Sprintf("OPEN %s beta c=feed,d=60000,mid=1\r\n", fakes.NextID()))
 	at := fakes.Await(t, conns["b"])
@@ -192,13 +192,13 @@
 	replica := newFakeReplica(t)
 	conns := map[string]chan *fakes.Peer{"a": make(chan *fakes.Peer, 64), "b": make(chan *fakes.Peer, 64)}
 	a1, a2, b := fakes.NewScriptedEndpoint(t, "s-1", conns["a"]), fakes.NewScriptedEndpoint(t, "s-2", conns["a"]), fakes.NewScriptedEndpoint(t, "s-3", conns["b"])
-	delayed, free := newDelayedListener(t)
+	delayed, unblock := newDelayedListener(t)
 	entryIn := func(id, addr, zone string) string { return fakes.Entry{ID: id, Addr: addr, Zone: zone}.String() }
 	proxy := startProxy(t, fakes.List(1, true, entryIn("s-1", a1.Addr, "a"), entryIn("s-2", a2.Addr, "a"), entryIn("s-3", b.Addr, "b"),
 		entryIn("s-4", delayed.Addr().String(), "c")), withControlPlane("", replica), withConnectTimeout(59))
-	withC := func(ofA, ofC string) string {
-		text := strings.Replace(routesByKey(ofA), `"pools":[`, `"pools":[{"name":"c","select":{"zones":["c"]}},`, 1)
-		return strings.Replace(text, `"routes":[`, `"routes":[{"name":"toC","match":{"key":{"prefix":["c"]}},"to":[{"pool":"`+ofC+`","ppm":1000000}]},`, 1)
+	withC := func(poolOfA, poolOfC string) string {
+		text := strings.Replace(routesByKey(poolOfA), `"pools":[`, `"pools":[{"name":"c","select":{"zones":["c"]}},`, 1)
+		return strings.Replace(text, `"routes":[`, `"routes":[{"name":"toC","match":{"key":{"prefix":["c"]}},"to":[{"pool":"`+poolOfC+`","ppm":1000000}]},`, 1)
 	}
 	replica.update(func(replica *fakeReplica) { replica.activeVersion = proxy.version(1, withC("a", "c"), terms) })
 	proxy.waitForMetrics(map[string]string{"svc.fleet.state": "leased"})
@@ -214,19 +214,19 @@
 	replica.stopResponding()
 	proxy.waitForMetrics(map[string]string{"svc.fleet.state": "lapsed", "svc.fleet.lapses": "1"})
 
-	proxy.expectRejection("alpha")
+	proxy.expectKeyRejected("alpha")
 	proxy.connect(conns["b"], "beta")
 	testkit.Equal(t, "readiness", "PONG", proxy.ping())
 	established.Send("M 1\r\n")
 	testkit.Equal(t, "an established connection", "M 1", upstream.ReadLine())
 	first.Send("ERR FULL\r\n") // the balancer would try the other endpoint
-	proxy.expectRejected(retried)
-	free()
+	proxy.expectRejectionAnswer(retried)
+	unblock()
 	conn, err := delayed.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	proxy.expectRejected(pending)
+	proxy.expectRejectionAnswer(pending)
 	testkit.Equal(t, "what the delayed endpoint gets", "EOF", fakes.NewPeer(t, conn).ReadLine())
 	expectNoConn(t, conns["a"])
 	proxy.waitForMetrics(map[string]string{"svc.fleet.refused_contested": "3", "svc.downstream_requests.feed.rejected": "3"})
@@ -290,7 +290,7 @@
 			if c.serves {
 				proxy.connect(conns["b"], "alpha")
 			} else {
-				proxy.expectRejection("alpha")
+				proxy.expectKeyRejected("alpha")
 			}
 			testkit.Equal(t, figure, before+1, proxy.metric(figure))
 			established.Send("M 1\r\n")
@@ -361,20 +361,20 @@
 func TestFleetServices(t *testing.T) {
 	t.Parallel()
 	proxy, replica, conns := startInFleet(t, fleetconfig.Terms{}, "")
-	of := func(number uint64, service string, state json.RawMessage) fleetconfig.Version {
+	versionWithService := func(number uint64, service string, state json.RawMessage) fleetconfig.Version {
 		routes := strings.Replace(routesByKey("b"), `"to":[{"pool":"b","ppm":1000000}],"policy"`, `"to":[{"pool":"service:`+service+`","ppm":1000000}],"policy"`, 1)
 		v := proxy.version(number, routes, fleetconfig.Terms{})
 		v.Body.Catalog = state
 		v.Digest = v.Body.Digest()
 		return v
 	}
-	enforce := func(v fleetconfig.Version) {
+	activate := func(v fleetconfig.Version) {
 		t.Helper()
 		replica.propose(v)
 		replica.update(func(replica *fakeReplica) { replica.activeVersion, replica.proposedVersion = v, fleetconfig.Version{} })
 		replica.waitForRenewal("active", func(r fleetconfig.Renewal) bool { return r.ActiveVersion == v.Number })
 	}
-	enforce(of(2, "album", albumCatalog("")))
+	activate(versionWithService(2, "album", albumCatalog("")))
 	proxy.waitForMetrics(map[string]string{"svc.catalog.number": "5", "svc.catalog.names": "1", "svc.catalog.collisions": "0",
 		"svc.catalog.album.pools": "album.mesh-a,album.mesh-b"})
 	proxy.connect(conns["a"], "alpha")
@@ -389,13 +389,13 @@
 	other.Send("UP r\r\n")
 	testkit.Equal(t, "by fallback", "UP r", client.ReadLine())
 
-	enforce(of(3, "album", albumCatalog("mesh-a")))
+	activate(versionWithService(3, "album", albumCatalog("mesh-a")))
 	proxy.waitForMetrics(map[string]string{"svc.catalog.album.pools": "album.mesh-b,album.mesh-a",
 		"svc.catalog.album.why": "album is the service of o with contract c at mesh-a (a), lost, mesh-b (b), because nobody else claimed it, since state 0. It is held."})
 	proxy.connect(conns["b"], "alpha")
 	expectNoConn(t, conns["a"])
 
-	for number, v := range map[uint64]fleetconfig.Version{4: of(4, "notes", albumCatalog("")), 5: of(5, "album", nil)} {
+	for number, v := range map[uint64]fleetconfig.Version{4: versionWithService(4, "notes", albumCatalog("")), 5: versionWithService(5, "album", nil)} {
 		replica.update(func(replica *fakeReplica) { replica.proposedVersion = v })
 		r := replica.waitForRenewal("rejected", func(r fleetconfig.Renewal) bool { return r.RejectedVersion == number && r.Rejection != nil }).Rejection
 		if want := map[uint64]string{4: `"notes"`, 5: `"album"`}[number]; r.Kind != "proxy/broken-version" || !strings.Contains(r.Cause, want) {
@@ -492,9 +492,9 @@
 // TestNoFleet checks that without a fleet record neither telemetry nor log mention a fleet.
 func TestNoFleet(t *testing.T) {
 	t.Parallel()
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	proxy.connect(conns, "a")
-	if _, body := proxy.operatorCall("GET", "/api/telemetry"); strings.Contains(body, "fleet") {
+	if _, body := proxy.adminCall("GET", "/api/telemetry"); strings.Contains(body, "fleet") {
 		t.Errorf("telemetry mentions a fleet: %s", body)
 	}
 	proxy.waitForCounter("up=1")
--- a/cmd/micafront/hot_restart_test.go
+++ b/cmd/micafront/hot_restart_test.go
@@ -60,9 +60,9 @@
 	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withRouting(text))
 	lan := proxy.listenerAddr("lan")
 	client, upstream := proxy.connect(conns["a"], "alpha")
-	byLan := *proxy
-	byLan.addr = lan
-	other, _ := byLan.connect(conns["b"], "gamma")
+	lanProxy := *proxy
+	lanProxy.addr = lan
+	other, _ := lanProxy.connect(conns["b"], "gamma")
 	successor := proxy.startSuccessor()
 	proxy.waitForLog(logSuccessorServes)
 	testkit.Equal(t, "the further listener's address", lan, successor.listenerAddr("lan"))
@@ -73,7 +73,7 @@
 	successor.waitForCounter("taken_over=2")
 	client.Send("on\r\n")
 	testkit.Equal(t, "relayed by the successor", "on", upstream.ReadLine())
-	byLan.connect(conns["b"], "gamma")
+	lanProxy.connect(conns["b"], "gamma")
 	successor.connect(conns["a"], "alpha")
 	rejected := successor.dial() // the route's limit counts transferred connections
 	rejected.Send(openLine("alpha"))
@@ -114,7 +114,7 @@
 // TestHotRestart checks that a second process takes over while the first serves, and later a third one from the second;
 // that one that dies leaves the old one serving; and that no client is rejected meanwhile.
 func TestHotRestart(t *testing.T) {
-	proxy, conns := startWithEndpoints(t, 3, withOperator)
+	proxy, conns := startWithEndpoints(t, 3, withAdminListener)
 	client, upstream := proxy.connect(conns, "a")
 	killed := proxy.startSuccessor()
 	proxy.waitForLog(logSuccessorServes)
@@ -181,21 +181,21 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		dir  string
-		over bool
+		dir       string
+		handsOver bool
 	}{
 		"long path": {long, true}, "none": {"", false}, "not there": {filepath.Join(long, "x"), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			proxy, conns := startWithEndpoint(t, withOperator, func(proxy *proxyProcess) { proxy.env = []string{"TMPDIR=" + c.dir} })
+			proxy, conns := startWithEndpoint(t, withAdminListener, func(proxy *proxyProcess) { proxy.env = []string{"TMPDIR=" + c.dir} })
 			proxy.connect(conns, "a")
 			second := proxy.startSuccessor("EDGE_LISTEN=" + proxy.addr) // without a handover, port 0 would be another port
-			if c.over {
+			if c.handsOver {
 				second.stop()
 				second = proxy.startSuccessor()
 			}
-			testkit.Equal(t, "handed over", c.over, strings.Contains(proxy.stderr.String(), logSuccessorConnected))
+			testkit.Equal(t, "handed over", c.handsOver, strings.Contains(proxy.stderr.String(), logSuccessorConnected))
 			proxy.stop()
 			second.connect(conns, "b")
 			second.waitForCompleted(1)
@@ -214,7 +214,7 @@
 			t.Parallel()
 			conns := make(chan *fakes.Peer, 64)
 			endpoint := fakes.NewScriptedEndpoint(t, "s-1", conns)
-			proxy := startProxy(t, fakes.List(1, true, listEntry(endpoint.ID, endpoint.Addr, "in_service")), withOperator)
+			proxy := startProxy(t, fakes.List(1, true, listEntry(endpoint.ID, endpoint.Addr, "in_service")), withAdminListener)
 			sockets, _ := filepath.Glob(filepath.Join(proxy.tempDir(), "*.sock"))
 			if len(sockets) != 1 {
 				t.Fatalf("sockets %v", sockets)
@@ -249,7 +249,7 @@
 // TestSuccessorHeartbeat checks that a successor's descriptors count as this process's own, and that one that serves
 // and then stops its heartbeat, or dies, leaves the clients to this process.
 func TestSuccessorHeartbeat(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
 	sockets, _ := filepath.Glob(filepath.Join(proxy.tempDir(), "*.sock"))
 	if len(sockets) != 1 {
--- a/cmd/micafront/large_list_test.go
+++ b/cmd/micafront/large_list_test.go
@@ -103,9 +103,9 @@
 	wait   time.Duration
 }
 
-// sendSteadily sends a request every interval, each on a connection of its own, until stop is closed. It returns the
+// sendPeriodically sends a request every interval, each on a connection of its own, until stop is closed. It returns the
 // timings of all of them.
-func sendSteadily(t *testing.T, addr string, interval, patience time.Duration, stop <-chan struct{}) []requestTiming {
+func sendPeriodically(t *testing.T, addr string, interval, timeout time.Duration, stop <-chan struct{}) []requestTiming {
 	var mu sync.Mutex
 	var timings []requestTiming
 	var clients sync.WaitGroup
@@ -121,7 +121,7 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			timing := sendRequest(t, addr, patience)
+			timing := sendRequest(t, addr, timeout)
 			mu.Lock()
 			timings = append(timings, timing)
 			mu.Unlock()
@@ -129,8 +129,8 @@
 	}
 }
 
-// sendRequest sends one request that its client waits for no longer than patience, and reads the answer, also a late one.
-func sendRequest(t *testing.T, addr string, patience time.Duration) requestTiming {
+// sendRequest sends one request that its client waits for no longer than timeout, and reads the answer, also a late one.
+func sendRequest(t *testing.T, addr string, timeout time.Duration) requestTiming {
 	id := fakes.NextID()
 	timing := requestTiming{id: id, sentAt: time.Now(), answer: "none"}
 	conn, err := net.Dial("tcp", addr)
@@ -140,7 +140,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(fakes.WaitTimeout))
-	_, _ = fmt.Fprintf(conn, "OPEN %s key%s c=feed,d=%d\r\n", id, id, patience.Milliseconds())
+	_, _ = fmt.Fprintf(conn, "OPEN %s key%s c=feed,d=%d\r\n", id, id, timeout.Milliseconds())
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err == nil {
 		timing.answer = strings.TrimSpace(line)
 	}
@@ -148,22 +148,22 @@
 	return timing
 }
 
-// lateAnswer is how long after a request's time its answer may come; later it is lost.
-const lateAnswer = 500 * time.Millisecond
+// answerTolerance is how long after a request's time its answer may come; later it is lost.
+const answerTolerance = 500 * time.Millisecond
 
-// TestLargeListLosesNoRequest replaces a list of 3,200 endpoints in parts while clients with little time come steadily: each
+// TestDeadlinesDuringLargeListUpdates replaces a list of 3,200 endpoints in parts while clients with little time come steadily: each
 // gets its answer in time, and no attempt begins once a request's time is over.
-func TestLargeListLosesNoRequest(t *testing.T) {
-	const patience = 100 * time.Millisecond
+func TestDeadlinesDuringLargeListUpdates(t *testing.T) {
+	const timeout = 100 * time.Millisecond
 	endpoint := newAnsweringEndpoint(t)
 	entries := endpoint.entries(0, largeListEndpoints, "in_service")
 	proxy := startProxy(t, fakes.List(1, true, entries...))
 	stop := make(chan struct{})
 	results := make(chan []requestTiming)
-	go func() { results <- sendSteadily(t, proxy.addr, 20*time.Millisecond, patience, stop) }()
+	go func() { results <- sendPeriodically(t, proxy.addr, 20*time.Millisecond, timeout, stop) }()
 
 	fakes.Await(t, proxy.discovery.Watches)
-	const part = largeListEndpoints / releaseParts
+	const partSize = largeListEndpoints / releaseParts
 	generation := 1
 	send := func(entries []string) {
 		generation++
@@ -171,33 +171,33 @@
 		time.Sleep(350 * time.Millisecond)
 	}
 	for i := range 4 {
-		send(endpoint.entries(i*part, part, "terminating"))
-		send(endpoint.entries(i*part, part, "terminated"))
-		send(endpoint.entries(largeListEndpoints+i*part, part, "in_service"))
+		send(endpoint.entries(i*partSize, partSize, "terminating"))
+		send(endpoint.entries(i*partSize, partSize, "terminated"))
+		send(endpoint.entries(largeListEndpoints+i*partSize, partSize, "in_service"))
 	}
 	time.Sleep(time.Second)
 	close(stop)
 	_ = proxy.command.Process.Signal(syscall.SIGUSR1)
-	_, turns, _ := strings.Cut(proxy.waitForLog(" long_turns="), " long_turns=")
-	turns, _, _ = strings.Cut(turns, "\n")
-	t.Logf("long_turns=%s", turns)
+	_, longTurns, _ := strings.Cut(proxy.waitForLog(" long_turns="), " long_turns=")
+	longTurns, _, _ = strings.Cut(longTurns, "\n")
+	t.Logf("long_turns=%s", longTurns)
 
 	longest := time.Duration(0)
 	for _, timing := range <-results {
 		longest = max(longest, timing.wait)
-		if timing.wait > patience+lateAnswer {
+		if timing.wait > timeout+answerTolerance {
 			t.Errorf("request %s waited %v for %q", timing.id, timing.wait, timing.answer)
 		}
-		if at, attempted := endpoint.attemptOf(timing.id); attempted && at.Sub(timing.sentAt) > patience+lateAnswer {
+		if at, attempted := endpoint.attemptOf(timing.id); attempted && at.Sub(timing.sentAt) > timeout+answerTolerance {
 			t.Errorf("request %s was attempted %v after it was sent", timing.id, at.Sub(timing.sentAt))
 		}
 	}
 	t.Logf("longest wait for an answer: %v", longest)
 }
 
-// TestHeldUpProcessAttemptsNothingThatIsOver checks that requests whose time passes while the process stands still are
+// TestExpiredRequestsAfterSuspension checks that requests whose time passes while the process stands still are
 // rejected, and that one which still has time is attempted.
-func TestHeldUpProcessAttemptsNothingThatIsOver(t *testing.T) {
+func TestExpiredRequestsAfterSuspension(t *testing.T) {
 	t.Parallel()
 	endpoint := newAnsweringEndpoint(t)
 	proxy := startProxy(t, fakes.List(1, true, endpoint.entries(0, 3, "in_service")...))
@@ -226,9 +226,9 @@
 	}
 }
 
-// TestHeldUpProcessAttemptsNothingForGoneClients checks that clients that leave while the process stands still are not
+// TestDisconnectedClientsAfterSuspension checks that clients that leave while the process stands still are not
 // attempted for, whether their request is new or waits for a connection to its endpoint.
-func TestHeldUpProcessAttemptsNothingForGoneClients(t *testing.T) {
+func TestDisconnectedClientsAfterSuspension(t *testing.T) {
 	t.Parallel()
 	endpoint := newAnsweringEndpoint(t)
 	proxy := startProxy(t, fakes.List(1, true, endpoint.entries(0, 3, "in_service")...))
@@ -252,10 +252,10 @@
 // of which report their load when they are asked: clients are served all the same.
 func TestLoadQueriesLeaveDescriptorsForRequests(t *testing.T) {
 	t.Parallel()
-	const sockets = 400
+	const maxDescriptors = 400
 	endpoint := newAnsweringEndpoint(t)
 	entries := endpoint.entries(0, largeListEndpoints, "in_service")
-	proxy := startProxy(t, fakes.List(1, true, entries...), withSettings(loadReportSettings), withSockets(sockets))
+	proxy := startProxy(t, fakes.List(1, true, entries...), withSettings(loadReportSettings), withMaxDescriptors(maxDescriptors))
 	time.Sleep(time.Second) // several rounds of queries
 	for range 20 {
 		if timing := sendRequest(t, proxy.addr, time.Second); timing.answer != "UP r" {
@@ -263,7 +263,7 @@
 		}
 	}
 	t.Logf("%d descriptors are open", proxy.countDescriptors())
-	if open := proxy.countDescriptors(); open > sockets/2 {
+	if open := proxy.countDescriptors(); open > maxDescriptors/2 {
 		t.Errorf("%d descriptors are open, with %d endpoints", open, largeListEndpoints)
 	}
 }
--- a/cmd/micafront/load_reports_test.go
+++ b/cmd/micafront/load_reports_test.go
@@ -22,7 +22,7 @@
 	return client, client.ReadLine()
 }
 
-// floodUntilRejected connects as a tenant until a request is rejected. For each connection that ends, the channel says
+// floodUntilRejected connects as a tenant until a request is rejected. For each connection that ends, the channel receives
 // whether the client was asked to move.
 func floodUntilRejected(t *testing.T, proxy *proxyProcess, tenant string) (moved chan bool) {
 	t.Helper()
@@ -57,7 +57,7 @@
 			if time.Now().After(deadline) {
 				t.Fatalf("%s has %d of its %d and is rejected for ever", tenant, established, share)
 			}
-			time.Sleep(20 * time.Millisecond) // the client retries, sooner than the answer says
+			time.Sleep(20 * time.Millisecond) // the client retries, sooner than the answer allows
 		default:
 			t.Fatalf("%s was answered %q", tenant, answer)
 		}
@@ -79,7 +79,7 @@
 		entries = append(entries, f.String())
 	}
 	proxy := startProxy(t, fakes.List(1, true, entries...), func(proxy *proxyProcess) {
-		proxy.extraSettings, proxy.operatorListen = loadReportSettings, "127.0.0.1:0"
+		proxy.extraSettings, proxy.adminListen = loadReportSettings, "127.0.0.1:0"
 	})
 	moved := floodUntilRejected(t, proxy, "palmnet")
 	deadline := time.Now().Add(fakes.WaitTimeout)
@@ -94,7 +94,7 @@
 	}
 	proxy.waitForMetrics(map[string]string{"svc.tenant_requests.islandlink.completed": "8",
 		"svc.tenant_requests.southwave.completed": "7", "svc.tenant_requests.bluecoast.completed": "5"})
-	if _, body := proxy.operatorCall("GET", "/api/telemetry"); strings.Contains(body, "svc.tenant_requests.palmnet.rejected=0\n") {
+	if _, body := proxy.adminCall("GET", "/api/telemetry"); strings.Contains(body, "svc.tenant_requests.palmnet.rejected=0\n") {
 		t.Errorf("the flood was rejected, but not by the telemetry:\n%s", body)
 	}
 	if violations := checker.Violations(); len(violations) > 0 {
@@ -105,7 +105,7 @@
 // TestInvalidLoadReports checks that requests are placed without load reports where an endpoint answers queries
 // invalidly or not at all.
 func TestInvalidLoadReports(t *testing.T) {
-	for _, says := range []string{"NO\r\n", "PONG x0=\r\n", "PONG x0=1e999\r\n", strings.Repeat("x", 5000), ""} {
+	for _, reply := range []string{"NO\r\n", "PONG x0=\r\n", "PONG x0=1e999\r\n", strings.Repeat("x", 5000), ""} {
 		conns := make(chan *fakes.Peer, 100)
 		upstream := fakes.NewScriptedEndpoint(t, "s1", conns)
 		proxy := startProxy(t, fakes.List(1, true, listEntry("s1", upstream.Addr, "")), withSettings(loadReportSettings))
@@ -113,10 +113,10 @@
 			for p := range conns {
 				go func() {
 					switch line, _ := p.ReadLineErr(); {
-					case line == "STATS" && says == "":
+					case line == "STATS" && reply == "":
 						p.Close()
 					case line == "STATS":
-						_, _ = p.Write([]byte(says)) // the proxy may have closed it
+						_, _ = p.Write([]byte(reply)) // the proxy may have closed it
 					case strings.HasPrefix(line, "OPEN "):
 						_, _ = p.Write([]byte("UP there\r\n"))
 						_, _ = p.ReadLineErr()
@@ -126,7 +126,7 @@
 		}()
 		for range 3 {
 			if _, answer := openAsTenant(proxy, "islandlink"); answer != "UP there" {
-				t.Errorf("where STATS is answered %.20q a client gets %q", says, answer)
+				t.Errorf("where STATS is answered %.20q a client gets %q", reply, answer)
 			}
 		}
 	}
--- a/cmd/micafront/operator_test.go
+++ b/cmd/micafront/operator_test.go
@@ -16,13 +16,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// withOperator makes the program listen for operators.
-func withOperator(proxy *proxyProcess) { proxy.operatorListen = "127.0.0.1:0" }
+// withAdminListener makes the program listen for operators.
+func withAdminListener(proxy *proxyProcess) { proxy.adminListen = "127.0.0.1:0" }
 
-// operatorCall makes one call as an operator and returns status and body.
-func (p *proxyProcess) operatorCall(method, path string) (int, string) {
+// adminCall makes one call as an operator and returns status and body.
+func (p *proxyProcess) adminCall(method, path string) (int, string) {
 	p.t.Helper()
-	req, err := http.NewRequest(method, "http://"+p.operatorAddr+path, nil)
+	req, err := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	p.t.Helper()
 	var diff string
 	for end := time.Now().Add(fakes.WaitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		_, body := p.operatorCall("GET", "/api/telemetry")
+		_, body := p.adminCall("GET", "/api/telemetry")
 		got := map[string]string{}
 		for _, l := range strings.Split(strings.TrimSpace(body), "\n") {
 			name, value, _ := strings.Cut(l, "=")
@@ -68,19 +68,19 @@
 	return client.ReadLine()
 }
 
-// dialOperator connects as an operator.
-func (p *proxyProcess) dialOperator() *fakes.Peer {
+// dialAdmin connects as an operator.
+func (p *proxyProcess) dialAdmin() *fakes.Peer {
 	p.t.Helper()
-	c, err := net.Dial("tcp", p.operatorAddr)
+	c, err := net.Dial("tcp", p.adminAddr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	return fakes.NewPeer(p.t, c)
 }
 
-// TestOperatorCalls checks paths, methods and the HTTP parser of the operator's listener.
-func TestOperatorCalls(t *testing.T) {
-	proxy, _ := startWithEndpoint(t, withOperator)
+// TestAdminCalls checks paths, methods and the HTTP parser of the operator's listener.
+func TestAdminCalls(t *testing.T) {
+	proxy, _ := startWithEndpoint(t, withAdminListener)
 	for _, c := range []struct {
 		call   string
 		status int
@@ -90,7 +90,7 @@
 		{"POST /api/rejoin", 405}, {"DELETE /api/telemetry", 405},
 	} {
 		method, path, _ := strings.Cut(c.call, " ")
-		status, _ := proxy.operatorCall(method, path)
+		status, _ := proxy.adminCall(method, path)
 		testkit.Equal(t, c.call, c.status, status)
 	}
 	for in, want := range map[string]string{
@@ -104,7 +104,7 @@
 		"PING\r\n\r\n":                                                                       "400",
 		"GET /" + strings.Repeat("x", 5000):                                                  "431",
 	} {
-		c := proxy.dialOperator()
+		c := proxy.dialAdmin()
 		go func() { // one byte at a time, each in a packet of its own
 			for i := range len(in) {
 				if _, err := io.WriteString(c, in[i:i+1]); err != nil {
@@ -114,19 +114,19 @@
 		}()
 		testkit.Equal(t, fmt.Sprintf("status of %.60q", in), want, strings.Fields(c.ReadLine())[1])
 	}
-	partial := proxy.dialOperator()
+	partial := proxy.dialAdmin()
 	partial.Send("GET /api/ready HT")
 	partial.CloseWrite()
 	testkit.Equal(t, "half a call and its end", "HTTP/1.1 400 Bad Request", partial.ReadLine())
 }
 
-// TestOperatorDuringConnectionFlood checks that neither unfinished calls nor clients that take every descriptor lock
+// TestAdminListenerDuringConnectionFlood checks that neither unfinished calls nor clients that take every descriptor lock
 // operators out.
-func TestOperatorDuringConnectionFlood(t *testing.T) {
-	proxy, _ := startWithEndpoint(t, withOperator, withSockets(48))
+func TestAdminListenerDuringConnectionFlood(t *testing.T) {
+	proxy, _ := startWithEndpoint(t, withAdminListener, withMaxDescriptors(48))
 	var stuck []*fakes.Peer
 	for range 40 {
-		c := proxy.dialOperator()
+		c := proxy.dialAdmin()
 		c.Send("GET /api/re")
 		stuck = append(stuck, c)
 	}
@@ -162,14 +162,14 @@
 		}()
 	}
 	for range 100 {
-		status, _ := proxy.operatorCall("GET", "/api/ready")
+		status, _ := proxy.adminCall("GET", "/api/ready")
 		testkit.Equal(t, "during the flood", 200, status)
 	}
 	// The oldest call was closed, and the newest are still read.
 	testkit.Equal(t, "oldest", "EOF", stuck[0].ReadLine())
 	pending := regexp.MustCompile(`(?m)^svc\.pending=[1-9]`)
 	for end := time.Now().Add(fakes.WaitTimeout); ; {
-		_, body := proxy.operatorCall("GET", "/api/telemetry")
+		_, body := proxy.adminCall("GET", "/api/telemetry")
 		if pending.MatchString(body) {
 			break
 		}
@@ -181,7 +181,7 @@
 
 // TestTelemetry checks that each accepted request counts once in its class, and an attempt once its request is sent.
 func TestTelemetry(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client, upstream := proxy.connect(conns, "a")
 	failed := proxy.dial()
 	failed.Send(openLine("b"))
@@ -221,11 +221,11 @@
 // TestDrain checks that a drained proxy answers PING with an error, moves established and new connections, serves on,
 // and is ready after a rejoin. Each call is made twice, as operators do.
 func TestDrain(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	put := func(path string) {
 		t.Helper()
 		for range 2 {
-			status, _ := proxy.operatorCall("PUT", path)
+			status, _ := proxy.adminCall("PUT", path)
 			testkit.Equal(t, path, 200, status)
 		}
 	}
@@ -240,7 +240,7 @@
 	moved(early)
 	lateClient, _ := proxy.connect(conns, "b")
 	moved(lateClient)
-	status, _ := proxy.operatorCall("GET", "/api/ready")
+	status, _ := proxy.adminCall("GET", "/api/ready")
 	testkit.Equal(t, "the process serves", 200, status)
 	put("/api/rejoin")
 	testkit.Equal(t, "back", "PONG", proxy.ping())
--- a/cmd/micafront/pass_through_test.go
+++ b/cmd/micafront/pass_through_test.go
@@ -52,8 +52,8 @@
 
 // TestDrainInPassThroughMode checks the same for a drain.
 func TestDrainInPassThroughMode(t *testing.T) {
-	proxy, client, upstream, misplaced := startPassThrough(t, withOperator)
-	if status, _ := proxy.operatorCall("PUT", "/api/evacuate"); status != 200 {
+	proxy, client, upstream, misplaced := startPassThrough(t, withAdminListener)
+	if status, _ := proxy.adminCall("PUT", "/api/evacuate"); status != 200 {
 		t.Errorf("status %d", status)
 	}
 	testkit.Equal(t, "drained", "ERR DRAINED", proxy.ping())
@@ -66,16 +66,16 @@
 // established connections are kept past it, because a connection that the process closes does not continue at another
 // proxy.
 func TestStopInPassThroughModeKeepsConnections(t *testing.T) {
-	for _, longest := range []float64{1, 60} {
-		t.Run(fmt.Sprint(longest), func(t *testing.T) {
+	for _, seconds := range []float64{1, 60} {
+		t.Run(fmt.Sprint(seconds), func(t *testing.T) {
 			t.Parallel()
 			proxy, client, upstream, misplaced := startPassThrough(t)
-			proxy.setMaxTimeout(longest)
+			proxy.setMaxTimeout(seconds)
 			pending, _ := proxy.openPending(proxy.endpointConns, "key3")
 			stopAt := proxy.beginStop()
 			testkit.Equal(t, "moved", []string{"MOVE", "EOF"}, readToEnd(misplaced))
 			testkit.Equal(t, "answer", []string{"ERR", "EOF"}, readToEnd(pending))
-			kill := time.Duration(min(longest, 3)*1e9) + 700*time.Millisecond
+			kill := time.Duration(min(seconds, 3)*1e9) + 700*time.Millisecond
 			if took := time.Since(stopAt); took > kill {
 				t.Errorf("answered after %v, the kill comes after %v", took, kill)
 			}
@@ -97,7 +97,7 @@
 // TestHotRestartInPassThroughMode checks that in pass-through mode the successor knows at which endpoint each
 // connection is established.
 func TestHotRestartInPassThroughMode(t *testing.T) {
-	proxy, client, upstream, misplaced := startPassThrough(t, withOperator)
+	proxy, client, upstream, misplaced := startPassThrough(t, withAdminListener)
 	successor := proxy.startSuccessor()
 	proxy.waitForLog(logSuccessorServes)
 	for key, established := range map[string]*fakes.Peer{"key": client, "key2": misplaced} {
--- a/cmd/micafront/pool_reload_test.go
+++ b/cmd/micafront/pool_reload_test.go
@@ -148,7 +148,7 @@
 		t.Fatal(err, changes)
 	}
 	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withRouting(old))
-	land := func() map[string]string {
+	poolsByKey := func() map[string]string {
 		at := map[string]string{}
 		for i := range 40 {
 			key := fmt.Sprint([]string{"a", "b"}[i%2], i/2)
@@ -169,16 +169,16 @@
 		}
 		return at
 	}
-	before := land()
+	before := poolsByKey()
 	proxy.reload(proxy.routing, `"routing":`+next+`,`)
 	proxy.waitForCounter("reloads=1")
-	after := land()
+	after := poolsByKey()
 	moved := 0
 	for key := range before {
-		place := routing.SplitPosition(&routing.ConnectionAttributes{Key: key})
+		position := routing.SplitPosition(&routing.ConnectionAttributes{Key: key})
 		predicted := false
 		for _, c := range changes {
-			in := place >= c.From && place < c.From+c.PPM && c.ChangesPool()
+			in := position >= c.From && position < c.From+c.PPM && c.ChangesPool()
 			for _, s := range c.Cell {
 				in = in && s.Contains(map[string]string{"key": key}[s.Dimension])
 			}
@@ -199,16 +199,16 @@
 // level.
 func TestReloadWhileDrained(t *testing.T) {
 	t.Parallel()
-	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(twoPools(`"attempts":3`)), withOperator)
-	proxy.operatorCall("PUT", "/api/log/debug")
+	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(twoPools(`"attempts":3`)), withAdminListener)
+	proxy.adminCall("PUT", "/api/log/debug")
 	client, _ := proxy.connect(conns["b"], "beta")
 	proxy.waitForLog(`routed`)
 	proxy.waitForMetrics(map[string]string{"svc.pool.b.open": "1", "svc.pool.a.open": "0", "svc.route.toB.open": "1", "svc.pool.a.members": "1"})
-	status, body := proxy.operatorCall("PUT", "/api/log/loud")
+	status, body := proxy.adminCall("PUT", "/api/log/loud")
 	testkit.Equal(t, "unknown level", []any{404, "no such call\n"}, []any{status, body})
-	_, body = proxy.operatorCall("GET", "/api/log")
+	_, body = proxy.adminCall("GET", "/api/log")
 	testkit.Equal(t, "level", "debug\n", body)
-	proxy.operatorCall("PUT", "/api/evacuate")
+	proxy.adminCall("PUT", "/api/evacuate")
 	proxy.editConfig(`{"name":"b","select":{"zones":["b"]}}`, `{"name":"c","select":{"zones":["c"]}}`)
 	proxy.reload(`"to":[{"pool":"b"`, `"to":[{"pool":"c"`)
 	proxy.waitForLog(logLine("pool removed", `"pool": "b", `))
@@ -216,7 +216,7 @@
 	// New connections are served, by the new pools.
 	lateClient, _ := proxy.connect(conns["c"], "beta")
 	testkit.Equal(t, "and moved", "MOVE", lateClient.ReadLine())
-	proxy.operatorCall("PUT", "/api/rejoin")
+	proxy.adminCall("PUT", "/api/rejoin")
 	proxy.connect(conns["c"], "beta")
 	expectNoConn(t, conns["b"])
 }
@@ -261,10 +261,10 @@
 		t.Cleanup(f.Stop)
 		entries = append(entries, f.String())
 	}
-	sets := []string{twoPools(`"attempts":3,"fallback":["b"]`),
+	routeSets := []string{twoPools(`"attempts":3,"fallback":["b"]`),
 		strings.NewReplacer(`{"name":"a",`, `{"name":"x","was":["a"],`, `"pool":"a"`, `"pool":"x"`).Replace(twoPools(`"attempts":2,"fallback":["b"]`)),
 		`{"drain_over_us":200000,"pools":[{"name":"all"}],"routes":[{"name":"toA","to":[{"pool":"all","ppm":1000000}],"max_open":20}]}`}
-	proxy := startProxy(t, fakes.List(1, true, entries...), withRouting(sets[0]))
+	proxy := startProxy(t, fakes.List(1, true, entries...), withRouting(routeSets[0]))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	clients := fakes.NewClients(proxy.addr, checker, 7)
@@ -279,17 +279,17 @@
 				t.Fatalf("round %d: no answers any more, %+v", round, checker.Counts())
 			}
 		}
-		proxy.reload(sets[round%3], sets[(round+1)%3])
+		proxy.reload(routeSets[round%3], routeSets[(round+1)%3])
 		proxy.waitForCounter(fmt.Sprintf("reloads=%d", round+1))
 	}
 	cancel()
 	clients.Wait()
 	testkit.Equal(t, "violations", 0, len(checker.Violations()))
-	for _, b := range checker.Violations() {
-		t.Log(b)
+	for _, violation := range checker.Violations() {
+		t.Log(violation)
 	}
-	if client := checker.Counts(); client.Served == 0 || client.Rejected == 0 {
-		t.Errorf("%+v", client)
+	if counts := checker.Counts(); counts.Served == 0 || counts.Rejected == 0 {
+		t.Errorf("no request was served or none was rejected: %+v", counts)
 	}
 	proxy.waitForCounter("open=0")
 }
--- a/cmd/micafront/process_test.go
+++ b/cmd/micafront/process_test.go
@@ -23,9 +23,9 @@
 
 	// The configuration, which options change before the start.
 
-	sockets        int      // limit on file descriptors
+	maxDescriptors int      // limit on file descriptors
 	connectTimeout float64  // of connections to endpoints, in seconds
-	operatorListen string   // configured admin address; "": none
+	adminListen    string   // configured admin address; "": none
 	routing        string   // the configuration's member, with a comma at the end
 	extraSettings  string   // further settings, as JSON members with a comma at the end
 	replacements   []string // pairs of a text in the configuration and the one that replaces it
@@ -34,12 +34,12 @@
 
 	// The process.
 
-	command      *exec.Cmd
-	configPath   string
-	stderr       *syncBuffer
-	exited       chan error // its end, once
-	addr         string     // where it serves
-	operatorAddr string     // the admin address, if there is one
+	command    *exec.Cmd
+	configPath string
+	stderr     *syncBuffer
+	exited     chan error // its end, once
+	addr       string     // where it serves
+	adminAddr  string     // the admin address, if there is one
 
 	endpointConns chan *fakes.Peer // connections of the endpoints, where startPassThrough made them
 }
@@ -91,8 +91,8 @@
 	return func(p *proxyProcess) { p.connectTimeout = seconds }
 }
 
-// withSockets sets the limit on file descriptors.
-func withSockets(n int) proxyOption { return func(p *proxyProcess) { p.sockets = n } }
+// withMaxDescriptors sets the limit on file descriptors.
+func withMaxDescriptors(n int) proxyOption { return func(p *proxyProcess) { p.maxDescriptors = n } }
 
 // withSettings adds further settings: JSON members with a comma at the end.
 func withSettings(members string) proxyOption {
@@ -115,7 +115,7 @@
 		"MaxRetryAfter":1,"MaxOpen":100000,"RetryAfter":true,"MayCancel":true,"Probes":true},"Invariants":{
 		"AnswerSlack":0.016,"AskEvery":1,"Cold":8.9,"ColdFrom":0.3,"DrainGrace":3,"Fall":1,
 		"OverloadFactor":3}}}`,
-		p.discovery.Addr, p.operatorListen, p.sockets, known, p.routing, p.extraSettings, feedClass, p.connectTimeout)
+		p.discovery.Addr, p.adminListen, p.maxDescriptors, known, p.routing, p.extraSettings, feedClass, p.connectTimeout)
 	return strings.NewReplacer(p.replacements...).Replace(text)
 }
 
@@ -128,7 +128,7 @@
 		t:              t,
 		stderr:         &syncBuffer{},
 		exited:         make(chan error, 1),
-		sockets:        1024,
+		maxDescriptors: 1024,
 		connectTimeout: 20,
 	}
 	for _, option := range options {
@@ -186,7 +186,7 @@
 	_, rest, _ := strings.Cut(p.waitForLog("serves at "), "serves at ")
 	p.addr = strings.TrimSpace(strings.SplitN(rest, "\n", 2)[0])
 	if _, rest, ok := strings.Cut(p.stderr.String(), "operators call at "); ok {
-		p.operatorAddr, _, _ = strings.Cut(rest, "\n")
+		p.adminAddr, _, _ = strings.Cut(rest, "\n")
 	}
 }
 
--- a/cmd/micafront/relay_test.go
+++ b/cmd/micafront/relay_test.go
@@ -14,7 +14,7 @@
 // however it is cut into segments.
 func TestAnswerAndCloseInOneSegment(t *testing.T) {
 	for _, c := range []struct {
-		say  string
+		sent string
 		want []string
 	}{
 		{"UP r\r\n", []string{"UP r", "EOF"}},
@@ -24,7 +24,7 @@
 		{"BYE\r\n", []string{"BYE", "EOF"}},
 	} {
 		for _, together := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%q together %v", c.say, together), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%q together %v", c.sent, together), func(t *testing.T) {
 				t.Parallel()
 				proxy, conns := startWithEndpoint(t)
 				p := proxy.dial()
@@ -32,9 +32,9 @@
 				upstream := fakes.Await(t, conns)
 				upstream.ReadLine()
 				if together {
-					proxy.whileSuspended(func() { upstream.Send(c.say); upstream.Close() })
+					proxy.whileSuspended(func() { upstream.Send(c.sent); upstream.Close() })
 				} else {
-					sendByteByByte(t, upstream, c.say)
+					sendByteByByte(t, upstream, c.sent)
 					upstream.Close()
 				}
 				testkit.Equal(t, "client", c.want, readToEnd(p))
@@ -46,7 +46,7 @@
 
 // TestByteByByte checks that bytes that arrive one at a time, in both directions, make the same lines.
 func TestByteByByte(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client := proxy.dial()
 	sendByteByByte(t, client, "PING\r\n")
 	testkit.Equal(t, "readiness", "PONG", client.ReadLine())
--- a/cmd/micafront/reload_test.go
+++ b/cmd/micafront/reload_test.go
@@ -135,7 +135,7 @@
 // TestReloadSettings checks a reload of settings: an incomplete file is rejected whole; a new class applies at once,
 // with its effect; a removed one stays for connections that were open under it.
 func TestReloadSettings(t *testing.T) {
-	proxy, conns := startWithEndpoints(t, 6, withOperator)
+	proxy, conns := startWithEndpoints(t, 6, withAdminListener)
 	for i, c := range []struct{ from, to string }{
 		{`"GiveUp":60,`, ""}, {`"GiveUp":60`, `"GiveUp":0`}, {`"GiveUp":60`, `"GiveUp":"60"`},
 		{`"GiveUp":60`, `"GiveUp":null`}, {`"AttemptsCap":6`, `"AttemptsCap":-1`}, {`"AttemptsCap":6`, `"AttemptsCap":2.5`},
@@ -157,7 +157,7 @@
 	const feed = `{"Name":"feed","Aim":30`
 	proxy.reload(feed, `{"Name":"notes","Aim":30,"GiveUp":60,"Credit":5,"Effect":"unsafe","DedupScope":"all"},`+feed)
 	proxy.waitForMetrics(map[string]string{"svc.config_reloads": "1", "svc.downstream_requests.notes.completed": "0"})
-	ask := func(class, more string) (*fakes.Peer, *fakes.Peer) {
+	openRequest := func(class, more string) (*fakes.Peer, *fakes.Peer) {
 		c := proxy.dial()
 		c.Send(strings.Replace(openLine("b"), "c=feed", "c="+class+more, 1))
 		upstream := fakes.Await(t, conns)
@@ -165,7 +165,7 @@
 		return c, upstream
 	}
 	// A request that may have run is neither retried nor rejected.
-	c, upstream := ask("notes", "")
+	c, upstream := openRequest("notes", "")
 	upstream.Close()
 	testkit.Equal(t, "not to be repeated", "ERR", c.ReadLine())
 	proxy.editConfig(`{"Name":"feed"`, `{"Name":"later"`)
@@ -174,13 +174,13 @@
 	dropped := proxy.dial()
 	dropped.Send(openLine("c"))
 	testkit.Equal(t, "removed class", "ERR SYNTAX", dropped.ReadLine())
-	c, upstream = ask("feed", ",again=1") // moved by another proxy, say
+	c, upstream = openRequest("feed", ",again=1") // moved by another proxy, say
 	upstream.Send("UP r\r\n")
 	testkit.Equal(t, "of a connection that was open", "UP r", c.ReadLine())
 	first.Send("M 1\r\n")
 	testkit.Equal(t, "still relayed", "M 1", s1.ReadLine())
 	// One attempt, which ended without having run: rejected.
-	c, upstream = ask("later", "")
+	c, upstream = openRequest("later", "")
 	upstream.Send("BUSY\r\n")
 	if l := c.ReadLine(); !strings.HasPrefix(l, "BUSY ") {
 		t.Errorf("answer %q", l)
--- a/cmd/micafront/shutdown_test.go
+++ b/cmd/micafront/shutdown_test.go
@@ -20,9 +20,9 @@
 
 // setMaxTimeout reloads the settings with this timeout of requests, in seconds. A stop then kills the process 0.7 s
 // after it.
-func (p *proxyProcess) setMaxTimeout(longest float64) {
+func (p *proxyProcess) setMaxTimeout(seconds float64) {
 	p.t.Helper()
-	p.reload(`"Aim":30,"GiveUp":60`, fmt.Sprintf(`"Aim":%g,"GiveUp":%g`, longest/2, longest))
+	p.reload(`"Aim":30,"GiveUp":60`, fmt.Sprintf(`"Aim":%g,"GiveUp":%g`, seconds/2, seconds))
 	p.waitForCounter("reloads=1")
 }
 
@@ -75,7 +75,7 @@
 // TestStopWaitsForPartialRequest checks that a stop waits for a client whose first line is incomplete, though nothing
 // else is left: it must get an answer.
 func TestStopWaitsForPartialRequest(t *testing.T) {
-	proxy, _ := startWithEndpoint(t, withOperator)
+	proxy, _ := startWithEndpoint(t, withAdminListener)
 	client := proxy.dial()
 	client.Send("OPEN slow k c=feed,")
 	testkit.Equal(t, "readiness of a later client", "PONG", proxy.ping())
@@ -142,11 +142,11 @@
 // TestStopWhileEndpointsHang checks that requests at endpoints that hang get their one final answer, by whether they
 // may have run, before the kill, which comes earlier with shorter timeouts.
 func TestStopWhileEndpointsHang(t *testing.T) {
-	for _, longest := range []float64{0.3, 1} {
-		t.Run(fmt.Sprint(longest), func(t *testing.T) {
+	for _, seconds := range []float64{0.3, 1} {
+		t.Run(fmt.Sprint(seconds), func(t *testing.T) {
 			t.Parallel()
 			proxy, conns := startWithEndpoints(t, 3)
-			proxy.setMaxTimeout(longest)
+			proxy.setMaxTimeout(seconds)
 			var clients []*fakes.Peer
 			for i := range 6 {
 				c, _ := proxy.openPending(conns, fmt.Sprint(i))
@@ -165,7 +165,7 @@
 					t.Errorf("answer %d: %q", i, got)
 				}
 			}
-			proxy.expectExit(stopAt, time.Duration(longest*1e9)+700*time.Millisecond)
+			proxy.expectExit(stopAt, time.Duration(seconds*1e9)+700*time.Millisecond)
 		})
 	}
 }
@@ -409,15 +409,15 @@
 
 // TestStopWhileDrained checks that a stop during a drain cannot be taken back by a rejoin: readiness checks still fail.
 func TestStopWhileDrained(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client, _ := proxy.connect(conns, "a")
 	pending, _ := proxy.openPending(conns, "b")
-	if status, _ := proxy.operatorCall("PUT", "/api/evacuate"); status != 200 {
+	if status, _ := proxy.adminCall("PUT", "/api/evacuate"); status != 200 {
 		t.Errorf("status %d", status)
 	}
 	stopAt := proxy.beginStop()
 	testkit.Equal(t, "drained", "ERR DRAINED", proxy.ping())
-	if status, _ := proxy.operatorCall("PUT", "/api/rejoin"); status != 200 {
+	if status, _ := proxy.adminCall("PUT", "/api/rejoin"); status != 200 {
 		t.Errorf("status %d", status)
 	}
 	testkit.Equal(t, "drained still", "ERR DRAINED", proxy.ping())
@@ -429,7 +429,7 @@
 // TestStopDuringHotRestart checks a stop after a successor has connected but before it serves, and that a socket that
 // another process has put in the place of this one's stays.
 func TestStopDuringHotRestart(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
 	client, _ := proxy.connect(conns, "a")
 	sockets, _ := filepath.Glob(filepath.Join(proxy.tempDir(), "*.sock"))
@@ -464,7 +464,7 @@
 // TestStopWhileSuccessorDies checks that when the successor dies during a stop, new clients are served and moved by the
 // old process.
 func TestStopWhileSuccessorDies(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	pending, upstream := proxy.openPending(conns, "a")
 	successor := proxy.startSuccessor()
 	proxy.waitForLog(logSuccessorServes)
@@ -484,7 +484,7 @@
 // TestStopWithSuccessorWhileEndpointsHang checks that during a stop beside a successor that serves, requests at
 // endpoints that hang are answered in time and established connections continue at the successor.
 func TestStopWithSuccessorWhileEndpointsHang(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	proxy.setMaxTimeout(1)
 	pending, _ := proxy.openPending(conns, "a")
 	client, upstream := proxy.connect(conns, "b")
@@ -538,7 +538,7 @@
 // TestAcceptedAfterClientLeft checks that where attempts may not be canceled, one that is accepted after its client has
 // disconnected, or has had its final answer in a stop, is closed, and that the process continues or ends in order.
 func TestAcceptedAfterClientLeft(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	proxy.reload(`"MayCancel":true`, `"MayCancel":false`)
 	proxy.waitForCounter("reloads=1")
 	leaving, upstream := proxy.openPending(conns, "a")
--- a/cmd/micafront/site_test.go
+++ b/cmd/micafront/site_test.go
@@ -62,20 +62,20 @@
 func TestStartFromSite(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startFromSite(t, "../../internal/sitelang/testdata/base.cue")
-	feed := func(key string) string { return strings.Replace(openLine(key), "c=feed", "c=album-notes", 1) }
-	say := func(key, zone string) {
+	requestLine := func(key string) string { return strings.Replace(openLine(key), "c=feed", "c=album-notes", 1) }
+	connectIn := func(key, zone string) {
 		t.Helper()
 		client := proxy.dial()
-		client.Send(feed(key))
+		client.Send(requestLine(key))
 		upstream := fakes.Await(t, conns[zone])
 		upstream.ReadLine()
 		upstream.Send("UP r\r\n")
 		testkit.Equal(t, "answer", "UP r", client.ReadLine())
 	}
-	say("k", "thies")
+	connectIn("k", "thies")
 	proxy.reload(`rest: to: thies: "100 %"`, `rest: to: theis: "100 %"`)
 	proxy.waitForLog(inJSON(`route.rest.to: there is no pool "theis"; is "thies" meant?`))
-	say("k", "thies")
+	connectIn("k", "thies")
 	text, err := os.ReadFile(proxy.configPath)
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 	}
 	proxy.command.Process.Signal(syscall.SIGHUP)
 	proxy.waitForCounter("reloads=1")
-	say("k", "dakar")
+	connectIn("k", "dakar")
 }
 
 // TestStopDuringSiteCompilation checks that a stop does not wait for a site that takes long to compile.
@@ -102,8 +102,8 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	slow, begun := filepath.Join(dir, "slow"), filepath.Join(dir, "begun")
-	script := fmt.Sprintf("#!/bin/sh\nif [ -e %q ]; then : > %q; exec sleep 600; fi\nexec %q \"$@\"\n", slow, begun, compiler)
+	slow, started := filepath.Join(dir, "slow"), filepath.Join(dir, "started")
+	script := fmt.Sprintf("#!/bin/sh\nif [ -e %q ]; then : > %q; exec sleep 600; fi\nexec %q \"$@\"\n", slow, started, compiler)
 	wrapper := filepath.Join(dir, "tools")
 	if err := os.WriteFile(wrapper, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 	}
 	proxy.command.Process.Signal(syscall.SIGHUP)
 	for end := time.Now().Add(fakes.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if _, err := os.Stat(begun); err == nil {
+		if _, err := os.Stat(started); err == nil {
 			break
 		} else if time.Now().After(end) {
 			t.Fatal("the site is not compiled")
