--- a/cmd/micafront/admin_test.go
+++ b/cmd/micafront/admin_test.go
@@ -16,10 +16,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// withAdminListener makes the program listen for operators.
+// withAdminListener enables the admin listener.
 func withAdminListener(proxy *proxyProcess) { proxy.adminListen = "127.0.0.1:0" }
 
-// adminCall makes one call as an operator and returns status and body.
+// adminCall makes an HTTP call to the admin listener and returns the response's status and body.
 func (p *proxyProcess) adminCall(method, path string) (int, string) {
 	p.t.Helper()
 	req, err := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
@@ -39,7 +39,7 @@
 	return res.StatusCode, string(body)
 }
 
-// waitForMetrics reads the telemetry until it has these figures.
+// waitForMetrics reads the telemetry until the named metrics have these values.
 func (p *proxyProcess) waitForMetrics(want map[string]string) {
 	p.t.Helper()
 	var diff string
@@ -59,7 +59,7 @@
 	p.t.Fatalf("telemetry (-want +got):\n%s", diff)
 }
 
-// ping returns the answer to a readiness check by a new client.
+// ping sends a readiness check on a new client connection and returns the answer.
 func (p *proxyProcess) ping() string {
 	p.t.Helper()
 	client := p.dial()
@@ -68,7 +68,7 @@
 	return client.ReadLine()
 }
 
-// dialAdmin connects as an operator.
+// dialAdmin opens a connection to the admin listener.
 func (p *proxyProcess) dialAdmin() *fakes.Peer {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.adminAddr)
@@ -78,7 +78,7 @@
 	return fakes.NewPeer(p.t, c)
 }
 
-// TestAdminCalls checks paths, methods and the HTTP parser of the operator's listener.
+// TestAdminCalls checks the paths, the methods and the HTTP parser of the admin listener.
 func TestAdminCalls(t *testing.T) {
 	proxy, _ := startWithEndpoint(t, withAdminListener)
 	for _, c := range []struct {
@@ -105,7 +105,7 @@
 		"GET /" + strings.Repeat("x", 5000):                                                  "431",
 	} {
 		c := proxy.dialAdmin()
-		go func() { // one byte at a time, each in a packet of its own
+		go func() { // sends one byte at a time, each in a separate packet
 			for i := range len(in) {
 				if _, err := io.WriteString(c, in[i:i+1]); err != nil {
 					return
@@ -117,24 +117,24 @@
 	partial := proxy.dialAdmin()
 	partial.Send("GET /api/ready HT")
 	partial.CloseWrite()
-	testkit.Equal(t, "half a call and its end", "HTTP/1.1 400 Bad Request", partial.ReadLine())
+	testkit.Equal(t, "partial call and EOF", "HTTP/1.1 400 Bad Request", partial.ReadLine())
 }
 
-// TestAdminListenerDuringConnectionFlood checks that neither unfinished calls nor clients that take every descriptor lock
-// operators out.
+// TestAdminListenerDuringConnectionFlood checks that the admin listener still answers calls when there are many unfinished calls and
+// clients use all descriptors.
 func TestAdminListenerDuringConnectionFlood(t *testing.T) {
 	proxy, _ := startWithEndpoint(t, withAdminListener, withMaxDescriptors(48))
-	var stuck []*fakes.Peer
+	var unfinished []*fakes.Peer
 	for range 40 {
 		c := proxy.dialAdmin()
 		c.Send("GET /api/re")
-		stuck = append(stuck, c)
+		unfinished = append(unfinished, c)
 	}
 	stop := make(chan bool)
 	defer close(stop)
 	for range 4 {
 		go func() {
-			// Bounded: a fast machine would run out of descriptors on this side first.
+			// Bounded, because a fast machine would run out of descriptors in the test first.
 			var open [512]net.Conn
 			defer func() {
 				for _, c := range open {
@@ -153,7 +153,7 @@
 				default:
 				}
 				if c, err := net.Dial("tcp", proxy.addr); err == nil {
-					_, _ = io.WriteString(c, openLine("key")) // no endpoint answers: descriptors stay in use
+					_, _ = io.WriteString(c, openLine("key")) // no endpoint answers, so that descriptors stay in use
 					open[i] = c
 				} else {
 					time.Sleep(time.Millisecond)
@@ -163,10 +163,10 @@
 	}
 	for range 100 {
 		status, _ := proxy.adminCall("GET", "/api/ready")
-		testkit.Equal(t, "during the flood", 200, status)
+		testkit.Equal(t, "status during the flood", 200, status)
 	}
-	// The oldest call was closed, and the newest are still read.
-	testkit.Equal(t, "oldest", "EOF", stuck[0].ReadLine())
+	// The proxy closes the oldest unfinished call.
+	testkit.Equal(t, "oldest unfinished call", "EOF", unfinished[0].ReadLine())
 	pending := regexp.MustCompile(`(?m)^svc\.pending=[1-9]`)
 	for end := time.Now().Add(fakes.WaitTimeout); ; {
 		_, body := proxy.adminCall("GET", "/api/telemetry")
@@ -174,30 +174,30 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no flood: %s", body)
+			t.Fatalf("no request is pending, so the flood did not take effect: %s", body)
 		}
 	}
 }
 
-// TestTelemetry checks that each accepted request counts once in its class, and an attempt once its request is sent.
+// TestTelemetry checks that the telemetry counts every accepted request once in its class, and an attempt once its request is sent.
 func TestTelemetry(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client, upstream := proxy.connect(conns, "a")
 	failed := proxy.dial()
 	failed.Send(openLine("b"))
-	at := fakes.Await(t, conns)
-	at.ReadLine()
+	failedUpstream := fakes.Await(t, conns)
+	failedUpstream.ReadLine()
 	proxy.waitForMetrics(map[string]string{"svc.pending": "2", "svc.upstream_requests": "2", "svc.members": "1",
 		"svc.members_unavailable": "0", "svc.downstream_requests.feed.completed": "1"})
 	failed.Send("too early\r\n")
 	testkit.Equal(t, "failed", "ERR SYNTAX", failed.ReadLine())
 	rejected := proxy.dial()
 	rejected.Send(openLine("c"))
-	at = fakes.Await(t, conns)
-	at.ReadLine()
-	at.Send("BUSY\r\n")
+	rejectedUpstream := fakes.Await(t, conns)
+	rejectedUpstream.ReadLine()
+	rejectedUpstream.Send("BUSY\r\n")
 	if l := rejected.ReadLine(); !strings.HasPrefix(l, "BUSY ") {
-		t.Errorf("answer %q", l)
+		t.Errorf("answer %q, want BUSY", l)
 	}
 	bad := proxy.dial()
 	bad.Send("OPEN x k c=none,d=5000\r\n")
@@ -206,7 +206,7 @@
 	proxy.waitForLog(logConfigRejected)
 	proxy.reload(`"known":[{`, `"known":{`)
 	client.Close()
-	testkit.Equal(t, "its end", "EOF", upstream.ReadLine())
+	testkit.Equal(t, "end of the connection", "EOF", upstream.ReadLine())
 	for _, p := range []*fakes.Peer{failed, rejected, bad} {
 		p.Close()
 	}
@@ -218,8 +218,8 @@
 		"svc.downstream_requests.feed.failed": "1"})
 }
 
-// TestDrain checks that a drained proxy answers PING with an error, moves established and new connections, serves on,
-// and is ready after a rejoin. Each call is made twice, as operators do.
+// TestDrain checks that a drained proxy answers PING with an error and moves established and new connections while it continues to serve,
+// and that it is ready again after a rejoin. Every call is made twice, because operators repeat calls.
 func TestDrain(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	put := func(path string) {
@@ -248,7 +248,7 @@
 	client.Send("M 1\r\n")
 	testkit.Equal(t, "stays", "M 1", upstream.ReadLine())
 	put("/api/evacuate")
-	put("/api/rejoin") // before a client was moved
+	put("/api/rejoin") // before any client was moved
 	put("/api/evacuate")
 	moved(client)
 	last, _ := proxy.connect(conns, "d")
--- a/cmd/micafront/attempts_test.go
+++ b/cmd/micafront/attempts_test.go
@@ -13,29 +13,29 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// nextAttemptOrAnswer returns what follows an attempt: another one, as "again", or the first word of the client's
-// answer. After another attempt the client's answer arrives on the channel.
-func nextAttemptOrAnswer(t *testing.T, conns chan *fakes.Peer, client *fakes.Peer) (what string, upstream *fakes.Peer, answer chan string) {
+// nextAttemptOrAnswer waits for what follows an attempt. For another attempt it returns "again", the attempt's connection and a
+// channel that receives the client's answer; otherwise it returns the first word of the client's answer.
+func nextAttemptOrAnswer(t *testing.T, conns chan *fakes.Peer, client *fakes.Peer) (result string, upstream *fakes.Peer, answer chan string) {
 	t.Helper()
 	answer = make(chan string, 1)
 	go func() {
-		l, _ := client.ReadLineErr()
-		answer <- l
+		line, _ := client.ReadLineErr()
+		answer <- line
 	}()
 	select {
 	case upstream = <-conns:
 		upstream.ReadLine()
 		return "again", upstream, answer
-	case l := <-answer:
-		word, _, _ := strings.Cut(l, " ")
+	case line := <-answer:
+		word, _, _ := strings.Cut(line, " ")
 		return word, nil, nil
 	case <-time.After(fakes.WaitTimeout):
-		t.Fatal("neither an attempt nor an answer in time")
+		t.Fatal("timed out waiting for another attempt or an answer")
 	}
 	return "", nil, nil
 }
 
-// endpointReactions are what an endpoint may do with a request, by name.
+// endpointReactions are the possible reactions of an endpoint to a request, by name.
 var endpointReactions = map[string]func(*fakes.Peer){
 	"full":                func(s *fakes.Peer) { s.Send("BUSY\r\n") },
 	"error":               func(s *fakes.Peer) { s.Send("ERR\r\n") },
@@ -49,30 +49,30 @@
 	"too long":            func(s *fakes.Peer) { s.Send("UP " + strings.Repeat("x", 4096) + "\r\n") },
 }
 
-// retryCase is one attempt and what follows it.
+// retryCase is an attempt with the result that must follow it.
 type retryCase struct {
-	effect    string
-	scope     string // of the deduplication
-	memory    float64
-	endpoints []fakes.Entry
-	reaction  string // of the endpoint
-	want      string // what follows
+	effect      string
+	scope       string  // scope of the deduplication
+	dedupWindow float64 // in seconds
+	endpoints   []fakes.Entry
+	reaction    string // key of endpointReactions
+	want        string // result of nextAttemptOrAnswer
 }
 
-// retryCases lists an unsafe class with each reaction, and other classes with some.
+// retryCases returns cases of an unsafe class with every reaction and of other classes with some reactions.
 func retryCases() []retryCase {
 	sameCell := []fakes.Entry{{Cell: 3}, {Cell: 3}}
 	twoCells := []fakes.Entry{{Cell: 3}, {Cell: 4}}
 	twoZones := []fakes.Entry{{Cell: 3}, {Cell: 4, Zone: "b"}}
-	var all []retryCase
+	var cases []retryCase
 	for reaction := range endpointReactions {
 		if reaction == "full" {
-			all = append(all, retryCase{"unsafe", "all", 60, sameCell, reaction, "again"}, retryCase{"keyed", "cell", 0, twoZones, reaction, "again"})
+			cases = append(cases, retryCase{"unsafe", "all", 60, sameCell, reaction, "again"}, retryCase{"keyed", "cell", 0, twoZones, reaction, "again"})
 			continue
 		}
-		all = append(all, retryCase{"unsafe", "all", 60, sameCell, reaction, "ERR"})
+		cases = append(cases, retryCase{"unsafe", "all", 60, sameCell, reaction, "ERR"})
 	}
-	all = append(all,
+	cases = append(cases,
 		retryCase{"safe", "cell", 0, twoZones, "reset", "again"},
 		retryCase{"keyed", "all", 60, twoZones, "reset", "again"},
 		retryCase{"keyed", "all", 60, twoZones, "too long", "again"},
@@ -82,18 +82,18 @@
 		retryCase{"keyed", "cell", 60, twoCells, "error", "ERR"},
 		retryCase{"keyed", "rack", 60, sameCell, "error", "ERR"}, // an unknown scope
 		retryCase{"some", "all", 60, sameCell, "error", "ERR"},   // an unknown effect
-		retryCase{"keyed", "all", 1e-6, sameCell, "end", "BUSY"}, // no repeat is recognized any more, but none does harm
-		retryCase{"keyed", "cell", 1e-6, sameCell, "end", "ERR"}, // nor here, where one might
+		retryCase{"keyed", "all", 1e-6, sameCell, "end", "BUSY"}, // repeats are no longer recognized, but no attempt has run
+		retryCase{"keyed", "cell", 1e-6, sameCell, "end", "ERR"}, // repeats are no longer recognized, and an attempt may have run
 	)
-	return all
+	return cases
 }
 
-// TestRetryAfterAttempt checks what may follow an attempt: another attempt, BUSY, which promises that a repeat is
-// harmless, or ERR, which promises nothing. It depends on the effect of the class and on whether the attempt may have
-// run, not on the names of classes.
+// TestRetryAfterAttempt checks what follows an attempt: another attempt, BUSY, which promises that a repeat is harmless, or ERR,
+// which promises nothing. The result depends on the effect of the class and on whether the attempt may have run, not on the name
+// of the class.
 func TestRetryAfterAttempt(t *testing.T) {
 	for _, c := range retryCases() {
-		t.Run(fmt.Sprint(c.effect, " ", c.scope, " ", c.memory, " ", c.reaction), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.effect, " ", c.scope, " ", c.dedupWindow, " ", c.reaction), func(t *testing.T) {
 			t.Parallel()
 			conns := make(chan *fakes.Peer, 8)
 			var entries []string
@@ -103,14 +103,14 @@
 				entries = append(entries, e.String())
 			}
 			proxy := startProxy(t, fakes.List(1, true, entries...),
-				withClasses(classJSON("calm", "safe", "all", 60)+","+classJSON("mint", c.effect, c.scope, c.memory)))
+				withClasses(classJSON("calm", "safe", "all", 60)+","+classJSON("mint", c.effect, c.scope, c.dedupWindow)))
 			client := proxy.dial()
 			client.Send(openLineOfClass("mint", "key", ",d=20000"))
 			upstream := fakes.Await(t, conns)
 			upstream.ReadLine()
 			endpointReactions[c.reaction](upstream)
 			got, next, clientAnswer := nextAttemptOrAnswer(t, conns, client)
-			testkit.Equal(t, "what follows", c.want, got)
+			testkit.Equal(t, "result", c.want, got)
 			if next != nil {
 				sendUp(next)
 				testkit.Equal(t, "answer", "UP r", fakes.Await(t, clientAnswer))
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestEndpointClosesBeforeRequest checks that an endpoint that closes the connection before the request is written has
-// not run it: even an unsafe request is rejected with BUSY.
+// TestEndpointClosesBeforeRequest checks that the proxy rejects even an unsafe request with BUSY if the endpoint closes the
+// connection before the request is written, because the endpoint cannot have run it.
 func TestEndpointClosesBeforeRequest(t *testing.T) {
 	t.Parallel()
 	for name, act := range map[string]func(*fakes.Peer){
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestEndpointDrainsWhileDialing checks that an endpoint that begins to drain while a connection to it is dialed gets
-// no request: its grace may be over by then.
+// TestEndpointDrainsWhileDialing checks that an endpoint that starts to drain while the proxy dials it receives no request, because
+// its drain grace may have ended by the time the connection is established.
 func TestEndpointDrainsWhileDialing(t *testing.T) {
 	t.Parallel()
 	for name, list := range map[string]func(string) string{
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestResumeAtDrainingEndpoint checks that a connection that is established at a draining endpoint, and whose packets
-// now arrive at this proxy, continues there while the grace lasts.
+// TestResumeAtDrainingEndpoint checks that a connection established at a draining endpoint, whose packets now arrive at this proxy,
+// continues at that endpoint until the drain grace ends.
 func TestResumeAtDrainingEndpoint(t *testing.T) {
 	t.Parallel()
 	for grace, continues := range map[string]bool{`"DrainGrace":30`: true, `"DrainGrace":0`: false} {
@@ -207,7 +207,7 @@
 				return
 			}
 			if line := upstream.ReadLine(); !strings.HasPrefix(line, "OPEN ") {
-				t.Fatalf("the endpoint got %q", line)
+				t.Fatalf("the endpoint received %q, want a request", line)
 			}
 			sendUp(upstream)
 			testkit.Equal(t, "answer", "UP r", client.ReadLine())
@@ -215,17 +215,17 @@
 	}
 }
 
-// TestCanceledRequestNeverArrives checks that a request that an endpoint's machine has not received in full when its
-// attempt is canceled never arrives there: it might run beside the next attempt, or after the client was answered that
-// nothing will.
+// TestCanceledRequestNeverArrives checks that a request never reaches the endpoint if its attempt is canceled before the endpoint's
+// machine has received it completely. Otherwise the request might run concurrently with the next attempt, or after the client was
+// told that nothing will run.
 func TestCanceledRequestNeverArrives(t *testing.T) {
 	t.Parallel()
-	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+	smallBuffer := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		controlErr := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
 		return errors.Join(controlErr, err)
 	}}
-	listener, err := small.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	listener, err := smallBuffer.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,28 +237,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := fakes.NewPeer(t, conn) // which does not read yet
+	upstream := fakes.NewPeer(t, conn) // does not read yet, so that the request stays partly unsent
 	testkit.Equal(t, "answer", []string{"ERR", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
 	proxy.waitForCounter("outcome_cancelled=1")
-	if line := s.ReadLine(); line != "RST" && !strings.Contains(line, "|") {
+	if line := upstream.ReadLine(); line != "RST" && !strings.Contains(line, "|") {
 		t.Errorf("the request arrived after its attempt was canceled: %.40q…", line)
 	}
 }
 
-// TestTwoEventsInOneLoopIteration checks that two events of one iteration, in either order, give one answer and leave
-// no state.
+// TestTwoEventsInOneLoopIteration checks that two events in one iteration of the event loop, in either order, cause no second attempt
+// and leave no state.
 func TestTwoEventsInOneLoopIteration(t *testing.T) {
-	type ends struct{ client, upstream *fakes.Peer }
-	cases := map[string]func(ends){
-		"answer, client closed":         func(e ends) { e.upstream.Send("UP r\r\n"); e.client.Close() },
-		"answer, client reset":          func(e ends) { e.upstream.Send("UP r\r\n"); e.client.SetLinger(0); e.client.Close() },
-		"client reset, answer":          func(e ends) { e.client.SetLinger(0); e.client.Close(); e.upstream.Send("UP r\r\n") },
-		"reset, client closed":          func(e ends) { e.upstream.SetLinger(0); e.upstream.Close(); e.client.Close() },
-		"client closed, reset":          func(e ends) { e.client.Close(); e.upstream.SetLinger(0); e.upstream.Close() },
-		"error, client reset":           func(e ends) { e.upstream.Send("ERR\r\n"); e.client.SetLinger(0); e.client.Close() },
-		"full, client closed":           func(e ends) { e.upstream.Send("BUSY\r\n"); e.client.Close() },
-		"answer and end, client closed": func(e ends) { e.upstream.Send("UP r\r\nBYE\r\n"); e.upstream.Close(); e.client.Close() },
-		"both closed":                   func(e ends) { e.upstream.Close(); e.client.Close() },
+	type connection struct{ client, upstream *fakes.Peer }
+	cases := map[string]func(connection){
+		"answer, client closed":         func(c connection) { c.upstream.Send("UP r\r\n"); c.client.Close() },
+		"answer, client reset":          func(c connection) { c.upstream.Send("UP r\r\n"); c.client.SetLinger(0); c.client.Close() },
+		"client reset, answer":          func(c connection) { c.client.SetLinger(0); c.client.Close(); c.upstream.Send("UP r\r\n") },
+		"reset, client closed":          func(c connection) { c.upstream.SetLinger(0); c.upstream.Close(); c.client.Close() },
+		"client closed, reset":          func(c connection) { c.client.Close(); c.upstream.SetLinger(0); c.upstream.Close() },
+		"error, client reset":           func(c connection) { c.upstream.Send("ERR\r\n"); c.client.SetLinger(0); c.client.Close() },
+		"full, client closed":           func(c connection) { c.upstream.Send("BUSY\r\n"); c.client.Close() },
+		"answer and end, client closed": func(c connection) { c.upstream.Send("UP r\r\nBYE\r\n"); c.upstream.Close(); c.client.Close() },
+		"both closed":                   func(c connection) { c.upstream.Close(); c.client.Close() },
 	}
 	for name, act := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -269,14 +269,14 @@
 			upstream := fakes.Await(t, conns)
 			upstream.ReadLine()
 			resume := proxy.suspend()
-			act(ends{client, upstream})
+			act(connection{client, upstream})
 			waitForArrival(t, client)
 			waitForArrival(t, upstream)
 			resume()
-			upstream.Close() // ends an established connection
+			upstream.Close() // closes the connection if it was established
 			proxy.waitForMetrics(map[string]string{"svc.pending": "0"})
 			select {
-			case next := <-conns: // dialed before the client's close was seen
+			case next := <-conns: // dialed before the proxy noticed that the client had closed
 				expectNoRequest(t, next)
 			default:
 			}
@@ -285,31 +285,31 @@
 	}
 }
 
-// TestDuplicateRequestID checks that a request under the id of one in progress gets one answer, and that the first
-// continues; afterwards the id may be used again.
+// TestDuplicateRequestID checks that a request with the id of a request in progress is rejected while the first one continues, and
+// that the id can be used again afterwards.
 func TestDuplicateRequestID(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoint(t, withClasses(classJSON("mint", "unsafe", "all", 0)))
 	line := openLineOfClass("mint", "key", ",d=20000")
-	client, twin := proxy.dial(), proxy.dial()
+	client, duplicate := proxy.dial(), proxy.dial()
 	client.Send(line)
 	upstream := fakes.Await(t, conns)
 	upstream.ReadLine()
-	twin.Send(line)
-	testkit.Equal(t, "while it is in progress", []string{"ERR SYNTAX", "EOF"}, []string{twin.ReadLine(), twin.ReadLine()})
+	duplicate.Send(line)
+	testkit.Equal(t, "duplicate", []string{"ERR SYNTAX", "EOF"}, []string{duplicate.ReadLine(), duplicate.ReadLine()})
 	upstream.Send("ERR\r\n")
-	testkit.Equal(t, "the request itself", []string{"ERR", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
+	testkit.Equal(t, "first request", []string{"ERR", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
 	again := proxy.dial()
 	again.Send(line)
 	upstream = fakes.Await(t, conns)
 	upstream.ReadLine()
 	sendUp(upstream)
-	testkit.Equal(t, "once it is over", "UP r", again.ReadLine())
+	testkit.Equal(t, "request with the same id afterwards", "UP r", again.ReadLine())
 	proxy.waitForCounter("attempts=2")
 }
 
-// TestAttemptOutcomes checks that each outcome ends the attempt, and that another endpoint gets the next one after the
-// first connection has been closed.
+// TestAttemptOutcomes checks that every outcome ends the attempt and that the next attempt goes to another endpoint. The case name is
+// the counter that the outcome increments.
 func TestAttemptOutcomes(t *testing.T) {
 	for name, act := range map[string]func(*fakes.Peer){
 		"outcome_full":      func(upstream *fakes.Peer) { upstream.Send("BUSY\r\n") },
@@ -332,7 +332,7 @@
 			next := fakes.Await(t, conns)
 			next.ReadLine()
 			if upstream.LocalAddr().String() == next.LocalAddr().String() {
-				t.Error("both attempts at one endpoint")
+				t.Error("both attempts went to the same endpoint")
 			}
 			next.Send("UP r\r\n")
 			testkit.Equal(t, "answer", "UP r", client.ReadLine())
--- a/cmd/micafront/deadline_test.go
+++ b/cmd/micafront/deadline_test.go
@@ -10,8 +10,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestDedupWindowEndsWhileDialing checks that a retry is not sent if the deduplication window, still open when its
-// connection was dialed, has ended when the connection is established.
+// TestDedupWindowEndsWhileDialing checks that a retry is not sent if the deduplication window ends while its connection is dialed.
 func TestDedupWindowEndsWhileDialing(t *testing.T) {
 	for scope, want := range map[string]string{"all": `^BUSY`, "zone": `^ERR$`} {
 		t.Run(scope, func(t *testing.T) {
@@ -29,24 +28,24 @@
 	}
 }
 
-// TestDedupWindowEndsAsConnectionIsEstablished is the same with both events in one iteration of the loop: the process
-// is suspended while the window ends and the connection is established.
+// TestDedupWindowEndsAsConnectionIsEstablished checks that a retry is not sent if its connection is established and the deduplication
+// window ends in the same iteration of the event loop: both happen while the process is suspended.
 func TestDedupWindowEndsAsConnectionIsEstablished(t *testing.T) {
 	t.Parallel()
-	proxy, delayed, unblock, client, s := startWithDelayedSecondEndpoint(t, withClasses(classJSON("mint", "keyed", "zone", 4)), withConnectTimeout(100))
-	s.Close()
+	proxy, delayed, unblock, client, firstUpstream := startWithDelayedSecondEndpoint(t, withClasses(classJSON("mint", "keyed", "zone", 4)), withConnectTimeout(100))
+	firstUpstream.Close()
 	waitForSocketState(t, delayed.Addr().String(), socketSynSent)
-	sent := time.Now()
+	dialedAt := time.Now()
 	resume := proxy.suspend()
 	upstream := acceptDelayed(t, delayed, unblock)
-	time.Sleep(time.Until(sent.Add(4100 * time.Millisecond))) // the window ends
+	time.Sleep(time.Until(dialedAt.Add(4100 * time.Millisecond))) // the window of 4 s ends
 	resume()
 	expectNoRequest(t, upstream)
 	testkit.Equal(t, "answer", []string{"ERR", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
 }
 
-// TestConnectionEstablishedAfterDeadline checks that nothing is sent on a connection that is established after the
-// client's deadline.
+// TestConnectionEstablishedAfterDeadline checks that the proxy sends nothing on a connection that is established after the client's
+// deadline.
 func TestConnectionEstablishedAfterDeadline(t *testing.T) {
 	t.Parallel()
 	proxy, delayed, unblock := startWithDelayedEndpoint(t, withClasses(classJSON("mint", "unsafe", "all", 0)))
@@ -66,8 +65,8 @@
 	proxy.waitForCounter("attempts=0")
 }
 
-// TestSuspendedPastDeadline checks that a process that was suspended past a client's deadline answers once when it
-// resumes: with what the endpoint has answered, or that the request failed. Nothing else is sent.
+// TestSuspendedPastDeadline checks that a process that was suspended past a client's deadline answers the client exactly once when it
+// resumes, with the endpoint's answer or with ERR, and makes no other attempt.
 func TestSuspendedPastDeadline(t *testing.T) {
 	for name, answer := range map[string]string{"answered": "UP r\r\n", "hangs": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -81,7 +80,7 @@
 			if upstream.Send(answer); answer != "" {
 				waitForArrival(t, upstream)
 			}
-			time.Sleep(3100 * time.Millisecond) // the client's time passes
+			time.Sleep(3100 * time.Millisecond) // the client's deadline passes
 			resume()
 			switch got := client.ReadLine(); {
 			case got == "UP r" && answer != "":
@@ -99,34 +98,34 @@
 	}
 }
 
-// TestOneAnswerByDeadline checks that each request gets one answer by its deadline, whatever that is: within the slack
-// by which a client may be late, and half a second more, it is lost.
+// TestOneAnswerByDeadline checks that a request gets exactly one answer by its deadline, however short the deadline is. An answer that
+// comes more than half a second after the deadline and the slack for late clients is lost. The test allows 3 s.
 func TestOneAnswerByDeadline(t *testing.T) {
 	for _, c := range []struct {
-		name, more string
-		wait       time.Duration
-		want       string // from an endpoint that hangs
+		name, attributes string
+		timeout          time.Duration
+		want             string // answer if the endpoint hangs
 	}{
-		{"at once", ",d=0", 0, "BUSY"},
+		{"zero", ",d=0", 0, "BUSY"},
 		{"under the slack", ",d=1", time.Millisecond, "BUSY"},
 		{"short", ",d=60", 60 * time.Millisecond, "ERR"},
-		{"the class's", "", 1200 * time.Millisecond, "ERR"},
-		{"below zero", ",d=-5", 0, "ERR SYNTAX"},
+		{"default of the class", "", 1200 * time.Millisecond, "ERR"},
+		{"negative", ",d=-5", 0, "ERR SYNTAX"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			proxy, conns := startWithEndpoint(t, withClasses(strings.Replace(classJSON("mint", "unsafe", "all", 0), `"GiveUp":30`, `"GiveUp":1.2`, 1)))
 			client := proxy.dial()
 			began := time.Now()
-			client.Send(openLineOfClass("mint", "key", c.more))
+			client.Send(openLineOfClass("mint", "key", c.attributes))
 			go func() {
 				for s := range conns {
-					_, _ = s.ReadLineErr() // and send no answer
+					_, _ = s.ReadLineErr() // and never answers
 				}
 			}()
 			got := client.ReadLine()
-			if took := time.Since(began); took > c.wait+3*time.Second {
-				t.Errorf("answered after %v", took)
+			if took := time.Since(began); took > c.timeout+3*time.Second {
+				t.Errorf("answered after %v, with a timeout of %v", took, c.timeout)
 			}
 			if want := c.want; got != want && (want != "BUSY" || !strings.HasPrefix(got, "BUSY ")) {
 				t.Errorf("answer %q, want %s", got, want)
@@ -136,9 +135,8 @@
 	}
 }
 
-// TestEndpointHangs checks that an endpoint that reads a request without an answer is given up when the attempt times
-// out. Where endpoints recognize repeats the next attempt follows, with the first connection closed; elsewhere the
-// client is answered that the request failed.
+// TestEndpointHangs checks that an attempt times out and its connection is closed if the endpoint reads the request and never answers.
+// If a repeat is harmless the next attempt follows; otherwise the client is told that the request failed.
 func TestEndpointHangs(t *testing.T) {
 	for effect, want := range map[string]string{"safe": "again", "keyed": "again", "unsafe": "ERR"} {
 		t.Run(effect, func(t *testing.T) {
@@ -148,8 +146,8 @@
 			client.Send(openLineOfClass("mint", "key", ",d=3000"))
 			upstream := fakes.Await(t, conns)
 			upstream.ReadLine()
-			what, next, clientAnswer := nextAttemptOrAnswer(t, conns, client)
-			testkit.Equal(t, "what follows", want, what)
+			got, next, clientAnswer := nextAttemptOrAnswer(t, conns, client)
+			testkit.Equal(t, "result", want, got)
 			expectNoRequest(t, upstream)
 			if next != nil {
 				sendUp(next)
@@ -160,9 +158,9 @@
 	}
 }
 
-// TestEndpointCloseBeforeAttemptTimeout has an attempt's time pass and its endpoint close its connection while the process
-// stands still: what has come is read before the attempt is given up, so that it ends by the close, and the next attempt, which
-// reuses its descriptor, is served.
+// TestEndpointCloseBeforeAttemptTimeout checks that if an attempt times out and its endpoint closes the connection while the process is
+// suspended, the process reads the close before it checks the timeout. The attempt then ends by the close, and the next attempt,
+// which reuses the descriptor, is served.
 func TestEndpointCloseBeforeAttemptTimeout(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoints(t, 2, withClasses(classJSON("mint", "keyed", "all", 60)), withConnectTimeout(2))
@@ -172,22 +170,22 @@
 	upstream := fakes.Await(t, conns)
 	upstream.ReadLine()
 	resume := proxy.suspend()
-	time.Sleep(time.Until(began.Add(3100 * time.Millisecond))) // the attempt times out: after half of the client's time
+	time.Sleep(time.Until(began.Add(3100 * time.Millisecond))) // the attempt times out, after half of the client's timeout of 6 s
 	upstream.Close()
 	waitForArrival(t, upstream)
 	resume()
 	next := fakes.Await(t, conns)
 	if l := next.ReadLine(); !strings.HasPrefix(l, "OPEN ") {
-		t.Fatalf("the next attempt is %q", l)
+		t.Fatalf("the next attempt sent %q", l)
 	}
 	sendUp(next)
 	testkit.Equal(t, "answer", "UP r", client.ReadLine())
 	proxy.waitForCounter("outcome_reset=1")
-	testkit.Equal(t, "attempts that are counted as timed out", false, strings.Contains(proxy.stderr.String(), "outcome_timeout=1"))
+	testkit.Equal(t, "an attempt is counted as timed out", false, strings.Contains(proxy.stderr.String(), "outcome_timeout=1"))
 }
 
-// TestStaleCloseOfCanceledAttempt checks that the close of a connection that was given up earlier in the same iteration is not
-// attributed to the next attempt, which reuses its descriptor.
+// TestStaleCloseOfCanceledAttempt checks that the close of a connection whose attempt was canceled earlier in the same iteration of the
+// event loop is not attributed to the next attempt, which reuses the descriptor.
 func TestStaleCloseOfCanceledAttempt(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoints(t, 2, withClasses(classJSON("mint", "keyed", "all", 60)), withConnectTimeout(2))
@@ -195,7 +193,7 @@
 	canceled.Send(openLineOfClass("mint", "key", ",d=6000"))
 	upstream := fakes.Await(t, conns)
 	upstream.ReadLine()
-	// Much shorter than what counts as a hold-up, after which attempts wait until all else has been read.
+	// The suspension is too short to count as a hold-up, after which attempts would wait until everything else has been read.
 	proxy.whileSuspended(func() {
 		canceled.Close()
 		client.Send(openLineOfClass("mint", "key", ",d=6000"))
@@ -203,7 +201,7 @@
 	})
 	next := fakes.Await(t, conns)
 	if l := next.ReadLine(); !strings.HasPrefix(l, "OPEN ") {
-		t.Fatalf("the next attempt is %q", l)
+		t.Fatalf("the next attempt sent %q", l)
 	}
 	sendUp(next)
 	testkit.Equal(t, "answer", "UP r", client.ReadLine())
@@ -213,7 +211,7 @@
 	}
 }
 
-// TestHugeDeadline checks that a huge deadline is cut to a sensible one, also in the request that the endpoint gets.
+// TestHugeDeadline checks that a huge deadline is limited, also in the request that the endpoint receives.
 func TestHugeDeadline(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withReplacement(`"GiveUp":60`, `"GiveUp":1e15`))
 	byClass := proxy.dial()
@@ -221,7 +219,7 @@
 	byClassUpstream := fakes.Await(t, conns)
 	byClassUpstream.ReadLine()
 	sendUp(byClassUpstream)
-	testkit.Equal(t, "by the class's timeout", "UP r", byClass.ReadLine())
+	testkit.Equal(t, "answer with the timeout of the class", "UP r", byClass.ReadLine())
 	client := proxy.dial()
 	client.Send(openLineOfClass("feed", "key", ",d=9223372036854775807"))
 	upstream := fakes.Await(t, conns)
--- a/cmd/micafront/delayed_endpoint_test.go
+++ b/cmd/micafront/delayed_endpoint_test.go
@@ -13,7 +13,7 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// waitForSocketState waits until the kernel's table has a connection to an address in a state, by its number there.
+// waitForSocketState waits until /proc/net/tcp lists a connection to an address in a state such as socketSynSent.
 func waitForSocketState(t *testing.T, addr, state string) {
 	t.Helper()
 	_, port, _ := net.SplitHostPort(addr)
@@ -30,8 +30,8 @@
 	t.Fatalf("no connection to %s in state %s", addr, state)
 }
 
-// waitForArrival waits until the program's end of a connection has something to read: bytes, an end or a reset. The
-// kernel's table then no longer lists it as established with an empty queue.
+// waitForArrival waits until the program's end of a connection has something to read: bytes, an EOF or a reset. /proc/net/tcp then no
+// longer lists the connection as established with an empty receive queue.
 func waitForArrival(t *testing.T, p *fakes.Peer) {
 	t.Helper()
 	near, far := p.RemoteAddr().(*net.TCPAddr).Port, p.LocalAddr().(*net.TCPAddr).Port
@@ -41,16 +41,16 @@
 			return
 		}
 	}
-	t.Fatal("what was sent did not arrive")
+	t.Fatal("nothing arrived at the program's end of the connection")
 }
 
-// States of sockets in /proc/net/tcp.
+// Socket states in /proc/net/tcp.
 const (
 	socketSynSent   = "02"
 	socketCloseWait = "08"
 )
 
-// acceptDelayed frees a delayed listener and accepts the connection that was dialed.
+// acceptDelayed unblocks a delayed listener and accepts the connection that was dialed.
 func acceptDelayed(t *testing.T, delayed net.Listener, unblock func()) *fakes.Peer {
 	t.Helper()
 	unblock()
@@ -64,8 +64,7 @@
 	return fakes.NewPeer(t, conn)
 }
 
-// startWithDelayedEndpoint starts the program with one endpoint whose connections are established only once it is
-// freed.
+// startWithDelayedEndpoint starts the program with one endpoint whose connections are established only once unblock is called.
 func startWithDelayedEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, unblock func()) {
 	t.Helper()
 	delayed, unblock = newDelayedListener(t)
@@ -73,16 +72,16 @@
 	return proxy, delayed, unblock
 }
 
-// expectNoRequest checks that a connection of an endpoint ends without a first line.
+// expectNoRequest checks that the connection of an endpoint ends before another line arrives.
 func expectNoRequest(t *testing.T, upstream *fakes.Peer) {
 	t.Helper()
 	if l := upstream.ReadLine(); l != "EOF" && l != "RST" {
-		t.Errorf("the endpoint got %q", l)
+		t.Errorf("the endpoint received %q, want the end of the connection", l)
 	}
 }
 
-// startWithDelayedSecondEndpoint starts the program with an endpoint that answers and one whose connections are
-// delayed. It returns a request whose first attempt went to the former.
+// startWithDelayedSecondEndpoint starts the program with an endpoint that accepts connections and one whose connections are delayed.
+// It sends requests until the first attempt of one goes to the former, and returns both ends of that request.
 func startWithDelayedSecondEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, unblock func(), client, upstream *fakes.Peer) {
 	t.Helper()
 	delayed, unblock = newDelayedListener(t)
@@ -92,15 +91,15 @@
 	for i := 0; ; i++ {
 		c := proxy.dial()
 		c.Send(openLineOfClass("mint", fmt.Sprint("key", i), ",d=90000"))
-		placed := make(chan bool)
+		dialed := make(chan bool)
 		ctx, cancel := context.WithCancel(t.Context())
-		go func() { // an attempt at the delayed endpoint, if there is one
+		go func() { // detects an attempt at the delayed endpoint
 			_, port, _ := net.SplitHostPort(delayed.Addr().String())
 			var n int
 			_, _ = fmt.Sscan(port, &n) // a listener's port is a number
 			for ctx.Err() == nil {
 				if all, _ := os.ReadFile("/proc/net/tcp"); regexp.MustCompile(fmt.Sprintf(`:%04X %s `, n, socketSynSent)).Match(all) {
-					placed <- false
+					dialed <- true
 					return
 				}
 				time.Sleep(time.Millisecond)
@@ -111,7 +110,7 @@
 			cancel()
 			upstream.ReadLine()
 			return proxy, delayed, unblock, c, upstream
-		case <-placed:
+		case <-dialed:
 		}
 		cancel()
 		c.Close()
@@ -119,8 +118,8 @@
 	}
 }
 
-// newDelayedEndpoint returns an endpoint whose connections are established only once accept is called; then they arrive
-// on the channel.
+// newDelayedEndpoint returns an endpoint whose connections are established only once accept is called. They then arrive on the
+// channel.
 func newDelayedEndpoint(t *testing.T) (addr string, accept func(), conns chan *fakes.Peer) {
 	t.Helper()
 	l, unblock := newDelayedListener(t)
@@ -139,7 +138,7 @@
 	}, conns
 }
 
-// newDelayedListener returns a listener at which connections are established only once it is freed: its queue is full
+// newDelayedListener returns a listener at which connections are established only once unblock is called: its accept queue is full
 // until then.
 func newDelayedListener(t *testing.T) (listener net.Listener, unblock func()) {
 	t.Helper()
@@ -155,7 +154,7 @@
 	if cerr := raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }); err != nil || cerr != nil {
 		t.Fatal(err, cerr)
 	}
-	fakes.Dial(t, listener.Addr().String()) // a queue of length 0 holds one
+	fakes.Dial(t, listener.Addr().String()) // a queue of length 0 holds one connection
 	return listener, func() {
 		conn, err := listener.Accept()
 		if err != nil {
--- a/cmd/micafront/descriptors_test.go
+++ b/cmd/micafront/descriptors_test.go
@@ -14,19 +14,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestDescriptorsExhaustedByAttempts checks that a client for whose attempt no descriptor is left is answered BUSY by
-// its deadline: nothing has run.
+// TestDescriptorsExhaustedByAttempts checks that a client is answered BUSY by its deadline if no descriptor is left for its attempt,
+// because nothing has run.
 func TestDescriptorsExhaustedByAttempts(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(64), withClasses(classJSON("mint", "unsafe", "all", 0)))
-	var all []*fakes.Peer
+	var clients []*fakes.Peer
 	rejected := 0
 	for i := range 60 {
 		client := proxy.dial()
-		all = append(all, client)
+		clients = append(clients, client)
 		client.Send(openLineOfClass("mint", fmt.Sprint("key", i), ",d=20000"))
-		what, upstream, clientAnswer := nextAttemptOrAnswer(t, conns, client)
-		switch what {
+		result, upstream, clientAnswer := nextAttemptOrAnswer(t, conns, client)
+		switch result {
 		case "again":
 			sendUp(upstream)
 			testkit.Equal(t, "answer", "UP r", fakes.Await(t, clientAnswer))
@@ -34,22 +34,22 @@
 			rejected++
 			client.Close()
 		default:
-			t.Fatalf("client %d got %q", i, what)
+			t.Fatalf("client %d got %q", i, result)
 		}
 	}
 	if rejected == 0 {
-		t.Error("all of them were served")
+		t.Error("all clients were served, want some rejected for lack of descriptors")
 	}
-	for _, client := range all {
+	for _, client := range clients {
 		client.Close()
 	}
 	proxy.waitForCounter("open=0")
 }
 
-// TestEvictedClientIsAnswered checks that a client that is evicted to free a descriptor gets an answer, whatever it was
-// sending.
+// TestEvictedClientIsAnswered checks that an idle client that is evicted to free a descriptor gets an answer, even in the middle of its
+// first line.
 func TestEvictedClientIsAnswered(t *testing.T) {
-	proxy, _ := startWithEndpoint(t, withMaxDescriptors(48)) // fewer idle clients than are accepted in one iteration
+	proxy, _ := startWithEndpoint(t, withMaxDescriptors(48)) // allows fewer idle clients than are accepted in one iteration of the event loop
 	var clients []*fakes.Peer
 	proxy.whileSuspended(func() {
 		for range 20 {
@@ -67,14 +67,14 @@
 			t.Errorf("answer %q", got)
 		}
 	}
-	if busy != 12 { // all but the limit of idle clients, a sixth of 48
-		t.Errorf("%d were evicted with an answer", busy)
+	if busy != 12 { // of 20, all above the limit of idle clients, which is a sixth of 48
+		t.Errorf("%d clients were evicted with an answer, want 12", busy)
 	}
 	proxy.waitForCounter("evicted=12")
 }
 
-// TestRequestFromEvictionCandidate checks that an idle client that sends a request just when it would be evicted is
-// served.
+// TestRequestFromEvictionCandidate checks that an idle client is served if its request arrives in the iteration of the event loop in
+// which it would be evicted.
 func TestRequestFromEvictionCandidate(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(96))
 	var clients []*fakes.Peer
@@ -88,23 +88,23 @@
 		proxy.dial()
 		clients[0].Send(openLine("key"))
 	})
-	l, s := make(chan string, 1), fakes.Await(t, conns)
-	go func() { l <- clients[0].ReadLine() }()
-	s.ReadLine()
-	s.Send("UP r\r\n")
-	testkit.Equal(t, "answer", "UP r", <-l)
+	answer, upstream := make(chan string, 1), fakes.Await(t, conns)
+	go func() { answer <- clients[0].ReadLine() }()
+	upstream.ReadLine()
+	upstream.Send("UP r\r\n")
+	testkit.Equal(t, "answer", "UP r", <-answer)
 	proxy.waitForCounter("evicted=0")
 }
 
-// TestRequestAtIdleTimeout checks that an idle client whose request arrives in the same iteration as its idle timeout is
-// served.
+// TestRequestAtIdleTimeout checks that an idle client is served if its request arrives in the iteration of the event loop in which its
+// idle timeout expires.
 func TestRequestAtIdleTimeout(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
 	client.Send("PING\r\n")
 	testkit.Equal(t, "readiness", "PONG", client.ReadLine())
 	proxy.whileSuspended(func() {
-		time.Sleep(3 * time.Second) // the idle timeout ends, which the proxy sees first
+		time.Sleep(3 * time.Second) // the idle timeout expires, which the proxy notices before it reads the request
 		client.Send(openLine("key"))
 	})
 	upstream := fakes.Await(t, conns)
@@ -113,8 +113,8 @@
 	testkit.Equal(t, "answer", "UP r", client.ReadLine())
 }
 
-// TestNoDescriptorForAccept checks that clients wait while no descriptor is left, without a busy loop, and are served
-// once there is one.
+// TestNoDescriptorForAccept checks that clients wait while no descriptor is left for them, that the proxy does not retry in a busy loop,
+// and that it serves the clients once a descriptor is available.
 func TestNoDescriptorForAccept(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	fakes.Await(t, proxy.discovery.Watches)
@@ -135,14 +135,14 @@
 		proxy.command.Process.Signal(syscall.SIGUSR1)
 		text := proxy.stderr.String()
 		if i := strings.LastIndex(text, " accept_errors="); i >= 0 {
-			_, _ = fmt.Sscanf(text[i:], " accept_errors=%d", &n) // a line that is not complete yet counts as 0
+			_, _ = fmt.Sscanf(text[i:], " accept_errors=%d", &n) // an incomplete line counts as 0
 		}
 		return n
 	}
 	for errorsSoFar() < 20 && time.Since(began) < fakes.WaitTimeout {
 		time.Sleep(20 * time.Millisecond)
 	}
-	// One in 10 ms; the counter that is read may be older than the clock.
+	// The proxy retries once in 10 ms. The counter may have been read before the clock.
 	if n, most := errorsSoFar(), int(time.Since(began)/(10*time.Millisecond))+1; n < 20 || n > most {
 		t.Errorf("%d accepts failed, want 20 to %d", n, most)
 	}
@@ -155,8 +155,8 @@
 	testkit.Equal(t, "answer", "UP r", client.ReadLine())
 }
 
-// TestRejectedClientsDoNotBlockNewOnes checks that clients that were answered with an error and stay do not keep out a
-// new one.
+// TestRejectedClientsDoNotBlockNewOnes checks that clients that stay connected after an error answer do not use up the descriptors that a
+// new client needs.
 func TestRejectedClientsDoNotBlockNewOnes(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(96))
 	for range 60 {
@@ -167,22 +167,22 @@
 	proxy.connect(conns, "key")
 }
 
-// TestIdleClientsAreEvicted checks that clients that send nothing, half a line or only PING are closed in time, also
-// one that sends slowly, and that many of them leave descriptors to requests.
+// TestIdleClientsAreEvicted checks that the proxy closes clients that send nothing, a slow partial line or only PING, and that many such
+// clients leave enough descriptors for requests.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(96))
-	trickle, began := proxy.dial(), time.Now()
+	slow, began := proxy.dial(), time.Now()
 	go func() {
 		for t.Context().Err() == nil {
-			if _, err := io.WriteString(trickle, "O"); err != nil {
+			if _, err := io.WriteString(slow, "O"); err != nil {
 				return
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
-	testkit.Equal(t, "a slow client", "ERR SYNTAX", trickle.ReadLine())
+	testkit.Equal(t, "answer to a slow client", "ERR SYNTAX", slow.ReadLine())
 	if took := time.Since(began); took > 10*time.Second { // 2.5 s on an idle machine
-		t.Errorf("a slow client was kept for %v", took)
+		t.Errorf("a slow client was closed only after %v", took)
 	}
 	var clients []*fakes.Peer
 	for i := range 300 {
@@ -196,18 +196,18 @@
 	}
 	for i, p := range clients {
 		if i%3 == 0 {
-			p.ReadLine() // PONG or the end
+			p.ReadLine() // PONG, or the end of the connection
 		}
 		for l := p.ReadLine(); l != "EOF" && l != "RST"; l = p.ReadLine() {
 		}
 	}
 	proxy.waitForCounter("open=6")
 	if regexp.MustCompile(` evicted=0 .* open=6 `).MatchString(proxy.stderr.String()) {
-		t.Error("nobody was evicted")
+		t.Error("no idle client was evicted")
 	}
 }
 
-// TestOutOfDescriptors checks that the proxy survives running out of descriptors.
+// TestOutOfDescriptors checks that the proxy still serves requests after idle clients used up its descriptors and disconnected.
 func TestOutOfDescriptors(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(48))
 	var idle []*fakes.Peer
--- a/cmd/micafront/disconnect_test.go
+++ b/cmd/micafront/disconnect_test.go
@@ -10,21 +10,21 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// disableCancel reloads the settings with canceling turned off.
+// disableCancel reloads the settings with MayCancel false, so that no attempt may be canceled.
 func (p *proxyProcess) disableCancel() {
 	p.t.Helper()
 	p.reload(`"MayCancel":true`, `"MayCancel":false`)
 	p.waitForCounter("reloads=1")
 }
 
-// TestClientDisconnectsWithoutCancel checks settings under which no attempt may be canceled, when the client
-// disconnects: what has not been sent is not sent, and a connection that the endpoint accepts afterwards is closed.
+// TestClientDisconnectsWithoutCancel checks what happens when a client disconnects and attempts may not be canceled: a request that has
+// not been sent is never sent, and the proxy closes a connection that the endpoint accepts afterwards.
 func TestClientDisconnectsWithoutCancel(t *testing.T) {
 	t.Parallel()
 	withoutCancel := withReplacement(`"MayCancel":true`, `"MayCancel":false`)
 	t.Run("sent", func(t *testing.T) {
 		t.Parallel()
-		for word, want := range map[string]string{"UP r\r\n": "outcome_cancelled=1", "BYE\r\n": "outcome_ok=1"} {
+		for answer, want := range map[string]string{"UP r\r\n": "outcome_cancelled=1", "BYE\r\n": "outcome_ok=1"} {
 			proxy, conns := startWithEndpoint(t, withoutCancel, withAdminListener)
 			client := proxy.dial()
 			client.Send(openLine("key"))
@@ -32,7 +32,7 @@
 			upstream.ReadLine()
 			client.Close()
 			proxy.waitForCounter("client_gone=1")
-			upstream.Send(word)
+			upstream.Send(answer)
 			expectNoRequest(t, upstream)
 			proxy.waitForCounter(want)
 			proxy.waitForMetrics(map[string]string{"svc.pending": "0", "svc.downstream_requests.feed.completed": "0"})
@@ -46,15 +46,15 @@
 		waitForSocketState(t, delayed.Addr().String(), socketSynSent)
 		client.Close()
 		proxy.waitForCounter("client_gone=1")
-		proxy.waitForCounter("outcome_cancelled=1") // the dial has been ended: nothing is established once it could be
+		proxy.waitForCounter("outcome_cancelled=1") // the dial was aborted, so that no connection is established after unblock
 		unblock()
 		proxy.waitForMetrics(map[string]string{"svc.pending": "0"})
 		proxy.waitForCounter("attempts=0")
 	})
 }
 
-// TestResetUnderBackpressure checks that a reset by one peer is noticed though the proxy has stopped reading from it,
-// because the other peer reads nothing.
+// TestResetUnderBackpressure checks that the proxy notices a reset by one peer even while it does not read from that peer because the
+// other peer reads nothing.
 func TestResetUnderBackpressure(t *testing.T) {
 	for name, chunk := range map[string]string{"client": "y", "endpoint": "news\r\n"} {
 		t.Run(name, func(t *testing.T) {
@@ -68,14 +68,14 @@
 			resetConn(p)
 			proxy.waitForCounter("open=0")
 			if text := proxy.stderr.String(); strings.Contains(text, " slow_peers=1 ") {
-				t.Errorf("closed as a slow peer only: %s", text)
+				t.Errorf("the connection was closed by the timeout of slow peers, not by the reset: %s", text)
 			}
 		})
 	}
 }
 
-// TestEndpointNeverReads checks that an endpoint that reads nothing for too long loses its client, which is asked to
-// move: the client has done nothing wrong.
+// TestEndpointNeverReads checks that the proxy moves the client of an endpoint that reads nothing for too long, because the client is not
+// at fault.
 func TestEndpointNeverReads(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client, upstream := proxy.connect(conns, "key")
@@ -86,8 +86,8 @@
 	proxy.waitForCounter("open=0")
 }
 
-// TestHalfCloseAfterEarlyBytes checks that a client that resumes a connection may send before it is established, within
-// bounds, and counts as disconnected when it half-closes after that.
+// TestHalfCloseAfterEarlyBytes checks that a client that resumes a connection may send a bounded number of bytes before the connection is
+// established, and counts as disconnected if it then half-closes.
 func TestHalfCloseAfterEarlyBytes(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
@@ -104,8 +104,8 @@
 	proxy.waitForCounter("outcome_cancelled=1")
 }
 
-// TestClientDisconnectsWhileDialing checks that an attempt that still dials does not send the request of a client that
-// has disconnected, even where attempts may not be canceled.
+// TestClientDisconnectsWhileDialing checks that the proxy does not send the request of a client that disconnected while the endpoint was
+// dialed, even if attempts may not be canceled.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for name, disconnect := range map[string]func(*fakes.Peer){
 		"end": func(client *fakes.Peer) { client.CloseWrite() }, "close": func(client *fakes.Peer) { client.Close() }, "reset": resetConn,
@@ -124,16 +124,16 @@
 			proxy.waitForCounter("outcome_cancelled=1")
 			proxy.waitForCounter("attempts=0")
 			select {
-			case s := <-conns:
-				testkit.Equal(t, "at the endpoint", "EOF", s.ReadLine())
+			case upstream := <-conns:
+				testkit.Equal(t, "at the endpoint", "EOF", upstream.ReadLine())
 			default:
 			}
 		})
 	}
 }
 
-// TestClientDisconnectedBeforeEstablished checks a client that disconnected in the same iteration in which the
-// connection to the endpoint is established.
+// TestClientDisconnectedBeforeEstablished checks that the proxy sends no request if the client disconnects in the iteration of the event
+// loop in which the connection to the endpoint is established.
 func TestClientDisconnectedBeforeEstablished(t *testing.T) {
 	for name, disconnect := range map[string]func(*fakes.Peer){
 		"end": func(client *fakes.Peer) { client.CloseWrite() }, "close": func(client *fakes.Peer) { client.Close() }, "reset": resetConn,
@@ -158,23 +158,23 @@
 	}
 }
 
-// TestManyClientsDisconnectOnRejection checks that nothing more is dialed when many clients disconnect just as their
-// endpoints reject them.
+// TestManyClientsDisconnectOnRejection checks that the proxy makes no further attempts if many clients disconnect in the iteration of the
+// event loop in which their endpoints reject them.
 func TestManyClientsDisconnectOnRejection(t *testing.T) {
 	conns := make(chan *fakes.Peer, 64)
 	a, b := fakes.NewScriptedEndpoint(t, "s-1", conns), fakes.NewScriptedEndpoint(t, "s-2", conns)
 	proxy := startProxy(t, fakes.List(1, true, listEntry(a.ID, a.Addr, "in_service"), listEntry(b.ID, b.Addr, "in_service")), withAdminListener)
-	const many = 40
-	var clients, at []*fakes.Peer
-	for range many {
+	const clientCount = 40
+	var clients, upstreams []*fakes.Peer
+	for range clientCount {
 		c := proxy.dial()
 		c.Send(openLine("key"))
 		upstream := fakes.Await(t, conns)
 		upstream.ReadLine()
-		clients, at = append(clients, c), append(at, upstream)
+		clients, upstreams = append(clients, c), append(upstreams, upstream)
 	}
 	proxy.whileSuspended(func() {
-		for _, upstream := range at {
+		for _, upstream := range upstreams {
 			upstream.Send("BUSY\r\n")
 		}
 		for _, c := range clients {
@@ -182,18 +182,18 @@
 		}
 	})
 	proxy.waitForMetrics(map[string]string{"svc.pending": "0"})
-	// Endpoints accept in order: a connection of the proxy would come before the one dialed here.
-	for _, h := range []*fakes.ScriptedEndpoint{a, b} {
-		own := fakes.Dial(t, h.Addr)
-		if upstream := fakes.Await(t, conns); upstream.RemoteAddr().String() != own.LocalAddr().String() {
-			t.Errorf("%s was dialed, and got %q", h.ID, upstream.ReadLine())
+	// Endpoints accept in order: a connection from the proxy would arrive before the probe.
+	for _, endpoint := range []*fakes.ScriptedEndpoint{a, b} {
+		probe := fakes.Dial(t, endpoint.Addr)
+		if upstream := fakes.Await(t, conns); upstream.RemoteAddr().String() != probe.LocalAddr().String() {
+			t.Errorf("the proxy dialed %s and sent %q", endpoint.ID, upstream.ReadLine())
 		}
 	}
-	proxy.waitForCounter(fmt.Sprintf("attempts=%d", many))
+	proxy.waitForCounter(fmt.Sprintf("attempts=%d", clientCount))
 }
 
-// TestDisconnectWithFirstLine checks that a client that sends a request and disconnects at once, or before it is
-// accepted, costs the endpoints nothing.
+// TestDisconnectWithFirstLine checks that no attempt is made for a client that sends a request and disconnects immediately, even before
+// the proxy has accepted its connection.
 func TestDisconnectWithFirstLine(t *testing.T) {
 	for name, disconnect := range map[string]func(*fakes.Peer){
 		"end": func(client *fakes.Peer) { client.CloseWrite() }, "close": func(client *fakes.Peer) { client.Close() }, "reset": resetConn,
@@ -222,14 +222,14 @@
 			client := proxy.dial()
 			client.Send("OPEN next key c=feed,d=60000\r\n")
 			if l := fakes.Await(t, conns).ReadLine(); !strings.HasPrefix(l, "OPEN next ") {
-				t.Errorf("the next connection gets %q", l)
+				t.Errorf("the next connection received %q", l)
 			}
 		})
 	}
 }
 
-// TestMoveDuringPartialLine checks that a move closes a connection on which the endpoint is just sending with an end
-// and not a reset, which would discard what the endpoint has not read.
+// TestMoveDuringPartialLine checks that a move closes a connection with an EOF while the endpoint is sending a line. A reset would
+// discard what the endpoint has not read yet.
 func TestMoveDuringPartialLine(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client, upstream := proxy.connect(conns, "key")
@@ -237,7 +237,7 @@
 		t.Errorf("status %d", status)
 	}
 	proxy.whileSuspended(func() {
-		time.Sleep(time.Second) // the move becomes due, which the proxy sees first
+		time.Sleep(time.Second) // the move becomes due, which the proxy notices before it reads the lines
 		upstream.Send("half a li")
 		client.Send("half ")
 	})
@@ -245,27 +245,27 @@
 	testkit.Equal(t, "endpoint", "EOF", upstream.ReadLine())
 }
 
-// TestBothPeersDisconnectTogether checks that an established connection whose peers both disconnect in one iteration,
-// in any manner, is closed and leaves no state.
+// TestBothPeersDisconnectTogether checks that an established connection is closed and leaves no state if both peers disconnect in one
+// iteration of the event loop, each by EOF, close or reset.
 func TestBothPeersDisconnectTogether(t *testing.T) {
 	disconnect := map[string]func(*fakes.Peer){"end": func(p *fakes.Peer) { p.CloseWrite() },
 		"close": func(p *fakes.Peer) { p.Close() }, "reset": resetConn}
-	for manner, client := range disconnect {
-		for other, server := range disconnect {
-			for _, first := range []bool{true, false} {
-				t.Run(fmt.Sprintf("client %s and endpoint %s, client first %v", manner, other, first), func(t *testing.T) {
+	for clientManner, disconnectClient := range disconnect {
+		for endpointManner, disconnectEndpoint := range disconnect {
+			for _, clientFirst := range []bool{true, false} {
+				t.Run(fmt.Sprintf("client %s and endpoint %s, client first %v", clientManner, endpointManner, clientFirst), func(t *testing.T) {
 					t.Parallel()
 					proxy, conns := startWithEndpoint(t, withAdminListener)
 					fakes.Await(t, proxy.discovery.Watches)
 					before := proxy.countDescriptors()
 					c, upstream := proxy.connect(conns, "key")
 					proxy.whileSuspended(func() {
-						if first {
-							client(c)
+						if clientFirst {
+							disconnectClient(c)
 						}
-						server(upstream)
-						if !first {
-							client(c)
+						disconnectEndpoint(upstream)
+						if !clientFirst {
+							disconnectClient(c)
 						}
 					})
 					proxy.waitForCounter("open=0")
@@ -279,13 +279,13 @@
 	}
 }
 
-// TestClientsDisconnectAtAnyStage checks that clients that disconnect at any stage, with an end or a reset, leave no
-// request, attempt or descriptor.
+// TestClientsDisconnectAtAnyStage checks that clients that disconnect at any stage, by EOF, close or reset, leave no request, attempt or
+// descriptor behind.
 func TestClientsDisconnectAtAnyStage(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
 	before := proxy.countDescriptors()
-	var upstream *fakes.Peer // the connection of the client's attempt; nil: there is none
+	var upstream *fakes.Peer // connection of the client's attempt; nil: there is no attempt
 	request := func(client *fakes.Peer) {
 		client.Send(openLine("k"))
 		upstream = fakes.Await(t, conns)
@@ -321,7 +321,7 @@
 				continue
 			}
 			if l := upstream.ReadLine(); l != "EOF" && l != "RST" {
-				t.Errorf("%s: the endpoint got %q", name, l)
+				t.Errorf("%s: the endpoint received %q", name, l)
 			}
 			upstream.Close()
 		}
@@ -330,7 +330,7 @@
 	proxy.waitForDescriptors(before)
 }
 
-// TestClientDisconnectsBeforeAnswer checks that a client that disconnects before its answer cancels its attempt.
+// TestClientDisconnectsBeforeAnswer checks that the proxy cancels the attempt of a client that disconnects before its answer.
 func TestClientDisconnectsBeforeAnswer(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
--- a/cmd/micafront/discovery_watch_test.go
+++ b/cmd/micafront/discovery_watch_test.go
@@ -11,8 +11,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestWatchRetryInterval checks that a lost watch is reopened soon, repeatedly, however long the discovery interval is.
-// The pauses themselves are tested in internal/discovery, without a clock.
+// TestWatchRetryInterval checks that the proxy reopens a lost watch repeatedly without waiting for the discovery interval. The tests of
+// internal/discovery check the pauses themselves, without a clock.
 func TestWatchRetryInterval(t *testing.T) {
 	t.Parallel()
 	proxy, _ := startWithEndpoint(t, withAdminListener)
@@ -31,8 +31,8 @@
 	proxy.waitForMetrics(map[string]string{"svc.members": "2"})
 }
 
-// TestReloadToUnavailableDiscoveryAndBack checks a reload to an address that is down and back: the watch at the first
-// one is followed all the while and continues without a new call.
+// TestReloadToUnavailableDiscoveryAndBack checks that the proxy keeps the watch at the first discovery address open and applies its changes
+// when a reload selects an unavailable address and another reload selects the first address again.
 func TestReloadToUnavailableDiscoveryAndBack(t *testing.T) {
 	t.Parallel()
 	proxy, _ := startWithEndpoint(t, withAdminListener)
@@ -45,7 +45,7 @@
 	}
 	proxy.reload(proxy.discovery.Addr, other.Addr)
 	for i := range 2 {
-		testkit.Equal(t, fmt.Sprint("call there ", i), "watch=1&from=0", fakes.Await(t, other.Watches))
+		testkit.Equal(t, fmt.Sprint("call of the unavailable address ", i), "watch=1&from=0", fakes.Await(t, other.Watches))
 	}
 	proxy.discovery.Lists <- fakes.List(3, false, listEntry("s-1", "127.0.0.1:1", "terminating"))
 	proxy.waitForMetrics(map[string]string{"svc.members": "1", "svc.members_unavailable": "1"})
@@ -53,11 +53,11 @@
 	proxy.waitForLog(logLine("configuration read again", `"discovery": "`+proxy.discovery.Addr+`"}`))
 	proxy.discovery.Lists <- fakes.List(4, false, listEntry("s-2", "127.0.0.1:1", "in_service"))
 	proxy.waitForMetrics(map[string]string{"svc.members": "2", "svc.members_unavailable": "1"})
-	testkit.Equal(t, "further calls of the first one", 0, len(proxy.discovery.Watches))
+	testkit.Equal(t, "further calls of the first address", 0, len(proxy.discovery.Watches))
 }
 
-// TestReloadDiscoveryTwice checks that after two reloads in a row the proxy follows the third discovery alone: a drain
-// there applies, and lists of the second are ignored.
+// TestReloadDiscoveryTwice checks that after two successive reloads the proxy follows only the third discovery service: a drain that
+// it announces applies.
 func TestReloadDiscoveryTwice(t *testing.T) {
 	t.Parallel()
 	proxy, _ := startWithEndpoint(t, withAdminListener)
@@ -73,8 +73,8 @@
 	proxy.waitForCounter("list_failures=0")
 }
 
-// TestWatchWhileSuspended checks that a list that arrives while the process is suspended applies once it resumes, and
-// that a watch that was lost meanwhile is reopened from there.
+// TestWatchWhileSuspended checks that a list that arrives while the process is suspended applies once the process resumes, and that a
+// watch that ended meanwhile is reopened from that list's generation.
 func TestWatchWhileSuspended(t *testing.T) {
 	t.Parallel()
 	proxy, _ := startWithEndpoint(t, withAdminListener)
@@ -84,7 +84,7 @@
 	proxy.discovery.Lists <- ""
 	for end := time.Now().Add(fakes.WaitTimeout); len(proxy.discovery.Lists) > 0 && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 	}
-	testkit.Equal(t, "left to write", 0, len(proxy.discovery.Lists))
+	testkit.Equal(t, "lists not yet sent", 0, len(proxy.discovery.Lists))
 	proxy.command.Process.Signal(syscall.SIGCONT)
 	testkit.Equal(t, "next call", "watch=1&from=2", fakes.Await(t, proxy.discovery.Watches))
 	proxy.waitForMetrics(map[string]string{"svc.members": "2", "svc.members_unavailable": "1"})
--- a/cmd/micafront/fake_replica_test.go
+++ b/cmd/micafront/fake_replica_test.go
@@ -14,8 +14,7 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// fakeReplica is a control-plane replica that grants leases on the versions that the test sets and records each
-// renewal.
+// fakeReplica is a control-plane replica that grants leases on the versions that the test sets and records every renewal.
 type fakeReplica struct {
 	t        *testing.T
 	addr     string
@@ -23,10 +22,10 @@
 
 	mu                             sync.Mutex
 	activeVersion, proposedVersion fleetconfig.Version
-	handler                        http.HandlerFunc // answers all calls; nil: the replica does
+	handler                        http.HandlerFunc // answers all calls; nil: the replica answers them
 }
 
-// newFakeReplica starts a replica without versions, until the end of the test.
+// newFakeReplica starts a replica without versions. It runs until the end of the test.
 func newFakeReplica(t *testing.T) *fakeReplica {
 	t.Helper()
 	r := &fakeReplica{t: t, renewals: make(chan fleetconfig.Renewal, 1<<14)}
@@ -42,11 +41,11 @@
 
 // neverRespond is a handler that never answers.
 func neverRespond(_ http.ResponseWriter, r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // without it the end of the caller's connection is not seen
+	_, _ = io.Copy(io.Discard, r.Body) // the server notices a closed connection only once the body has been read
 	<-r.Context().Done()
 }
 
-// ServeHTTP answers renewals and calls for versions, or leaves all calls to handler.
+// ServeHTTP answers renewals and calls for versions, or passes all calls to handler.
 func (r *fakeReplica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
 	active, proposed, handler := r.activeVersion, r.proposedVersion, r.handler
@@ -86,15 +85,15 @@
 	r.update(func(replica *fakeReplica) { replica.handler = neverRespond })
 }
 
-// waitForRenewal waits for a renewal that meets a condition; what names it in the failure.
-func (r *fakeReplica) waitForRenewal(what string, matches func(fleetconfig.Renewal) bool) fleetconfig.Renewal {
+// waitForRenewal waits for a renewal that meets a condition and returns it; description names the condition in a failure.
+func (r *fakeReplica) waitForRenewal(description string, matches func(fleetconfig.Renewal) bool) fleetconfig.Renewal {
 	r.t.Helper()
 	for end := time.Now().Add(fakes.WaitTimeout); time.Now().Before(end); {
-		if r := fakes.Await(r.t, r.renewals); matches(r) {
-			return r
+		if renewal := fakes.Await(r.t, r.renewals); matches(renewal) {
+			return renewal
 		}
 	}
-	r.t.Fatalf("never %s", what)
+	r.t.Fatalf("no renewal matched: %s", description)
 	return fleetconfig.Renewal{}
 }
 
@@ -105,7 +104,7 @@
 	r.waitForRenewal("prepared", func(r fleetconfig.Renewal) bool { return r.PreparedVersion == v.Number })
 }
 
-// respondStatus answers with a status and a body.
+// respondStatus returns a handler that answers with a status and a body.
 func respondStatus(status int, body string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, _ *http.Request) {
 		rw.WriteHeader(status)
--- a/cmd/micafront/fleet_test.go
+++ b/cmd/micafront/fleet_test.go
@@ -19,7 +19,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// version returns a version with the program's own settings and other routes.
+// version returns a version of the fleet's configuration with the settings of the process's file and the given routes.
 func (p *proxyProcess) version(number uint64, routing string, terms fleetconfig.Terms) fleetconfig.Version {
 	p.t.Helper()
 	text, err := os.ReadFile(p.configPath)
@@ -38,36 +38,36 @@
 	return v
 }
 
-// routesByKey returns routes to two pools by zone: keys that begin with "b" go to pool b, those with "a" to the given
-// pool.
+// routesByKey returns two pools, one for each zone, and routes by the first letter of the key: "b" goes to pool b and "a" to poolOfA.
 func routesByKey(poolOfA string) string {
 	return strings.Replace(twoPools(`"attempts":3`), `"to":[{"pool":"a"`, `"to":[{"pool":"`+poolOfA+`"`, 1)
 }
 
-// withControlPlane adds a fleet record with these replicas to the configuration; more holds further members of it.
-func withControlPlane(more string, replicas ...*fakeReplica) proxyOption {
+// withControlPlane adds a fleet record with these replicas to the configuration; members holds further members of the record, each with
+// a leading comma.
+func withControlPlane(members string, replicas ...*fakeReplica) proxyOption {
 	return func(proxy *proxyProcess) {
 		var addrs []string
 		for _, replica := range replicas {
 			addrs = append(addrs, fmt.Sprintf("%q", replica.addr))
 		}
-		proxy.routing = fmt.Sprintf(`"routing":%s,"fleet":{"keepers":[%s]%s},`, routesByKey("a"), strings.Join(addrs, ","), more)
+		proxy.routing = fmt.Sprintf(`"routing":%s,"fleet":{"keepers":[%s]%s},`, routesByKey("a"), strings.Join(addrs, ","), members)
 		proxy.adminListen = "127.0.0.1:0"
 	}
 }
 
-// startInFleet starts the program with one replica and two zones, and waits until version 1 is active, by which keys of
-// "a" go to pool b.
-func startInFleet(t *testing.T, terms fleetconfig.Terms, more string) (*proxyProcess, *fakeReplica, map[string]chan *fakes.Peer) {
+// startInFleet starts the program with one replica and two zones and waits until version 1 is active, which routes all keys to pool b.
+// members holds further members of the fleet record.
+func startInFleet(t *testing.T, terms fleetconfig.Terms, members string) (*proxyProcess, *fakeReplica, map[string]chan *fakes.Peer) {
 	t.Helper()
 	replica := newFakeReplica(t)
-	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withControlPlane(more, replica))
+	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withControlPlane(members, replica))
 	replica.update(func(replica *fakeReplica) { replica.activeVersion = proxy.version(1, routesByKey("b"), terms) })
 	proxy.waitForMetrics(map[string]string{"svc.fleet.state": "leased", "svc.fleet.in_force": "1"})
 	return proxy, replica, conns
 }
 
-// expectKeyRejected sends a request that must be rejected at once, with a time to retry.
+// expectKeyRejected sends a request and checks that it is rejected with a retry delay.
 func (p *proxyProcess) expectKeyRejected(key string) {
 	p.t.Helper()
 	client := p.dial()
@@ -75,30 +75,30 @@
 	p.expectRejectionAnswer(client)
 }
 
-// expectRejectionAnswer reads the rejection of a request that was sent.
+// expectRejectionAnswer checks that a client's next answer is a rejection with a retry delay of at most a second.
 func (p *proxyProcess) expectRejectionAnswer(client *fakes.Peer) {
 	p.t.Helper()
-	var ms int
-	if l := client.ReadLine(); !strings.HasPrefix(l, "BUSY ") {
-		p.t.Errorf("%q is no rejection", l)
-	} else if _, err := fmt.Sscanf(l, "BUSY %d", &ms); err != nil || ms < 1 || ms > 1000 {
-		p.t.Errorf("%q has no time to retry: %v", l, err)
+	var retryMs int
+	if line := client.ReadLine(); !strings.HasPrefix(line, "BUSY ") {
+		p.t.Errorf("answer %q, want a rejection", line)
+	} else if _, err := fmt.Sscanf(line, "BUSY %d", &retryMs); err != nil || retryMs < 1 || retryMs > 1000 {
+		p.t.Errorf("answer %q has no valid retry delay: %v", line, err)
 	}
 	testkit.Equal(p.t, "after the rejection", "EOF", client.ReadLine())
 }
 
-// metric returns the present value of one figure of the telemetry.
+// metric returns the current value of an integer metric of the telemetry.
 func (p *proxyProcess) metric(name string) (n int) {
 	p.t.Helper()
 	_, body := p.adminCall("GET", "/api/telemetry")
 	_, value, _ := strings.Cut("\n"+body, "\n"+name+"=")
 	if _, err := fmt.Sscan(value, &n); err != nil {
-		p.t.Fatalf("%s: %v in %s", name, err, body)
+		p.t.Fatalf("metric %s: %v in %s", name, err, body)
 	}
 	return n
 }
 
-// largeRoutes returns eleven routes of 2,700 combinations each and one of 4,000.
+// largeRoutes returns eleven routes with 2,700 combinations of match values each and one with 4,000.
 func largeRoutes() string {
 	texts := func(n int, prefix string) string {
 		var out []string
@@ -115,20 +115,20 @@
 	return fmt.Sprintf(`{"pools":[{"name":"a"}],"routes":[%s]}`, strings.Join(routes, ","))
 }
 
-// albumCatalog returns a catalog with one service of two providers; lost is the mesh whose link is lost.
+// albumCatalog returns a catalog with one service that has two providers; lost is the mesh whose link is lost.
 func albumCatalog(lost string) json.RawMessage {
 	s := catalog.State{Number: 5, Entries: []catalog.Entry{{Name: "album", Owner: "o", Contract: "c", Status: catalog.StatusHeld, Cause: catalog.CauseSoleClaimant}}}
 	for _, zone := range []string{"a", "b"} {
 		mesh := "mesh-" + zone
 		s.Entries[0].Providers = append(s.Entries[0].Providers, catalog.Provider{Mesh: mesh, Zones: []string{zone}, Lost: mesh == lost,
-			Pool: routing.Pool{Name: "album." + mesh, Precedence: 1}}) // above the pools a and b, which have the same endpoints
+			Pool: routing.Pool{Name: "album." + mesh, Precedence: 1}}) // takes precedence over the pools a and b, which select the same endpoints
 	}
 	text, _ := json.Marshal(&s)
 	return text
 }
 
-// TestFleetVersionChanges checks that the control plane's version is active and not the file: nothing is accepted
-// before the first lease, then each version applies from when it is active, not from when it is prepared. Established
+// TestFleetVersionChanges checks that the control plane's version is active instead of the file's settings and routes: no new connection
+// is accepted before the first lease, and each later version applies once it is active, not once it is prepared. Established
 // connections continue.
 func TestFleetVersionChanges(t *testing.T) {
 	t.Parallel()
@@ -141,13 +141,13 @@
 	proxy.waitForMetrics(map[string]string{"svc.fleet.state": "starting", "svc.fleet.in_force": "0"})
 	proxy.expectKeyRejected("alpha")
 	client := proxy.dial()
-	client.Send("OPEN x alpha c=later,d=60000\r\n") // the file lacks the class, the first version may have it
+	client.Send("OPEN x alpha c=later,d=60000\r\n") // the file does not define the class, but the first version may
 	proxy.expectRejectionAnswer(client)
-	resumed := proxy.dial() // a connection that is established somewhere continues in any case
+	resumed := proxy.dial() // an established connection always continues
 	resumed.Send(fmt.Sprintf("OPEN %s beta c=feed,d=60000,mid=1\r\n", fakes.NextID()))
-	at := fakes.Await(t, conns["b"])
-	at.ReadLine()
-	at.Send("UP r\r\n")
+	resumedUpstream := fakes.Await(t, conns["b"])
+	resumedUpstream.ReadLine()
+	resumedUpstream.Send("UP r\r\n")
 	testkit.Equal(t, "resumed", "UP r", resumed.ReadLine())
 
 	replica.update(func(replica *fakeReplica) {
@@ -170,7 +170,7 @@
 	testkit.Equal(t, "an established connection", "M 1", upstream.ReadLine())
 	proxy.waitForMetrics(map[string]string{"svc.fleet.switches": "2", "svc.pool.b.open": "3"})
 
-	// A reload of the file changes neither settings nor routes, but the replicas' addresses.
+	// A reload of the file changes the addresses of the replicas, but neither settings nor routes.
 	next := newFakeReplica(t)
 	next.update(func(replica *fakeReplica) { replica.activeVersion = second })
 	proxy.reload(replica.addr, next.addr)
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestFleetLeaseExpires checks that after the lease has expired those requests are rejected that the next version
-// places elsewhere: on arrival, before another attempt and when the request is about to be sent. All others are served.
+// TestFleetLeaseExpires checks that after the lease has expired the proxy rejects the requests that the next version places elsewhere,
+// whether they arrive, are due for another attempt or are about to be sent, and serves all others.
 func TestFleetLeaseExpires(t *testing.T) {
 	t.Parallel()
 	terms := fleetconfig.Terms{AgreementTimeout: 1500 * time.Millisecond, MemberTimeout: time.Hour}
@@ -219,7 +219,7 @@
 	testkit.Equal(t, "readiness", "PONG", proxy.ping())
 	established.Send("M 1\r\n")
 	testkit.Equal(t, "an established connection", "M 1", upstream.ReadLine())
-	first.Send("ERR FULL\r\n") // the balancer would try the other endpoint
+	first.Send("ERR FULL\r\n") // with a lease the balancer would try the other endpoint
 	proxy.expectRejectionAnswer(retried)
 	unblock()
 	conn, err := delayed.Accept()
@@ -235,19 +235,19 @@
 	proxy.connectWithRetry(conns["a"], "alpha")
 }
 
-// TestFleetVersionChangesDuringRequest checks that a request that was placed by a version that has been replaced
-// meanwhile is not sent by it.
+// TestFleetVersionChangesDuringRequest checks that no further attempt is made for a request that was placed by a version that is no longer
+// active.
 func TestFleetVersionChangesDuringRequest(t *testing.T) {
 	t.Parallel()
 	proxy, replica, conns := startInFleet(t, fleetconfig.Terms{}, "")
-	spare := fakes.NewScriptedEndpoint(t, "s-spare", conns["b"]) // at which the balancer would try next
+	spare := fakes.NewScriptedEndpoint(t, "s-spare", conns["b"]) // the balancer would try it next
 	proxy.discovery.Lists <- fakes.List(2, false, fakes.Entry{ID: spare.ID, Addr: spare.Addr, Zone: "b", StartedAt: time.Unix(1, 0)}.String())
 	proxy.waitForMetrics(map[string]string{"svc.pool.b.members": "2"})
-	client, same := proxy.dial(), proxy.dial()
+	client, unaffected := proxy.dial(), proxy.dial()
 	client.Send(openLine("alpha"))
 	upstream := fakes.Await(t, conns["b"])
 	upstream.ReadLine()
-	same.Send(openLine("beta"))
+	unaffected.Send(openLine("beta"))
 	other := fakes.Await(t, conns["b"])
 	other.ReadLine()
 	second := proxy.version(2, routesByKey("a"), fleetconfig.Terms{})
@@ -259,19 +259,19 @@
 	upstream.Send("ERR FULL\r\n")
 	upstream.Close()
 	if l := client.ReadLine(); !strings.HasPrefix(l, "BUSY") {
-		t.Errorf("%q is no rejection", l)
+		t.Errorf("answer %q, want a rejection", l)
 	}
-	testkit.Equal(t, "after it", "EOF", client.ReadLine())
+	testkit.Equal(t, "after the rejection", "EOF", client.ReadLine())
 	other.Send("UP r\r\n")
-	testkit.Equal(t, "a request that was sent", "UP r", same.ReadLine())
+	testkit.Equal(t, "a request that was already sent", "UP r", unaffected.ReadLine())
 	expectNoConn(t, conns["a"])
 	expectNoConn(t, conns["b"])
 	proxy.waitForMetrics(map[string]string{"svc.fleet.refused_switched": "1"})
 	proxy.connectWithRetry(conns["a"], "alpha")
 }
 
-// TestFleetMembershipExpires checks that a proxy that can no longer know which version is active rejects or serves, as
-// its version says.
+// TestFleetMembershipExpires checks that a proxy that no longer knows which version is active rejects or serves requests according to the
+// lease expiry policy of its version.
 func TestFleetMembershipExpires(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -285,14 +285,14 @@
 			replica.stopResponding()
 			proxy.waitForMetrics(map[string]string{"svc.fleet.state": "blind"})
 			proxy.waitForLog(logLine("fleet: lease state changed", `"state": "blind", "reason": "`))
-			figure := map[bool]string{true: "svc.fleet.blind_served", false: "svc.fleet.refused_held"}[c.serves]
-			before := proxy.metric(figure)
+			metric := map[bool]string{true: "svc.fleet.blind_served", false: "svc.fleet.refused_held"}[c.serves]
+			before := proxy.metric(metric)
 			if c.serves {
 				proxy.connect(conns["b"], "alpha")
 			} else {
 				proxy.expectKeyRejected("alpha")
 			}
-			testkit.Equal(t, figure, before+1, proxy.metric(figure))
+			testkit.Equal(t, metric, before+1, proxy.metric(metric))
 			established.Send("M 1\r\n")
 			testkit.Equal(t, "an established connection", "M 1", upstream.ReadLine())
 			replica.update(func(replica *fakeReplica) { replica.handler = nil })
@@ -301,7 +301,8 @@
 	}
 }
 
-// TestFleetServesFromFile checks that with "serve" a proxy that never had a version uses its file in the end.
+// TestFleetServesFromFile checks that a proxy that never had a version serves from its file after the timeouts if its expiry policy is
+// "serve".
 func TestFleetServesFromFile(t *testing.T) {
 	t.Parallel()
 	replica := newFakeReplica(t)
@@ -312,8 +313,8 @@
 	proxy.waitForMetrics(map[string]string{"svc.fleet.state": "starting", "svc.fleet.blind_served": "1"})
 }
 
-// TestFleetRejectsVersions checks that a node rejects a version that is too large or invalid, with the reason, and that
-// the active one stays.
+// TestFleetRejectsVersions checks that a node rejects a version that is too large or invalid and gives the reason, and that the active
+// version stays active.
 func TestFleetRejectsVersions(t *testing.T) {
 	t.Parallel()
 	proxy, replica, conns := startInFleet(t, fleetconfig.Terms{AgreementTimeout: 400 * time.Millisecond}, `,"memory_mb":8`)
@@ -323,13 +324,13 @@
 		number++
 		invalid.Number = number
 		replica.update(func(replica *fakeReplica) { replica.proposedVersion = invalid })
-		rejection := replica.waitForRenewal("rejected", func(rejection fleetconfig.Renewal) bool {
-			return rejection.RejectedVersion == number && rejection.Rejection != nil
+		renewal := replica.waitForRenewal("rejected", func(renewal fleetconfig.Renewal) bool {
+			return renewal.RejectedVersion == number && renewal.Rejection != nil
 		})
-		testkit.Equal(t, "prepared", uint64(0), rejection.PreparedVersion)
+		testkit.Equal(t, "prepared", uint64(0), renewal.PreparedVersion)
 		replica.update(func(replica *fakeReplica) { replica.proposedVersion = fleetconfig.Version{} })
-		replica.waitForRenewal("withdrawn", func(rejection fleetconfig.Renewal) bool { return rejection.Rejection == nil })
-		return *rejection.Rejection
+		replica.waitForRenewal("withdrawn", func(renewal fleetconfig.Renewal) bool { return renewal.Rejection == nil })
+		return *renewal.Rejection
 	}
 	rejection := expectVersionRejected(proxy.version(0, largeRoutes(), fleetconfig.Terms{}))
 	if rejection.Kind != "proxy/heavy-version" || rejection.LimitBytes != 8<<20 || rejection.EstimatedBytes <= rejection.LimitBytes || len(rejection.LargestRoutes) == 0 || rejection.LargestRoutes[0] != "r11" {
@@ -352,12 +353,12 @@
 	}
 	proxy.waitForMetrics(map[string]string{"svc.fleet.in_force": "1", "svc.fleet.prepare_refused": "5", "svc.fleet.switches": "1"})
 	proxy.connectWithRetry(conns["b"], "alpha")
-	replica.propose(proxy.version(number+1, routesByKey("a"), fleetconfig.Terms{})) // a good one still comes through
+	replica.propose(proxy.version(number+1, routesByKey("a"), fleetconfig.Terms{})) // a valid version is still prepared
 }
 
-// TestFleetServices checks routes that name a service: connections go to the provider in the proxy's zone and by
-// fallback to the other one, and to the other one first once a version's catalog has the former as lost. A version with
-// a name that its catalog lacks is rejected.
+// TestFleetServices checks routes to a service: connections go to the provider in the proxy's zone and fall back to the other provider.
+// Once a version's catalog marks the former as lost, the other provider is preferred. A version whose routes name a service that its
+// catalog does not contain is rejected.
 func TestFleetServices(t *testing.T) {
 	t.Parallel()
 	proxy, replica, conns := startInFleet(t, fleetconfig.Terms{}, "")
@@ -407,47 +408,46 @@
 	proxy.connect(conns["b"], "alpha")
 }
 
-// TestFleetReplicaInvalidResponses checks that after any invalid response of a replica the proxy goes on to the next
-// one.
+// TestFleetReplicaInvalidResponses checks that after any invalid response of a replica the proxy calls the next replica.
 func TestFleetReplicaInvalidResponses(t *testing.T) {
 	t.Parallel()
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: "
 	for name, c := range map[string]struct {
-		answer http.HandlerFunc
-		only   string // the path that it answers; "": all
+		handler http.HandlerFunc
+		path    string // the only path that handler answers; "": all paths
 	}{
-		"garbage":                {answer: respondRaw("SSH-2.0-x\r\n\r\n")},
-		"a reset":                {answer: respondRaw("")},
-		"half":                   {answer: respondRaw(head + "90\r\n\r\n{\"node\":\"n0\"")},
-		"silence":                {answer: neverRespond},
-		"half and silence":       {answer: respondWatch(true, `{"node":"n0"`)},
-		"endless":                {answer: respondEndless},
-		"no leader":              {answer: respondStatus(503, `{"kind":"keeper/no-leader","place":"k1","cause":"none is elected","remedy":"wait"}`)},
-		"another node's lease":   {answer: respondStatus(200, `{"node":"n1","incarnation":1,"seq":1,"term":9,"active":9}`)},
-		"no lease":               {answer: respondStatus(200, `[1]`)},
-		"a version's garbage":    {respondRaw("x\r\n\r\n"), "/v1/version/1"},
-		"half a version":         {respondRaw(head + "90000\r\n\r\n{\"number\":1,"), "/v1/version/1"},
-		"another version":        {respondStatus(200, `{"number":1,"digest":"x","body":{"settings":{}}}`), "/v1/version/1"},
-		"a version that is huge": {respondRaw(head + "99999999999\r\n\r\n"), "/v1/version/1"},
-		"no such version":        {respondStatus(404, ``), "/v1/version/1"},
+		"garbage":                    {handler: respondRaw("SSH-2.0-x\r\n\r\n")},
+		"reset":                      {handler: respondRaw("")},
+		"partial body":               {handler: respondRaw(head + "90\r\n\r\n{\"node\":\"n0\"")},
+		"no response":                {handler: neverRespond},
+		"partial body, then no more": {handler: respondWatch(true, `{"node":"n0"`)},
+		"endless line":               {handler: respondEndless},
+		"no leader":                  {handler: respondStatus(503, `{"kind":"keeper/no-leader","place":"k1","cause":"none is elected","remedy":"wait"}`)},
+		"another node's lease":       {handler: respondStatus(200, `{"node":"n1","incarnation":1,"seq":1,"term":9,"active":9}`)},
+		"not a lease":                {handler: respondStatus(200, `[1]`)},
+		"garbage as version":         {respondRaw("x\r\n\r\n"), "/v1/version/1"},
+		"partial version":            {respondRaw(head + "90000\r\n\r\n{\"number\":1,"), "/v1/version/1"},
+		"another version":            {respondStatus(200, `{"number":1,"digest":"x","body":{"settings":{}}}`), "/v1/version/1"},
+		"huge version":               {respondRaw(head + "99999999999\r\n\r\n"), "/v1/version/1"},
+		"no such version":            {respondStatus(404, ``), "/v1/version/1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			good, bad := newFakeReplica(t), newFakeReplica(t)
 			called := make(chan bool)
 			var once sync.Once
-			// Until the bad replica has been called the good one has nothing to offer, so that each test calls the bad one.
-			wait := func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(503) }
-			good.update(func(r *fakeReplica) { r.handler = wait })
+			// The good replica serves nothing until the bad one has been called, so that every case calls the bad one.
+			unavailable := func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(503) }
+			good.update(func(r *fakeReplica) { r.handler = unavailable })
 			proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withControlPlane("", good, bad))
 			first := proxy.version(1, routesByKey("b"), fleetconfig.Terms{})
 			good.update(func(r *fakeReplica) { r.activeVersion = first })
 			bad.update(func(r *fakeReplica) {
 				r.activeVersion = first
 				r.handler = func(rw http.ResponseWriter, r *http.Request) {
-					if c.only == "" || c.only == r.URL.Path {
+					if c.path == "" || c.path == r.URL.Path {
 						once.Do(func() { close(called) })
-						c.answer(rw, r)
+						c.handler(rw, r)
 						return
 					}
 					plain := fakeReplica{t: t, activeVersion: first, renewals: make(chan fleetconfig.Renewal, 1)}
@@ -462,13 +462,13 @@
 	}
 }
 
-// TestFleetHotRestart checks that during a hot restart each process has leases of its own, and that the old one serves
-// until the new one has a version.
+// TestFleetHotRestart checks that during a hot restart each process renews its own lease, and that the old process serves until the new one
+// has an active version.
 func TestFleetHotRestart(t *testing.T) {
 	t.Parallel()
 	proxy, replica, conns := startInFleet(t, fleetconfig.Terms{}, "")
 	old := replica.waitForRenewal("renewed", func(r fleetconfig.Renewal) bool { return r.ActiveVersion == 1 }).Incarnation
-	secondReplica := newFakeReplica(t) // for the successor alone, so that it can be kept waiting
+	secondReplica := newFakeReplica(t) // only the successor calls it, so that the test can delay its first version
 	secondReplica.stopResponding()
 	proxy.editConfig(replica.addr, secondReplica.addr)
 	successor := proxy.startSuccessor()
@@ -476,7 +476,7 @@
 	for range 3 {
 		proxy.connectWithRetry(conns["b"], "alpha")
 	}
-	testkit.Equal(t, "served by the first process", 3, proxy.metric("svc.downstream_requests.feed.completed"))
+	testkit.Equal(t, "requests served by the first process", 3, proxy.metric("svc.downstream_requests.feed.completed"))
 	secondReplica.update(func(replica *fakeReplica) {
 		replica.activeVersion, replica.handler = proxy.version(1, routesByKey("b"), fleetconfig.Terms{}), nil
 	})
@@ -484,18 +484,18 @@
 	if r := secondReplica.waitForRenewal("renewed", func(r fleetconfig.Renewal) bool { return r.ActiveVersion == 1 }); r.Incarnation <= old {
 		t.Errorf("incarnation %d after %d", r.Incarnation, old)
 	}
-	replica.waitForRenewal("the first one goes on", func(r fleetconfig.Renewal) bool { return r.Incarnation == old })
+	replica.waitForRenewal("the first process still renews", func(r fleetconfig.Renewal) bool { return r.Incarnation == old })
 	proxy.stop()
 	successor.connectWithRetry(conns["b"], "alpha")
 }
 
-// TestNoFleet checks that without a fleet record neither telemetry nor log mention a fleet.
+// TestNoFleet checks that without a fleet record neither the telemetry nor the log mentions a fleet.
 func TestNoFleet(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	proxy.connect(conns, "a")
 	if _, body := proxy.adminCall("GET", "/api/telemetry"); strings.Contains(body, "fleet") {
-		t.Errorf("telemetry mentions a fleet: %s", body)
+		t.Errorf("the telemetry mentions a fleet: %s", body)
 	}
 	proxy.waitForCounter("up=1")
 	if text := proxy.stderr.String(); strings.Contains(text, "fleet") {
--- a/cmd/micafront/helpers_test.go
+++ b/cmd/micafront/helpers_test.go
@@ -13,22 +13,23 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// withClasses replaces the settings' only class by others, in JSON.
+// withClasses replaces feedClass with other classes, in JSON.
 func withClasses(text string) proxyOption {
 	return withReplacement(feedClass, text)
 }
 
-// classJSON returns a class of the settings; memory is its deduplication window in seconds.
-func classJSON(name, effect, scope string, memory float64) string {
-	return fmt.Sprintf(`{"Name":%q,"Aim":5,"GiveUp":30,"Credit":2,"Effect":%q,"DedupScope":%q,"MemorySpan":%g}`, name, effect, scope, memory)
+// classJSON returns a class of the settings; dedupWindow is in seconds.
+func classJSON(name, effect, scope string, dedupWindow float64) string {
+	return fmt.Sprintf(`{"Name":%q,"Aim":5,"GiveUp":30,"Credit":2,"Effect":%q,"DedupScope":%q,"MemorySpan":%g}`, name, effect, scope, dedupWindow)
 }
 
-// openLineOfClass returns the first line of a request with a fresh id; more holds further members.
-func openLineOfClass(name, key, more string) string {
-	return fmt.Sprintf("OPEN %s %s c=%s%s\r\n", fakes.NextID(), key, name, more)
+// openLineOfClass returns the first line of a request of a class, with a new id; attributes holds further attributes, each with a
+// leading comma.
+func openLineOfClass(class, key, attributes string) string {
+	return fmt.Sprintf("OPEN %s %s c=%s%s\r\n", fakes.NextID(), key, class, attributes)
 }
 
-// writeUntilBlocked writes until no peer reads any more.
+// writeUntilBlocked writes until writes block because the other side no longer reads.
 func writeUntilBlocked(t *testing.T, p *fakes.Peer, chunk string) {
 	t.Helper()
 	chunk = strings.Repeat(chunk, 1+65536/len(chunk))
@@ -44,13 +45,13 @@
 	}
 }
 
-// resetConn closes a connection with a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(p *fakes.Peer) {
 	p.SetLinger(0)
 	p.Close()
 }
 
-// sendByteByByte sends a text one byte at a time, each in a packet of its own.
+// sendByteByByte sends a text one byte at a time, each in a separate packet.
 func sendByteByByte(t *testing.T, p *fakes.Peer, text string) {
 	for i := range len(text) {
 		if _, err := io.WriteString(p, text[i:i+1]); err != nil {
@@ -65,21 +66,20 @@
 	return fakes.Entry{ID: id, Addr: addr, Lifecycle: lifecycle}.String()
 }
 
-// decodeJSON decodes a JSON text.
-func decodeJSON(text string, to any) error { return json.Unmarshal([]byte(text), to) }
+func decodeJSON(text string, target any) error { return json.Unmarshal([]byte(text), target) }
 
-// openLine returns the first line of a request with a fresh id.
+// openLine returns the first line of a request of the class feed, with a new id.
 func openLine(key string) string {
 	return fmt.Sprintf("OPEN %s %s c=feed,d=60000\r\n", fakes.NextID(), key)
 }
 
-// readToEnd returns all lines that a peer reads to the end of its connection, and closes it.
-func readToEnd(p *fakes.Peer) (all []string) {
+// readToEnd reads all lines up to the end of a connection, closes it and returns them.
+func readToEnd(p *fakes.Peer) (lines []string) {
 	for {
-		l := p.ReadLine()
-		if all = append(all, l); strings.HasSuffix(l, "EOF") || strings.HasSuffix(l, "RST") {
+		line := p.ReadLine()
+		if lines = append(lines, line); strings.HasSuffix(line, "EOF") || strings.HasSuffix(line, "RST") {
 			p.Close()
-			return all
+			return lines
 		}
 	}
 }
@@ -102,40 +102,40 @@
 	return startProxy(t, fakes.List(1, true, entries...), options...), conns
 }
 
-// openAndServe sends a request and returns what the client reads; accept is called with the endpoint's connection if
-// there is an attempt.
+// openAndServe sends a request and returns the client's answer as readAnswer reads it. If an attempt reaches an endpoint, it calls
+// accept with the endpoint's connection.
 func openAndServe[V any](client *fakes.Peer, conns chan *fakes.Peer, key string, accept func(upstream *fakes.Peer), readAnswer func() V) (answer V, accepted bool) {
 	client.Send(openLine(key))
 	got := make(chan V, 1)
 	go func() { got <- readAnswer() }()
 	select {
-	case s := <-conns:
-		s.ReadLine()
-		accept(s)
+	case upstream := <-conns:
+		upstream.ReadLine()
+		accept(upstream)
 		return <-got, true
 	case answer = <-got:
 		return answer, false
 	}
 }
 
-// sendUp accepts a request as its endpoint.
+// sendUp accepts a request on behalf of the endpoint.
 func sendUp(upstream *fakes.Peer) { upstream.Send("UP r\r\n") }
 
-// requestAnswer sends a request, which an endpoint accepts if it gets there, and returns the client's answer.
+// requestAnswer sends a request, accepts it if it reaches an endpoint, and returns the client's answer.
 func requestAnswer(p *fakes.Peer, conns chan *fakes.Peer) string {
-	l, taken := openAndServe(p, conns, "key", sendUp, p.ReadLine)
-	if !taken {
+	line, accepted := openAndServe(p, conns, "key", sendUp, p.ReadLine)
+	if !accepted {
 		p.Close() // many may be rejected
 	}
-	return l
+	return line
 }
 
-// expectNoConn checks that no endpoint of the channel was connected to.
+// expectNoConn checks that no connection to the endpoints waits in the channel.
 func expectNoConn(t *testing.T, conns chan *fakes.Peer) {
 	t.Helper()
 	select {
 	case p := <-conns:
-		t.Fatalf("a connection came that should not: %q", p.ReadLine())
+		t.Fatalf("unexpected connection to an endpoint, which received %q", p.ReadLine())
 	default:
 	}
 }
--- a/cmd/micafront/hot_restart_test.go
+++ b/cmd/micafront/hot_restart_test.go
@@ -14,24 +14,24 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// waitForCompleted waits until n requests of the class feed are completed.
+// waitForCompleted waits until the process has completed n requests of the class feed.
 func (p *proxyProcess) waitForCompleted(n int) {
 	p.t.Helper()
 	p.waitForMetrics(map[string]string{"svc.downstream_requests.feed.completed": fmt.Sprint(n)})
 }
 
-// tempDir returns the program's $TMPDIR.
+// tempDir returns the process's $TMPDIR.
 func (p *proxyProcess) tempDir() string {
 	dir := ""
-	for _, v := range p.command.Env {
-		if d, ok := strings.CutPrefix(v, "TMPDIR="); ok {
-			dir = d
+	for _, variable := range p.command.Env {
+		if value, ok := strings.CutPrefix(variable, "TMPDIR="); ok {
+			dir = value
 		}
 	}
 	return dir
 }
 
-// serveHandover acts as a predecessor that hands over a given text.
+// serveHandover acts as a predecessor whose handover is the given text.
 func serveHandover(predecessor *net.UnixListener, text string) {
 	c, err := predecessor.AcceptUnix()
 	if err != nil {
@@ -45,13 +45,13 @@
 	if err != nil {
 		return
 	}
-	_, _, _ = c.WriteMsgUnix([]byte(text), syscall.UnixRights(int(f.Fd())), nil) // the test sees what came of it
+	_, _, _ = c.WriteMsgUnix([]byte(text), syscall.UnixRights(int(f.Fd())), nil) // an error shows in the test
 	f.Close()
 	l.Close()
 }
 
-// TestHotRestartWithPools checks that a hot restart hands over every pool and listener: connections continue, the
-// pools' open connections still count, and a connection in the queue of a further listener is not lost.
+// TestHotRestartWithPools checks that a hot restart hands over all pools and listeners: connections continue and still count as open
+// connections of their pools and routes, and connections in the queue of an extra listener are not lost.
 func TestHotRestartWithPools(t *testing.T) {
 	t.Parallel()
 	text := strings.Replace(twoPools(`"attempts":3`), `"pools":[`, `"listeners":{"lan":"127.0.0.1:0"},"pools":[`, 1)
@@ -65,7 +65,7 @@
 	other, _ := lanProxy.connect(conns["b"], "gamma")
 	successor := proxy.startSuccessor()
 	proxy.waitForLog(logSuccessorServes)
-	testkit.Equal(t, "the further listener's address", lan, successor.listenerAddr("lan"))
+	testkit.Equal(t, "address of the extra listener", lan, successor.listenerAddr("lan"))
 	proxy.command.Process.Signal(syscall.SIGTERM)
 	if err := fakes.Await(t, proxy.exited); err != nil {
 		t.Fatal(err)
@@ -75,17 +75,17 @@
 	testkit.Equal(t, "relayed by the successor", "on", upstream.ReadLine())
 	lanProxy.connect(conns["b"], "gamma")
 	successor.connect(conns["a"], "alpha")
-	rejected := successor.dial() // the route's limit counts transferred connections
+	rejected := successor.dial() // transferred connections count towards the route's limit
 	rejected.Send(openLine("alpha"))
 	if got := rejected.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("over the route's limit after the hot restart: %q", got)
+		t.Errorf("answer above the route's limit after the hot restart: %q", got)
 	}
 	other.Close()
 	successor.waitForCounter("open=3")
 }
 
-// TestNoHotRestartAfterListenersClose checks that a process whose listeners are closed and that still has connections
-// accepts no successor: the next process starts by itself and is not handed descriptors that were reused.
+// TestNoHotRestartAfterListenersClose checks that a process that has closed its listeners but still relays connections accepts no
+// successor. The next process starts without a handover, which could contain descriptors that were reused.
 func TestNoHotRestartAfterListenersClose(t *testing.T) {
 	proxy, client, upstream, _ := startPassThrough(t)
 	proxy.setMaxTimeout(0.3)
@@ -96,23 +96,23 @@
 			break
 		}
 		if probe.Close(); time.Now().After(end) {
-			t.Fatal("still listens")
+			t.Fatal("the first process still listens")
 		}
 	}
 	next := proxy.startSuccessor()
 	next.connect(proxy.endpointConns, "a")
 	if log := next.stderr.String(); strings.Contains(log, "hot restart") {
-		t.Errorf("the successor logs %q", log)
+		t.Errorf("the second process logged %q", log)
 	}
 	client.Send("M 1\r\n")
 	testkit.Equal(t, "the first process relays", "M 1", upstream.ReadLine())
 	if log := proxy.stderr.String(); strings.Contains(log, "hot restart") || strings.Contains(log, "successor") {
-		t.Errorf("the first process logs %q", log)
+		t.Errorf("the first process logged %q", log)
 	}
 }
 
-// TestHotRestart checks that a second process takes over while the first serves, and later a third one from the second;
-// that one that dies leaves the old one serving; and that no client is rejected meanwhile.
+// TestHotRestart checks that a second process takes over from the first, and a third from the second, without rejecting a client, and
+// that the old process continues to serve if its successor dies.
 func TestHotRestart(t *testing.T) {
 	proxy, conns := startWithEndpoints(t, 3, withAdminListener)
 	client, upstream := proxy.connect(conns, "a")
@@ -131,17 +131,17 @@
 	second := proxy.startSuccessor()
 	testkit.Equal(t, "address", proxy.addr, second.addr)
 	proxy.waitForLog(strings.Join([]string{logSuccessorServes, logSuccessorExited, logSuccessorConnected, logSuccessorServes}, "\n"))
-	same := second.dial() // the id of a request in progress at the other process
-	same.Send(strings.Replace(openLine("x"), fakes.PreviousID(0)+" ", fakes.PreviousID(1)+" ", 1))
-	testkit.Equal(t, "same id", "ERR SYNTAX", same.ReadLine())
+	duplicate := second.dial() // its id is that of a request in progress at the first process
+	duplicate.Send(strings.Replace(openLine("x"), fakes.PreviousID(0)+" ", fakes.PreviousID(1)+" ", 1))
+	testkit.Equal(t, "same id", "ERR SYNTAX", duplicate.ReadLine())
 	lateClient, _ := second.connect(conns, "c")
 	second.waitForCompleted(1)
 	proxy.waitForCompleted(2)
 	client.Send("M 1\r\n")
 	testkit.Equal(t, "the old process relays", "M 1", upstream.ReadLine())
-	// Established connections continue, in the middle of a line; those accepted later follow.
+	// Established connections are transferred even in the middle of a line; those established later are transferred too.
 	upstream.Send("whole\r\nha")
-	testkit.Equal(t, "whole", "whole", client.ReadLine())
+	testkit.Equal(t, "complete line", "whole", client.ReadLine())
 	proxy.command.Process.Signal(syscall.SIGTERM)
 	pendingUpstream.Send("UP r\r\n")
 	testkit.Equal(t, "answer", "UP r", pending.ReadLine())
@@ -149,7 +149,7 @@
 		t.Errorf("exit: %v", err)
 	}
 	upstream.Send("lf\r\n")
-	testkit.Equal(t, "half by each process", "half", client.ReadLine())
+	testkit.Equal(t, "line whose halves pass through different processes", "half", client.ReadLine())
 	client.Send("M 2\r\n")
 	testkit.Equal(t, "the new process relays", "M 2", upstream.ReadLine())
 	second.waitForMetrics(map[string]string{"svc.pending": "4"})
@@ -169,12 +169,11 @@
 	}
 	left, err := filepath.Glob(filepath.Join(third.tempDir(), "*"))
 	if err != nil || len(left) > 0 {
-		t.Errorf("files left: %v, %v", left, err)
+		t.Errorf("files left in $TMPDIR: %v, %v", left, err)
 	}
 }
 
-// TestStartWithoutHandover checks that without a usable socket the second process starts all the same, beside the first
-// one.
+// TestStartWithoutHandover checks that without a usable handover socket a second process still starts and runs beside the first one.
 func TestStartWithoutHandover(t *testing.T) {
 	long := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	if err := os.Mkdir(long, 0o700); err != nil {
@@ -184,13 +183,13 @@
 		dir       string
 		handsOver bool
 	}{
-		"long path": {long, true}, "none": {"", false}, "not there": {filepath.Join(long, "x"), false},
+		"long path": {long, true}, "no path": {"", false}, "missing directory": {filepath.Join(long, "x"), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			proxy, conns := startWithEndpoint(t, withAdminListener, func(proxy *proxyProcess) { proxy.env = []string{"TMPDIR=" + c.dir} })
 			proxy.connect(conns, "a")
-			second := proxy.startSuccessor("EDGE_LISTEN=" + proxy.addr) // without a handover, port 0 would be another port
+			second := proxy.startSuccessor("EDGE_LISTEN=" + proxy.addr) // without a handover, port 0 would select another port
 			if c.handsOver {
 				second.stop()
 				second = proxy.startSuccessor()
@@ -203,8 +202,8 @@
 	}
 }
 
-// TestUnreadableHandover checks that a process whose predecessor's handover is stale, unreadable or missing starts with
-// its own list.
+// TestUnreadableHandover checks that a process starts with its own endpoint list if its predecessor's socket is stale, or the handover is
+// unreadable or incomplete.
 func TestUnreadableHandover(t *testing.T) {
 	for name, text := range map[string]string{
 		"stale": "", "nonsense": "{\n", "no state": "{}\n", "silence": "{\"Module\"",
@@ -236,7 +235,7 @@
 			began := time.Now()
 			second := proxy.startSuccessor()
 			if took := time.Since(began); took > 30*time.Second { // 2 s on an idle machine
-				t.Errorf("started after %v", took)
+				t.Errorf("the process started after %v", took)
 			}
 			testkit.Equal(t, "reason logged", name != "stale" && name != "silence",
 				strings.Contains(second.stderr.String(), "handover rejected") || strings.Contains(second.stderr.String(), "handover unreadable"))
@@ -246,8 +245,8 @@
 	}
 }
 
-// TestSuccessorHeartbeat checks that a successor's descriptors count as this process's own, and that one that serves
-// and then stops its heartbeat, or dies, leaves the clients to this process.
+// TestSuccessorHeartbeat checks that a process counts its successor's descriptors as its own, and that it serves clients again when the
+// successor dies or stops sending its heartbeat.
 func TestSuccessorHeartbeat(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
@@ -270,22 +269,22 @@
 		}
 		return conn
 	}
-	big := connectAsSuccessor()
-	fmt.Fprintln(big, `{"open":980}`) // of 1024, beside 14 that are no connections
+	successor := connectAsSuccessor()
+	fmt.Fprintln(successor, `{"open":980}`) // of 1024 descriptors, 14 of which are not connections
 	for end := time.Now().Add(fakes.WaitTimeout); ; {
 		conn := proxy.dial()
-		l := requestAnswer(conn, conns)
-		if strings.HasPrefix(l, "BUSY ") {
+		answer := requestAnswer(conn, conns)
+		if strings.HasPrefix(answer, "BUSY ") {
 			break
 		}
-		if conn.Close(); l != "UP r" || time.Now().After(end) { // the heartbeat has not arrived yet
-			t.Fatalf("answer %q", l)
+		if conn.Close(); answer != "UP r" || time.Now().After(end) { // served until the heartbeat arrives
+			t.Fatalf("answer %q", answer)
 		}
 	}
-	big.Close()
+	successor.Close()
 	proxy.waitForLog(logSuccessorExited)
 	proxy.connect(conns, "a")
 	fmt.Fprintln(connectAsSuccessor(), `{"serving":true}`)
 	proxy.waitForLog(logSuccessorServes)
-	proxy.connect(conns, "b") // accepted from the queue once the successor has sent nothing for a second
+	proxy.connect(conns, "b") // accepted from the listener's queue once the successor has sent no heartbeat for a second
 }
--- a/cmd/micafront/large_list_test.go
+++ b/cmd/micafront/large_list_test.go
@@ -13,21 +13,20 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// Sizes of endpoint lists: the largest that operators run, and how many parts a release replaces it in.
 const (
-	largeListEndpoints = 3200
-	releaseParts       = 12
+	largeListEndpoints = 3200 // endpoints in the largest list in operation
+	releaseParts       = 12   // parts in which a release replaces the endpoints
 )
 
-// answeringEndpoint accepts every connection, answers its request at once and records when which request came.
+// answeringEndpoint accepts every connection, answers its request immediately and records the request's time of arrival.
 type answeringEndpoint struct {
 	addr string
 
 	mu       sync.Mutex
-	attempts map[string]time.Time // by the request's id
+	attempts map[string]time.Time // arrival of the request, by its id
 }
 
-// newAnsweringEndpoint starts an endpoint that stops with the test.
+// newAnsweringEndpoint starts an endpoint that runs until the end of the test.
 func newAnsweringEndpoint(t *testing.T) *answeringEndpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,6 +47,7 @@
 	return e
 }
 
+// serve answers load queries and the first request of a connection, and waits until the proxy closes the connection.
 func (e *answeringEndpoint) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -63,25 +63,25 @@
 	e.attempts[strings.Fields(line)[1]] = time.Now()
 	e.mu.Unlock()
 	_, _ = conn.Write([]byte("UP r\r\n"))
-	_, _ = reader.ReadString('\n') // until the client leaves
+	_, _ = reader.ReadString('\n') // until the client disconnects
 }
 
-// attemptOf returns when a request came; false where it did not.
+// attemptOf returns when a request arrived, and whether it did.
 func (e *answeringEndpoint) attemptOf(id string) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at, attempted := e.attempts[id]
-	return at, attempted
+	arrival, attempted := e.attempts[id]
+	return arrival, attempted
 }
 
-// attemptCount returns how many requests have come.
+// attemptCount returns how many requests have arrived.
 func (e *answeringEndpoint) attemptCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.attempts)
 }
 
-// entries are count entries of an endpoint list, numbered from first, that all lead to this endpoint, in three zones.
+// entries returns count entries of an endpoint list, numbered from first. They are in three zones and all have this endpoint's address.
 func (e *answeringEndpoint) entries(first, count int, lifecycle string) []string {
 	entries := make([]string, 0, count)
 	for i := first; i < first+count; i++ {
@@ -95,7 +95,7 @@
 	return entries
 }
 
-// requestTiming is one request of a steady client: how long it took to the answer.
+// requestTiming is a request with its answer and the time until the answer.
 type requestTiming struct {
 	id     string
 	sentAt time.Time
@@ -103,8 +103,7 @@
 	wait   time.Duration
 }
 
-// sendPeriodically sends a request every interval, each on a connection of its own, until stop is closed. It returns the
-// timings of all of them.
+// sendPeriodically sends a request on a new connection every interval until stop is closed, and returns the timings of all requests.
 func sendPeriodically(t *testing.T, addr string, interval, timeout time.Duration, stop <-chan struct{}) []requestTiming {
 	var mu sync.Mutex
 	var timings []requestTiming
@@ -129,7 +128,7 @@
 	}
 }
 
-// sendRequest sends one request that its client waits for no longer than timeout, and reads the answer, also a late one.
+// sendRequest sends a request with a timeout and reads the answer, even a late one.
 func sendRequest(t *testing.T, addr string, timeout time.Duration) requestTiming {
 	id := fakes.NextID()
 	timing := requestTiming{id: id, sentAt: time.Now(), answer: "none"}
@@ -148,11 +147,11 @@
 	return timing
 }
 
-// answerTolerance is how long after a request's time its answer may come; later it is lost.
+// answerTolerance is how long after a request's deadline its answer may arrive; a later answer is lost.
 const answerTolerance = 500 * time.Millisecond
 
-// TestDeadlinesDuringLargeListUpdates replaces a list of 3,200 endpoints in parts while clients with little time come steadily: each
-// gets its answer in time, and no attempt begins once a request's time is over.
+// TestDeadlinesDuringLargeListUpdates checks that clients with short timeouts are answered in time while a list of 3,200 endpoints is
+// replaced in parts, and that no attempt starts after a request's deadline.
 func TestDeadlinesDuringLargeListUpdates(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	endpoint := newAnsweringEndpoint(t)
@@ -189,45 +188,45 @@
 			t.Errorf("request %s waited %v for %q", timing.id, timing.wait, timing.answer)
 		}
 		if at, attempted := endpoint.attemptOf(timing.id); attempted && at.Sub(timing.sentAt) > timeout+answerTolerance {
-			t.Errorf("request %s was attempted %v after it was sent", timing.id, at.Sub(timing.sentAt))
+			t.Errorf("request %s reached the endpoint %v after it was sent", timing.id, at.Sub(timing.sentAt))
 		}
 	}
 	t.Logf("longest wait for an answer: %v", longest)
 }
 
-// TestExpiredRequestsAfterSuspension checks that requests whose time passes while the process stands still are
-// rejected, and that one which still has time is attempted.
+// TestExpiredRequestsAfterSuspension checks that requests whose deadline passes while the process is suspended are rejected without an
+// attempt, and that a request whose deadline has not passed is served.
 func TestExpiredRequestsAfterSuspension(t *testing.T) {
 	t.Parallel()
 	endpoint := newAnsweringEndpoint(t)
 	proxy := startProxy(t, fakes.List(1, true, endpoint.entries(0, 3, "in_service")...))
-	accepted := proxy.dial() // its request comes on a connection that the process has accepted
-	idle := proxy.dial()     // and this one's in two parts
-	idle.Send("OPEN half key c=feed,")
+	accepted := proxy.dial() // sends its request on an accepted connection
+	partial := proxy.dial()  // sends its request in two parts
+	partial.Send("OPEN half key c=feed,")
 	time.Sleep(50 * time.Millisecond)
 	waiting := make(chan requestTiming, 1)
 	proxy.whileSuspended(func() {
 		accepted.Send("OPEN accepted key c=feed,d=300\r\n")
-		idle.Send("d=300\r\n")
+		partial.Send("d=300\r\n")
 		time.Sleep(400 * time.Millisecond)
 		go func() { waiting <- sendRequest(t, proxy.addr, 5*time.Second) }()
 		time.Sleep(200 * time.Millisecond)
 	})
-	for name, client := range map[string]*fakes.Peer{"accepted": accepted, "half": idle} {
+	for name, client := range map[string]*fakes.Peer{"accepted": accepted, "half": partial} {
 		if got := client.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-			t.Errorf("the request %q, whose time was over, was answered %q", name, got)
+			t.Errorf("the expired request %q got %q, want BUSY", name, got)
 		}
 		if _, attempted := endpoint.attemptOf(name); attempted {
-			t.Errorf("the request %q was attempted after its time", name)
+			t.Errorf("the expired request %q was attempted", name)
 		}
 	}
 	if timing := <-waiting; timing.answer != "UP r" {
-		t.Errorf("the request that had time left was answered %q", timing.answer)
+		t.Errorf("the request with time left got %q", timing.answer)
 	}
 }
 
-// TestDisconnectedClientsAfterSuspension checks that clients that leave while the process stands still are not
-// attempted for, whether their request is new or waits for a connection to its endpoint.
+// TestDisconnectedClientsAfterSuspension checks that no attempt is made for clients that disconnect while the process is
+// suspended, whether their request is new or waits for a connection to its endpoint.
 func TestDisconnectedClientsAfterSuspension(t *testing.T) {
 	t.Parallel()
 	endpoint := newAnsweringEndpoint(t)
@@ -241,15 +240,15 @@
 		time.Sleep(150 * time.Millisecond)
 	})
 	if timing := sendRequest(t, proxy.addr, 5*time.Second); timing.answer != "UP r" {
-		t.Errorf("a client that stayed got %q", timing.answer)
+		t.Errorf("a client that stayed connected got %q", timing.answer)
 	}
 	if count := endpoint.attemptCount(); count != 1 {
-		t.Errorf("%d attempts, of which %d for clients that had gone", count, count-1)
+		t.Errorf("%d attempts, want 1: %d were for disconnected clients", count, count-1)
 	}
 }
 
-// TestLoadQueriesLeaveDescriptorsForRequests has a list with several times as many endpoints as the proxy may have descriptors, all
-// of which report their load when they are asked: clients are served all the same.
+// TestLoadQueriesLeaveDescriptorsForRequests checks that clients are served while the proxy queries the load of several times as many
+// endpoints as it may have descriptors.
 func TestLoadQueriesLeaveDescriptorsForRequests(t *testing.T) {
 	t.Parallel()
 	const maxDescriptors = 400
@@ -259,7 +258,7 @@
 	time.Sleep(time.Second) // several rounds of queries
 	for range 20 {
 		if timing := sendRequest(t, proxy.addr, time.Second); timing.answer != "UP r" {
-			t.Errorf("a request was answered %q", timing.answer)
+			t.Errorf("a request got %q", timing.answer)
 		}
 	}
 	t.Logf("%d descriptors are open", proxy.countDescriptors())
--- a/cmd/micafront/list_replica_test.go
+++ b/cmd/micafront/list_replica_test.go
@@ -16,18 +16,18 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// listReplica is a control-plane replica that also serves endpoint lists: those of a discovery server, which stands for
-// the list that the replicas agreed on.
+// listReplica is a control-plane replica that also serves endpoint lists. It takes them from a discovery server, which represents the
+// list that the replicas agreed on.
 type listReplica struct {
 	*fakeReplica
-	listQueries chan string // queries of the list calls that it served
+	listQueries chan string // queries of the list calls that were forwarded
 	listProxy   *httputil.ReverseProxy
 
 	listMu      sync.Mutex
-	listNumber  uint64           // in its leases
-	listHandler http.HandlerFunc // answers list calls; nil: listProxy does
-	listMuted   bool             // what it serves is dropped
-	listContext context.Context  // of the list calls in progress, ended by endLists
+	listNumber  uint64           // list number in the leases; 0: no list
+	listHandler http.HandlerFunc // answers list calls; nil: listProxy answers them
+	listMuted   bool             // whether responses to list calls are dropped
+	listContext context.Context  // context of the list calls in progress; endLists cancels it
 	endLists    context.CancelFunc
 }
 
@@ -42,7 +42,7 @@
 	return replica
 }
 
-// serveListsWith sets the handler of list calls, nil for the list itself; watches in progress end.
+// serveListsWith sets the handler of list calls, where nil serves the discovery server's list, and ends the watches in progress.
 func (r *listReplica) serveListsWith(handler http.HandlerFunc) {
 	r.listMu.Lock()
 	defer r.listMu.Unlock()
@@ -51,20 +51,20 @@
 	r.listContext, r.endLists = context.WithCancel(r.t.Context())
 }
 
-// muteLists stops all answers to list calls while their connections stay open.
+// muteLists makes the replica send nothing more to list calls, whose connections stay open.
 func (r *listReplica) muteLists() {
 	r.listMu.Lock()
 	defer r.listMu.Unlock()
 	r.listHandler, r.listMuted = neverRespond, true
 }
 
-// mutableResponse drops what is written while the replica's lists are muted.
+// mutableResponse drops writes while the replica's lists are muted.
 type mutableResponse struct {
 	http.ResponseWriter
 	replica *listReplica
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (m mutableResponse) Unwrap() http.ResponseWriter { return m.ResponseWriter }
 
 // Write implements io.Writer.
@@ -77,27 +77,27 @@
 	return m.ResponseWriter.Write(b)
 }
 
-// setListNumber sets the list number that leases carry; 0: no list.
+// setListNumber sets the list number in leases; 0 means no list.
 func (r *listReplica) setListNumber(number uint64) {
 	r.listMu.Lock()
 	defer r.listMu.Unlock()
 	r.listNumber = number
 }
 
-// serve answers list calls, and adds the list number to the leases of the replica.
+// serve answers list calls and adds the list number to the leases of the replica.
 func (r *listReplica) serve(w http.ResponseWriter, request *http.Request) {
 	r.listMu.Lock()
-	number, lists, listContext := r.listNumber, r.listHandler, r.listContext
+	number, handler, listContext := r.listNumber, r.listHandler, r.listContext
 	r.listMu.Unlock()
 	if request.URL.Path == "/registry/instances" {
-		if lists != nil {
-			lists(w, request)
+		if handler != nil {
+			handler(w, request)
 			return
 		}
 		r.listQueries <- request.URL.RawQuery
-		ctx, end := context.WithCancel(request.Context())
-		defer end()
-		context.AfterFunc(listContext, end)
+		ctx, cancel := context.WithCancel(request.Context())
+		defer cancel()
+		context.AfterFunc(listContext, cancel)
 		r.listProxy.ServeHTTP(mutableResponse{w, r}, request.WithContext(ctx))
 		return
 	}
@@ -116,5 +116,5 @@
 	_ = json.NewEncoder(w).Encode(lease)
 }
 
-// respondNotLeading answers as a replica that is not the leader.
+// respondNotLeading answers like a replica that is not the leader.
 var respondNotLeading = respondStatus(503, `{"kind":"keeper/not-leading","place":"k1","cause":"another one leads","remedy":"ask it"}`)
--- a/cmd/micafront/main.go
+++ b/cmd/micafront/main.go
@@ -1,8 +1,8 @@
-// Command micafront is the proxy: it assigns clients' long-lived connections to endpoints and relays them.
+// Command micafront is the proxy: it places clients' long-lived connections on endpoints and relays them.
 //
-// Without arguments it serves, as the environment and the file that EDGE_CONFIG names say. With arguments it becomes
-// micafrontctl, which has all other commands. SIGTERM and SIGINT stop it in order, SIGHUP reloads the configuration and
-// SIGUSR1 prints the counters.
+// Without arguments it runs the proxy, configured by the environment and the file that EDGE_CONFIG names. With arguments it
+// executes micafrontctl, which implements all other commands. SIGTERM and SIGINT shut the proxy down gracefully, SIGHUP reloads
+// the configuration and SIGUSR1 logs the counters.
 package main
 
 import (
@@ -20,25 +20,25 @@
 
 // Exit codes.
 const (
-	exitFailed  = 1 // the proxy could not start or ended with an error
-	exitNoTools = 2 // the program of the other commands could not be run
+	exitFailed      = 1 // the proxy could not start or ended with an error
+	exitToolsFailed = 2 // micafrontctl could not be executed
 )
 
-// Capacities of the queues of signals. A reload that finds its queue full is dropped: one that waits reads the same file.
+// Capacities of the signal queues. A reload that arrives at a full queue is dropped, because the queued ones read the same file.
 const (
 	maxQueuedSignals = 8
 	maxQueuedReloads = 64
 )
 
-// envLog names form and level of the log.
+// envLog is the environment variable that sets the format and the level of the log.
 const envLog = "MICAFRONT_LOG"
 
 func main() {
-	// COMP_LINE is set by a shell that asks for the completion of a command line.
+	// A shell sets COMP_LINE when it requests the completion of a command line.
 	if len(os.Args) > 1 || os.Getenv("COMP_LINE") != "" {
 		err := execTools()
 		fmt.Fprintln(os.Stderr, "micafront:", err)
-		os.Exit(exitNoTools)
+		os.Exit(exitToolsFailed)
 	}
 	if err := serve(); err != nil {
 		fmt.Fprintln(os.Stderr, "micafront:", oneLine(err))
@@ -55,24 +55,24 @@
 	return line
 }
 
-// execTools replaces this process by the program that has all other commands, so that the proxy links none of them. It
-// returns only if that fails.
+// execTools replaces this process with micafrontctl, so that the proxy does not link the other commands. It returns only if that
+// fails.
 func execTools() error {
 	path, err := config.ToolsPath(os.Getenv)
 	if err != nil {
 		return err
 	}
 	args := append([]string{"micafront"}, os.Args[1:]...)
-	return fmt.Errorf("commands are in %s: %w", path, syscall.Exec(path, args, os.Environ()))
+	return fmt.Errorf("execute %s, which implements the commands: %w", path, syscall.Exec(path, args, os.Environ()))
 }
 
 // serve runs the proxy until it is stopped.
 func serve() error {
-	// Signals are handled before all else: until then they, also SIGHUP, would end the program by their default action.
+	// Registered first, because until then any of these signals, including SIGHUP, terminates the process.
 	signals := make(chan os.Signal, maxQueuedSignals)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
-	signal.Ignore(syscall.SIGPIPE) // else the program would end when the reader of its standard error closes
-	form, level, err := logging.Parse(os.Getenv(envLog))
+	signal.Ignore(syscall.SIGPIPE) // otherwise the process would end once the reader of its standard error closes
+	format, level, err := logging.Parse(os.Getenv(envLog))
 	if err != nil {
 		return fmt.Errorf("%s: %w", envLog, err)
 	}
@@ -81,8 +81,8 @@
 		return err
 	}
 	limitDescriptors(cfg)
-	log := logging.New(os.Stderr, form, level)
-	defer func() { _ = log.Close() }() // the process ends: nothing can be done about lines that are not written
+	log := logging.New(os.Stderr, format, level)
+	defer func() { _ = log.Close() }() // the process exits: there is nowhere left to report unwritten lines
 	p, err := proxy.New(cfg, log)
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return p.Run()
 }
 
-// logAddresses logs where the proxy listens. Scripts and tests wait for these lines.
+// logAddresses logs the addresses of the listeners. Scripts and tests wait for these lines.
 func logAddresses(p *proxy.Proxy, log *logging.Logger, cfg *config.Config) {
 	if addr := p.AdminAddr(); addr != "" {
 		log.Info("micafront: operators call at " + addr)
@@ -103,11 +103,11 @@
 	log.Info("micafront: " + cfg.Name + " serves at " + p.Addr())
 }
 
-// handleSignals passes signals on to the proxy for as long as the process runs; once the proxy's loop has ended they have no
-// effect. Reloads have a goroutine of their own: a site takes time to compile, and a stop must not wait for that. Signals
-// that were pending together come in no promised order, which the proxy allows for in the timing of a stop.
+// handleSignals passes signals to the proxy until the process exits; they have no effect once the proxy's event loop has ended.
+// Reloads run in a separate goroutine, because a site takes time to compile and a stop must not wait for it. Signals that are
+// pending together arrive in no guaranteed order, which the proxy allows for in the timing of a stop.
 //
-// The errors of the proxy's methods are those of evloop.Loop.Post, which cannot fail.
+// It ignores the errors of the proxy's methods: they come from evloop.Loop.Post, which cannot fail.
 func handleSignals(signals <-chan os.Signal, p *proxy.Proxy, log *logging.Logger, cfg *config.Config) {
 	reloads := make(chan struct{}, maxQueuedReloads)
 	go func() {
@@ -130,7 +130,7 @@
 	}
 }
 
-// reload reads the file again and returns the configuration in use afterwards: an invalid file changes nothing.
+// reload rereads the configuration file and returns the configuration in use afterwards. An invalid file changes nothing.
 func reload(p *proxy.Proxy, current *config.Config) *config.Config {
 	next, err := current.Reload(os.Getenv)
 	if err != nil {
@@ -142,8 +142,8 @@
 	return next
 }
 
-// limitDescriptors lowers the process's limit on file descriptors to the configured one: a descriptor that the kernel
-// refuses is better than one too many. Where the limit cannot be changed, the proxy's own count still bounds them.
+// limitDescriptors lowers the process's limit on file descriptors to the configured one, because a descriptor that the kernel
+// refuses does less harm than one above the limit. Where the limit cannot be changed, the proxy's own count still bounds them.
 func limitDescriptors(cfg *config.Config) {
 	if cfg.MaxDescriptors <= 0 {
 		return
--- a/cmd/micafront/pass_through_test.go
+++ b/cmd/micafront/pass_through_test.go
@@ -11,8 +11,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// startPassThrough starts the program in pass-through mode, with a client that other proxies would place at the same
-// endpoint and a misplaced one, which its first endpoint rejected.
+// startPassThrough starts the program in pass-through mode with two established clients: one at the endpoint where other proxies would
+// place it too, and a misplaced one, whose first endpoint failed the attempt.
 func startPassThrough(t *testing.T, options ...proxyOption) (proxy *proxyProcess, client, upstream, misplaced *fakes.Peer) {
 	t.Helper()
 	conns := make(chan *fakes.Peer, 64)
@@ -22,21 +22,21 @@
 		append(options, func(proxy *proxyProcess) { proxy.extraSettings = `"FamilyInfo":{"Mode":"pass"},` })...)
 	proxy.endpointConns = conns
 	client, upstream = proxy.connect(conns, "key")
-	testkit.Equal(t, "in the proxy's zone", near.Addr, upstream.LocalAddr().String())
+	testkit.Equal(t, "endpoint in the proxy's zone", near.Addr, upstream.LocalAddr().String())
 	misplaced = proxy.dial()
 	misplaced.Send(openLine("key2"))
 	first := fakes.Await(t, conns)
 	first.ReadLine()
 	first.Send("ERR\r\n")
-	at := fakes.Await(t, conns)
-	at.ReadLine()
-	at.Send("UP r\r\n")
+	second := fakes.Await(t, conns)
+	second.ReadLine()
+	second.Send("UP r\r\n")
 	testkit.Equal(t, "answer", "UP r", misplaced.ReadLine())
 	return proxy, client, upstream, misplaced
 }
 
-// TestStopInPassThroughMode checks that in pass-through mode a stop moves only misplaced clients: another proxy finds
-// the others where they are.
+// TestStopInPassThroughMode checks that in pass-through mode a stop moves only misplaced clients, because another proxy would place the
+// others at the same endpoints.
 func TestStopInPassThroughMode(t *testing.T) {
 	proxy, client, upstream, misplaced := startPassThrough(t)
 	proxy.command.Process.Signal(syscall.SIGTERM)
@@ -50,7 +50,7 @@
 	proxy.waitForLog("moves_stop=1")
 }
 
-// TestDrainInPassThroughMode checks the same for a drain.
+// TestDrainInPassThroughMode checks that in pass-through mode a drain moves only misplaced clients.
 func TestDrainInPassThroughMode(t *testing.T) {
 	proxy, client, upstream, misplaced := startPassThrough(t, withAdminListener)
 	if status, _ := proxy.adminCall("PUT", "/api/evacuate"); status != 200 {
@@ -62,9 +62,9 @@
 	testkit.Equal(t, "still relayed", "M 1", upstream.ReadLine())
 }
 
-// TestStopInPassThroughModeKeepsConnections checks that in pass-through mode requests are answered before the kill, and
-// established connections are kept past it, because a connection that the process closes does not continue at another
-// proxy.
+// TestStopInPassThroughModeKeepsConnections checks that in pass-through mode a stopping process answers pending requests before the
+// process would be killed and still relays established connections after that time, because a connection that the process closes
+// cannot continue at another proxy.
 func TestStopInPassThroughModeKeepsConnections(t *testing.T) {
 	for _, seconds := range []float64{1, 60} {
 		t.Run(fmt.Sprint(seconds), func(t *testing.T) {
@@ -77,11 +77,11 @@
 			testkit.Equal(t, "answer", []string{"ERR", "EOF"}, readToEnd(pending))
 			kill := time.Duration(min(seconds, 3)*1e9) + 700*time.Millisecond
 			if took := time.Since(stopAt); took > kill {
-				t.Errorf("answered after %v, the kill comes after %v", took, kill)
+				t.Errorf("answered after %v, want before the kill after %v", took, kill)
 			}
 			select {
 			case err := <-proxy.exited:
-				t.Fatalf("ended before the kill: %v", err)
+				t.Fatalf("the process exited with an established connection: %v", err)
 			case <-time.After(kill + 200*time.Millisecond - time.Since(stopAt)):
 			}
 			client.Send("M 1\r\n")
@@ -94,24 +94,23 @@
 	}
 }
 
-// TestHotRestartInPassThroughMode checks that in pass-through mode the successor knows at which endpoint each
-// connection is established.
+// TestHotRestartInPassThroughMode checks that in pass-through mode the successor knows the endpoint of every established connection.
 func TestHotRestartInPassThroughMode(t *testing.T) {
 	proxy, client, upstream, misplaced := startPassThrough(t, withAdminListener)
 	successor := proxy.startSuccessor()
 	proxy.waitForLog(logSuccessorServes)
 	for key, established := range map[string]*fakes.Peer{"key": client, "key2": misplaced} {
-		mid := successor.dial()
-		mid.Send(strings.Replace(openLine(key), "c=feed", "c=feed,mid=1", 1))
-		at := fakes.Await(t, proxy.endpointConns)
-		at.ReadLine()
+		resumed := successor.dial()
+		resumed.Send(strings.Replace(openLine(key), "c=feed", "c=feed,mid=1", 1))
+		resumedUpstream := fakes.Await(t, proxy.endpointConns)
+		resumedUpstream.ReadLine()
 		if key == "key" {
-			testkit.Equal(t, "endpoint", upstream.LocalAddr().String(), at.LocalAddr().String())
-		} else if at.LocalAddr().String() == upstream.LocalAddr().String() {
-			t.Error("not at its endpoint")
+			testkit.Equal(t, "endpoint", upstream.LocalAddr().String(), resumedUpstream.LocalAddr().String())
+		} else if resumedUpstream.LocalAddr().String() == upstream.LocalAddr().String() {
+			t.Error("the misplaced connection did not continue at its endpoint")
 		}
-		at.Send("UP r\r\n")
-		testkit.Equal(t, "continues", "UP r", mid.ReadLine())
+		resumedUpstream.Send("UP r\r\n")
+		testkit.Equal(t, "continues", "UP r", resumed.ReadLine())
 		established.Close()
 	}
 	proxy.stop()
--- a/cmd/micafront/pool_reload_test.go
+++ b/cmd/micafront/pool_reload_test.go
@@ -13,7 +13,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// compileRoutes returns the table of routes in JSON.
+// compileRoutes compiles a JSON text of pools and routes to a table.
 func compileRoutes(t *testing.T, text string) *routing.Table {
 	t.Helper()
 	var set routing.Set
@@ -27,16 +27,16 @@
 	return table
 }
 
-// TestReloadOfPools checks a reload of pools: those that stay keep their connections, also when renamed, and
-// connections of a removed pool are moved at the configured pace.
+// TestReloadOfPools checks that on a reload the remaining pools keep their connections, even if they are renamed, and that the connections
+// of a removed pool are moved within the configured time.
 func TestReloadOfPools(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(strings.Replace(twoPools(`"attempts":3`), `"pools":[`, `"drain_over_us":400000,"pools":[`, 1)))
 	kept, keptUpstream := proxy.connect(conns["a"], "alpha")
-	var leaving []*fakes.Peer
+	var removedPoolClients []*fakes.Peer
 	for range 4 {
 		c, _ := proxy.connect(conns["b"], "beta")
-		leaving = append(leaving, c)
+		removedPoolClients = append(removedPoolClients, c)
 	}
 	proxy.editConfig(`{"name":"a","select"`, `{"name":"first","was":["a"],"select"`)
 	proxy.editConfig(`"to":[{"pool":"a"`, `"to":[{"pool":"first"`)
@@ -47,7 +47,7 @@
 	proxy.waitForLog(logLine("pool created", `"pool": "c"}`))
 	proxy.waitForLog(logLine("pool removed", `"pool": "b", "connections": 4, "drain_time": "400ms"}`))
 	proxy.connect(conns["c"], "beta")
-	for _, c := range leaving {
+	for _, c := range removedPoolClients {
 		testkit.Equal(t, "from the removed pool", []string{"MOVE", "EOF"}, []string{c.ReadLine(), c.ReadLine()})
 	}
 	proxy.waitForLog(logLine("removed pool has no connections left", `"pool": "b"}`))
@@ -56,15 +56,15 @@
 	testkit.Equal(t, "through the renamed pool", "still here", keptUpstream.ReadLine())
 	proxy.connect(conns["a"], "alpha")
 	expectNoConn(t, conns["b"])
-	// An invalid set changes nothing.
+	// Invalid routes change nothing.
 	proxy.reload(`"pool":"c"`, `"pool":"nowhere"`)
 	proxy.waitForLog(logLine(logConfigRejected, `"error": "`+
 		inJSON(proxy.configPath+`: routing: route "toB" goes to pool "nowhere", which does not exist`)))
 	proxy.connect(conns["c"], "beta")
 }
 
-// TestReloadDuringRequest checks that a request whose pool is removed while it waits is answered once, by another pool
-// or with BUSY, and that a repeated reload changes nothing.
+// TestReloadDuringRequest checks that a request whose pool is removed while it is pending is served by the policy's fallback pool, and that
+// a repeated reload changes nothing.
 func TestReloadDuringRequest(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(twoPools(`"attempts":3,"fallback":["b"]`)))
@@ -86,8 +86,8 @@
 	proxy.waitForLog(logLine("removed pool has no connections left", `"pool": "a"}`))
 }
 
-// TestEndpointChangesPool checks an endpoint whose entry now belongs to another pool: its connections stay, the other
-// pool places on it and moves them when it drains.
+// TestEndpointChangesPool checks that when an endpoint's entry changes to another pool, the endpoint's connections continue, and the other
+// pool places new connections on it and moves all of them when it drains.
 func TestEndpointChangesPool(t *testing.T) {
 	t.Parallel()
 	proxy, conns, entries := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":3`)))
@@ -101,19 +101,19 @@
 	proxy.waitForCounter("transfers=1")
 	client.Send("line\r\n")
 	testkit.Equal(t, "still relayed", "line", upstream.ReadLine())
-	proxy.waitUntilServed(conns["a"], "beta") // pool b's only endpoint now, once its hash table has it
+	proxy.waitUntilServed(conns["a"], "beta") // the only endpoint of pool b, once the pool's hash table includes it
 	rejected := proxy.dial()
 	rejected.Send(openLine("alpha"))
 	if got := rejected.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("a pool without endpoints: %q", got)
+		t.Errorf("answer %q from a pool without endpoints, want BUSY", got)
 	}
 	moved.Lifecycle = "terminating"
 	proxy.discovery.Lists <- fakes.List(3, false, moved.String())
 	testkit.Equal(t, "moved off the draining endpoint", "MOVE", client.ReadLine())
 }
 
-// TestWarmingEndpointChangesPool checks that an endpoint in slow start that changes pools belongs to neither until it
-// is warm, so that its slow-start budget counts once.
+// TestWarmingEndpointChangesPool checks that an endpoint that changes pools during slow start belongs to neither pool until it is warm, so
+// that its slow-start budget counts only once.
 func TestWarmingEndpointChangesPool(t *testing.T) {
 	t.Parallel()
 	proxy, conns, entries := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":3`)))
@@ -129,7 +129,7 @@
 	client := proxy.dial()
 	client.Send(openLine("beta"))
 	if got := client.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("pool b has an endpoint in slow start: %q", got)
+		t.Errorf("answer %q, want BUSY: pool b must not use the endpoint during its slow start", got)
 	}
 	expectNoConn(t, conns["a"])
 	proxy.waitForLog(logLine("endpoint is warm and moved to its pool", `"endpoint": "s-a", "from": "", "to": "b"}`))
@@ -149,25 +149,25 @@
 	}
 	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withRouting(old))
 	poolsByKey := func() map[string]string {
-		at := map[string]string{}
+		pools := map[string]string{}
 		for i := range 40 {
 			key := fmt.Sprint([]string{"a", "b"}[i%2], i/2)
-			c := proxy.dial()
-			c.Send(openLine(key))
-			var s *fakes.Peer
+			client := proxy.dial()
+			client.Send(openLine(key))
+			var upstream *fakes.Peer
 			select {
-			case s = <-conns["a"]:
-				at[key] = "a"
-			case s = <-conns["b"]:
-				at[key] = "b"
+			case upstream = <-conns["a"]:
+				pools[key] = "a"
+			case upstream = <-conns["b"]:
+				pools[key] = "b"
 			case <-time.After(fakes.WaitTimeout):
-				t.Fatal("no endpoint was connected to")
+				t.Fatal("the proxy dialed no endpoint")
 			}
-			s.ReadLine()
-			s.Send("UP r\r\n")
-			testkit.Equal(t, "answer", "UP r", c.ReadLine())
+			upstream.ReadLine()
+			upstream.Send("UP r\r\n")
+			testkit.Equal(t, "answer", "UP r", client.ReadLine())
 		}
-		return at
+		return pools
 	}
 	before := poolsByKey()
 	proxy.reload(proxy.routing, `"routing":`+next+`,`)
@@ -178,25 +178,24 @@
 		position := routing.SplitPosition(&routing.ConnectionAttributes{Key: key})
 		predicted := false
 		for _, c := range changes {
-			in := position >= c.From && position < c.From+c.PPM && c.ChangesPool()
+			matches := position >= c.From && position < c.From+c.PPM && c.ChangesPool()
 			for _, s := range c.Cell {
-				in = in && s.Contains(map[string]string{"key": key}[s.Dimension])
+				matches = matches && s.Contains(map[string]string{"key": key}[s.Dimension])
 			}
-			predicted = predicted || in
+			predicted = predicted || matches
 		}
 		if differs := before[key] != after[key]; differs != predicted {
-			t.Errorf("key %s: %s to %s, predicted %v", key, before[key], after[key], predicted)
+			t.Errorf("key %s: pool %s before and %s after, move predicted: %v", key, before[key], after[key], predicted)
 		} else if differs {
 			moved++
 		}
 	}
 	if moved == 0 || moved == len(before) {
-		t.Errorf("%d of %d keys moved", moved, len(before))
+		t.Errorf("%d of %d keys moved, want some but not all", moved, len(before))
 	}
 }
 
-// TestReloadWhileDrained checks metrics by pool and route, a reload of pools during a drain, and a change of the log
-// level.
+// TestReloadWhileDrained checks the metrics of pools and routes, a reload of pools during a drain, and a change of the log level.
 func TestReloadWhileDrained(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(twoPools(`"attempts":3`)), withAdminListener)
@@ -212,22 +211,22 @@
 	proxy.editConfig(`{"name":"b","select":{"zones":["b"]}}`, `{"name":"c","select":{"zones":["c"]}}`)
 	proxy.reload(`"to":[{"pool":"b"`, `"to":[{"pool":"c"`)
 	proxy.waitForLog(logLine("pool removed", `"pool": "b", `))
-	testkit.Equal(t, "moved, once", []string{"MOVE", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
-	// New connections are served, by the new pools.
+	testkit.Equal(t, "moved once", []string{"MOVE", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
+	// The new pools serve new connections.
 	lateClient, _ := proxy.connect(conns["c"], "beta")
-	testkit.Equal(t, "and moved", "MOVE", lateClient.ReadLine())
+	testkit.Equal(t, "moved while drained", "MOVE", lateClient.ReadLine())
 	proxy.adminCall("PUT", "/api/rejoin")
 	proxy.connect(conns["c"], "beta")
 	expectNoConn(t, conns["b"])
 }
 
-// TestReloadDuringHotRestart checks new pools during a hot restart: the successor starts from the new file, and the old
-// process transfers its connections.
+// TestReloadDuringHotRestart checks that during a hot restart with changed pools the successor starts with the new configuration file and
+// receives the connections of the old process.
 func TestReloadDuringHotRestart(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(twoPools(`"attempts":3`)))
 	kept, keptUpstream := proxy.connect(conns["a"], "alpha")
-	split, splitUpstream := proxy.connect(conns["b"], "beta")
+	rerouted, reroutedUpstream := proxy.connect(conns["b"], "beta")
 	proxy.editConfig(`{"name":"b","select":{"zones":["b"]}}`, `{"name":"b2","was":["b"],"select":{"zones":["b"]}},{"name":"c","select":{"zones":["c"]}}`)
 	proxy.editConfig(`"to":[{"pool":"b","ppm":1000000}]`, `"to":[{"pool":"c","ppm":1000000}]`)
 	successor := proxy.startSuccessor()
@@ -239,27 +238,27 @@
 		t.Fatal(err)
 	}
 	successor.waitForCounter("taken_over=2")
-	for _, pair := range [][2]*fakes.Peer{{kept, keptUpstream}, {split, splitUpstream}} {
-		pair[0].Send("on\r\n")
-		testkit.Equal(t, "relayed by the successor", "on", pair[1].ReadLine())
+	for _, ends := range [][2]*fakes.Peer{{kept, keptUpstream}, {rerouted, reroutedUpstream}} {
+		ends[0].Send("on\r\n")
+		testkit.Equal(t, "relayed by the successor", "on", ends[1].ReadLine())
 	}
 	successor.waitUntilServed(conns["c"], "beta")
 	successor.connect(conns["a"], "alpha")
 }
 
-// TestProtocolUnderReloads checks many clients and two pools that are often full under repeated reloads: each request
-// has one final answer and no two attempts at a time.
+// TestProtocolUnderReloads checks that under repeated reloads, with many clients and two pools that are often full, every request gets
+// exactly one final answer and no two attempts of a request overlap.
 func TestProtocolUnderReloads(t *testing.T) {
 	t.Parallel()
 	checker := fakes.NewProtocolChecker()
 	var entries []string
 	for i, zone := range []string{"a", "a", "b", "b"} {
-		f, err := fakes.NewEndpoint(fakes.Entry{ID: fmt.Sprint("s-", i), Zone: zone}, checker, 6, time.Millisecond)
+		endpoint, err := fakes.NewEndpoint(fakes.Entry{ID: fmt.Sprint("s-", i), Zone: zone}, checker, 6, time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(f.Stop)
-		entries = append(entries, f.String())
+		t.Cleanup(endpoint.Stop)
+		entries = append(entries, endpoint.String())
 	}
 	routeSets := []string{twoPools(`"attempts":3,"fallback":["b"]`),
 		strings.NewReplacer(`{"name":"a",`, `{"name":"x","was":["a"],`, `"pool":"a"`, `"pool":"x"`).Replace(twoPools(`"attempts":2,"fallback":["b"]`)),
@@ -276,7 +275,7 @@
 		answers := checker.Counts().Answers
 		for end := time.Now().Add(fakes.WaitTimeout); checker.Counts().Answers < answers+30; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("round %d: no answers any more, %+v", round, checker.Counts())
+				t.Fatalf("round %d: answers stopped: %+v", round, checker.Counts())
 			}
 		}
 		proxy.reload(routeSets[round%3], routeSets[(round+1)%3])
--- a/cmd/micafront/pools_test.go
+++ b/cmd/micafront/pools_test.go
@@ -9,13 +9,13 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// withRouting adds routes and pools to the configuration.
+// withRouting adds the member "routing", with pools and routes, to the configuration.
 func withRouting(text string) proxyOption {
 	return func(proxy *proxyProcess) { proxy.routing = `"routing":` + text + `,` }
 }
 
-// twoPools returns two pools, "a" and "b", by zone, and routes by the first letter of the key; the policy applies to
-// keys of "a".
+// twoPools returns pools "a" and "b", one for each zone, and routes by the first letter of the key. policy holds the members of the policy
+// of the route to pool "a".
 func twoPools(policy string) string {
 	return `{"pools":[{"name":"a","select":{"zones":["a"]}},{"name":"b","select":{"zones":["b"]}}],
 		"policies":[{"name":"p",` + policy + `}],
@@ -23,42 +23,42 @@
 		{"name":"toA","match":{"key":{"prefix":["a"]}},"to":[{"pool":"a","ppm":1000000}],"policy":"p"}]}`
 }
 
-// startWithZones starts the program with an endpoint in each zone; their connections arrive on a channel for each zone.
-func startWithZones(t *testing.T, names []string, options ...proxyOption) (*proxyProcess, map[string]chan *fakes.Peer, map[string]fakes.Entry) {
+// startWithZones starts the program with an endpoint in each zone, and returns the channels of their connections and the entries, by zone.
+func startWithZones(t *testing.T, zones []string, options ...proxyOption) (*proxyProcess, map[string]chan *fakes.Peer, map[string]fakes.Entry) {
 	t.Helper()
 	conns, entries := map[string]chan *fakes.Peer{}, map[string]fakes.Entry{}
-	var all []string
-	for _, zone := range names {
+	var list []string
+	for _, zone := range zones {
 		conns[zone] = make(chan *fakes.Peer, 64)
 		endpoint := fakes.NewScriptedEndpoint(t, "s-"+zone, conns[zone])
 		entries[zone] = fakes.Entry{ID: endpoint.ID, Addr: endpoint.Addr, Zone: zone}
-		all = append(all, entries[zone].String())
+		list = append(list, entries[zone].String())
 	}
-	return startProxy(t, fakes.List(1, true, all...), options...), conns, entries
+	return startProxy(t, fakes.List(1, true, list...), options...), conns, entries
 }
 
-// connectWithRetry sends requests until an endpoint of the channel accepts one, and returns both ends.
+// connectWithRetry sends requests until one reaches an endpoint of the channel, accepts it, and returns both ends.
 func (p *proxyProcess) connectWithRetry(conns chan *fakes.Peer, key string) (client, upstream *fakes.Peer) {
 	p.t.Helper()
 	for end := time.Now().Add(fakes.WaitTimeout); time.Now().Before(end); {
 		client := p.dial()
-		if l, taken := openAndServe(client, conns, key, func(accepted *fakes.Peer) { upstream = accepted; sendUp(accepted) }, client.ReadLine); taken {
-			testkit.Equal(p.t, "answer", "UP r", l)
+		if line, accepted := openAndServe(client, conns, key, func(conn *fakes.Peer) { upstream = conn; sendUp(conn) }, client.ReadLine); accepted {
+			testkit.Equal(p.t, "answer", "UP r", line)
 			return client, upstream
 		}
 		client.Close()
 	}
-	p.t.Fatal("never served")
+	p.t.Fatal("no request reached the endpoints")
 	return nil, nil
 }
 
-// waitUntilServed is connectWithRetry without the connections.
+// waitUntilServed sends requests until an endpoint of the channel serves one.
 func (p *proxyProcess) waitUntilServed(conns chan *fakes.Peer, key string) {
 	p.t.Helper()
 	p.connectWithRetry(conns, key)
 }
 
-// TestRoutesChoosePools checks that a request goes to the pool of its route and fails without a route.
+// TestRoutesChoosePools checks that a request goes to the pool of the route that matches it, and fails if none matches.
 func TestRoutesChoosePools(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":3`)))
@@ -74,8 +74,8 @@
 	expectNoConn(t, conns["b"])
 }
 
-// TestFallback checks that a request that its pool rejects goes on to the policy's next pool: one attempt at a time,
-// all together within the policy's limit, and that a rejection by the last pool is answered at once.
+// TestFallback checks that a request that its pool rejects is attempted in the policy's next pool, that attempts do not overlap and stay
+// within the policy's limit, and that the client is answered when the last pool rejects the request.
 func TestFallback(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":2,"fallback":["b"]`)))
@@ -85,19 +85,19 @@
 		upstream := fakes.Await(t, conns["a"])
 		first := upstream.ReadLine()
 		upstream.Send("BUSY\r\n")
-		testkit.Equal(t, "the first pool's attempt has ended", "EOF", upstream.ReadLine())
+		testkit.Equal(t, "end of the first pool's attempt", "EOF", upstream.ReadLine())
 		upstream = fakes.Await(t, conns["b"])
 		if second := upstream.ReadLine(); strings.Fields(second)[1] != strings.Fields(first)[1] {
-			t.Errorf("another request came: %q after %q", second, first)
+			t.Errorf("the second attempt has another request id: %q after %q", second, first)
 		}
 		upstream.Send(last + "\r\n")
 		got := client.ReadLine()
 		switch last {
 		case "UP r":
 			testkit.Equal(t, "answer", "UP r", got)
-		default: // none of its two attempts is left
+		default: // both attempts are used up
 			if !strings.HasPrefix(got, "BUSY") {
-				t.Errorf("%s of the second pool: %q", last, got)
+				t.Errorf("answer %q after %s from the second pool, want BUSY", got, last)
 			}
 			testkit.Equal(t, "end", "EOF", client.ReadLine())
 		}
@@ -107,7 +107,7 @@
 	expectNoConn(t, conns["a"])
 }
 
-// TestFallbackWithinAttemptLimit checks that there is no fallback where the policy has no attempt left.
+// TestFallbackWithinAttemptLimit checks that a request does not fall back to another pool if the policy allows no further attempt.
 func TestFallbackWithinAttemptLimit(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":1,"fallback":["b"],"come_back_from_us":700000,"come_back_to_us":700000`)))
@@ -116,12 +116,12 @@
 	upstream := fakes.Await(t, conns["a"])
 	upstream.ReadLine()
 	upstream.Send("BUSY\r\n")
-	testkit.Equal(t, "answer, with the policy's time to retry", "BUSY 700", client.ReadLine())
+	testkit.Equal(t, "answer, with the policy's retry delay", "BUSY 700", client.ReadLine())
 	proxy.waitForCounter("fallbacks=0")
 	expectNoConn(t, conns["b"])
 }
 
-// TestPoolWithoutEndpoints checks that a request goes on to the fallback when its pool loses its endpoints.
+// TestPoolWithoutEndpoints checks that a request goes to the fallback pool when its pool loses all endpoints.
 func TestPoolWithoutEndpoints(t *testing.T) {
 	t.Parallel()
 	proxy, conns, entries := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":4,"fallback":["b"]`)))
@@ -138,12 +138,12 @@
 	upstream.ReadLine()
 	upstream.Send("UP r\r\n")
 	testkit.Equal(t, "answer", "UP r", client.ReadLine())
-	// From now on the first pool rejects before any attempt.
+	// The first pool now rejects requests without an attempt.
 	proxy.connect(conns["b"], "alpha")
 	proxy.waitForCounter("attempts=3")
 }
 
-// TestPoolAndRouteLimits checks the limits of open connections of a pool and a route.
+// TestPoolAndRouteLimits checks the limits on the open connections of a pool and of a route.
 func TestPoolAndRouteLimits(t *testing.T) {
 	t.Parallel()
 	text := strings.Replace(twoPools(`"fallback":["b"]`), `"select":{"zones":["a"]}`, `"select":{"zones":["a"]},"max_open":2`, 1)
@@ -151,15 +151,15 @@
 	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withRouting(text))
 	first, _ := proxy.connect(conns["a"], "alpha")
 	proxy.connect(conns["a"], "alpha")
-	proxy.connect(conns["b"], "alpha") // the pool is full, its policy has a fallback
+	proxy.connect(conns["b"], "alpha") // pool a is at its limit, and the policy has a fallback
 	proxy.connect(conns["b"], "beta")
 	client := proxy.dial()
 	client.Send(openLine("beta"))
 	if got := client.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("over the route's limit: %q", got)
+		t.Errorf("answer above the route's limit: %q", got)
 	}
 	first.Close()
 	proxy.waitForCounter("open=3")
-	proxy.connect(conns["a"], "alpha") // below the limit again
+	proxy.connect(conns["a"], "alpha") // pool a is below its limit again
 	expectNoConn(t, conns["b"])
 }
--- a/cmd/micafront/process_test.go
+++ b/cmd/micafront/process_test.go
@@ -16,49 +16,49 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// proxyProcess is the real program with a configuration, and the discovery service that it calls.
+// proxyProcess is a process of the real program with its configuration and the discovery service that it calls.
 type proxyProcess struct {
 	t         *testing.T
 	discovery *fakes.ScriptedDiscovery
 
-	// The configuration, which options change before the start.
+	// The configuration, which options may change before the start.
 
 	maxDescriptors int      // limit on file descriptors
-	connectTimeout float64  // of connections to endpoints, in seconds
-	adminListen    string   // configured admin address; "": none
-	routing        string   // the configuration's member, with a comma at the end
-	extraSettings  string   // further settings, as JSON members with a comma at the end
-	replacements   []string // pairs of a text in the configuration and the one that replaces it
-	siteText       string   // the configuration in the site language; "": it is JSON
-	env            []string // further environment variables
+	connectTimeout float64  // timeout of connections to endpoints, in seconds
+	adminListen    string   // address of the admin listener; "": none
+	routing        string   // the configuration's member "routing", with a trailing comma
+	extraSettings  string   // further settings, as JSON members with a trailing comma
+	replacements   []string // alternating old and new texts of the configuration, as for strings.NewReplacer
+	siteText       string   // the configuration in the site language; "": the configuration is JSON
+	env            []string // further environment variables, as name=value
 
 	// The process.
 
 	command    *exec.Cmd
 	configPath string
 	stderr     *syncBuffer
-	exited     chan error // its end, once
-	addr       string     // where it serves
-	adminAddr  string     // the admin address, if there is one
+	exited     chan error // receives the result of Wait once
+	addr       string     // address of the main listener
+	adminAddr  string     // address of the admin listener; "": none
 
-	endpointConns chan *fakes.Peer // connections of the endpoints, where startPassThrough made them
+	endpointConns chan *fakes.Peer // connections accepted by the endpoints; only set by startPassThrough
 }
 
-// countDescriptors returns the number of the program's open file descriptors.
+// countDescriptors returns how many file descriptors the process has open.
 func (p *proxyProcess) countDescriptors() int {
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid))
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid))
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return len(all)
+	return len(descriptors)
 }
 
-// waitForDescriptors waits until the program has at most as many open file descriptors as before.
+// waitForDescriptors waits until the process has at most as many file descriptors open as before.
 func (p *proxyProcess) waitForDescriptors(before int) {
 	p.t.Helper()
 	for end := time.Now().Add(fakes.WaitTimeout); p.countDescriptors() > before; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("%d descriptors, %d before", p.countDescriptors(), before)
+			p.t.Fatalf("%d descriptors are open, %d were before", p.countDescriptors(), before)
 		}
 	}
 }
@@ -76,14 +76,14 @@
 	return b.buf.Write(p)
 }
 
-// String returns all that was written.
+// String returns everything written so far.
 func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.String()
 }
 
-// proxyOption changes the configuration of a program before it starts.
+// proxyOption changes the configuration of a process before it starts.
 type proxyOption func(*proxyProcess)
 
 // withConnectTimeout sets the timeout of connections to endpoints, in seconds.
@@ -94,12 +94,12 @@
 // withMaxDescriptors sets the limit on file descriptors.
 func withMaxDescriptors(n int) proxyOption { return func(p *proxyProcess) { p.maxDescriptors = n } }
 
-// withSettings adds further settings: JSON members with a comma at the end.
+// withSettings adds further settings: JSON members with a trailing comma.
 func withSettings(members string) proxyOption {
 	return func(p *proxyProcess) { p.extraSettings = members }
 }
 
-// withReplacement replaces a text of the configuration.
+// withReplacement replaces a text in the configuration.
 func withReplacement(from, to string) proxyOption {
 	return func(p *proxyProcess) { p.replacements = append(p.replacements, from, to) }
 }
@@ -107,7 +107,7 @@
 // feedClass is the only class of the settings, unless withClasses replaces it.
 const feedClass = `{"Name":"feed","Aim":30,"GiveUp":60,"Credit":5,"Effect":"safe","DedupScope":"all"}`
 
-// configText returns the configuration in JSON; known is the endpoint list at the start.
+// configText returns the configuration in JSON; known is the endpoint list that the process starts with.
 func (p *proxyProcess) configText(known string) string {
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"operator":%q,"seed":"5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":%s,%s"settings":{"Balancers":1,
@@ -119,8 +119,8 @@
 	return strings.NewReplacer(p.replacements...).Replace(text)
 }
 
-// startProxy starts the program with a known endpoint list and waits until it serves. The options change its
-// configuration first.
+// startProxy starts the program with a known endpoint list and the configuration changed by the options, and waits until it
+// serves.
 func startProxy(t *testing.T, known string, options ...proxyOption) *proxyProcess {
 	t.Helper()
 	proxy := &proxyProcess{
@@ -143,7 +143,7 @@
 	return proxy
 }
 
-// useSite makes the program read its configuration in the site language in place of JSON.
+// useSite makes the program read siteText instead of the JSON configuration.
 func (p *proxyProcess) useSite() {
 	p.t.Helper()
 	p.configPath = strings.TrimSuffix(p.configPath, ".json") + ".cue"
@@ -153,16 +153,16 @@
 	p.command.Env = append(p.command.Env, "EDGE_CONFIG="+p.configPath)
 }
 
-// listenerAddr returns the address of a listener beside the main one.
+// listenerAddr returns the address of an extra listener.
 func (p *proxyProcess) listenerAddr(name string) string {
 	p.t.Helper()
 	_, rest, _ := strings.Cut(p.waitForLog("listener "+name+" is at "), "listener "+name+" is at ")
-	at, _, _ := strings.Cut(rest, "\n")
-	return at
+	addr, _, _ := strings.Cut(rest, "\n")
+	return addr
 }
 
-// startSuccessor starts the program once more with the same configuration, as the successor in a hot restart; env adds
-// to its environment.
+// startSuccessor starts another process with the same configuration, as the successor in a hot restart; env is added to its
+// environment.
 func (p *proxyProcess) startSuccessor(env ...string) *proxyProcess {
 	p.t.Helper()
 	next := *p
@@ -190,7 +190,7 @@
 	}
 }
 
-// newCommand returns the command of the real program with a configuration, which it writes to configPath.
+// newCommand returns the command that runs the real program, and the path of the file that it writes the configuration to.
 func newCommand(t *testing.T, config string) (command *exec.Cmd, configPath string) {
 	configPath = filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(configPath, []byte(config), 0o600); err != nil {
@@ -201,7 +201,7 @@
 	return command, configPath
 }
 
-// Messages of the log that tests wait for.
+// Log messages that tests wait for.
 const (
 	logConfigRejected     = "configuration rejected"
 	logSuccessorConnected = "hot restart: successor connected"
@@ -209,23 +209,23 @@
 	logSuccessorExited    = "hot restart: successor exited, this process serves"
 )
 
-// logLine returns the beginning of a line of the log: the message and its first fields, as JSON members.
+// logLine returns the beginning of a log line: the message and its first fields, as JSON members.
 func logLine(message, fields string) string { return message + "\t{" + fields }
 
-// inJSON returns a text as it stands within a JSON string.
+// inJSON returns a text as it is escaped within a JSON string.
 func inJSON(text string) string {
 	quoted := strconv.Quote(text)
 	return quoted[1 : len(quoted)-1]
 }
 
-// reload replaces a text of the configuration and sends SIGHUP.
+// reload replaces a text in the configuration file and sends SIGHUP.
 func (p *proxyProcess) reload(from, to string) {
 	p.t.Helper()
 	p.editConfig(from, to)
 	p.command.Process.Signal(syscall.SIGHUP)
 }
 
-// editConfig replaces a text of the configuration.
+// editConfig replaces the first occurrence of a text in the configuration file.
 func (p *proxyProcess) editConfig(from, to string) {
 	p.t.Helper()
 	text, err := os.ReadFile(p.configPath)
@@ -237,7 +237,7 @@
 	}
 }
 
-// waitForLog waits for a complete line with a text on standard error, and returns all of standard error.
+// waitForLog waits for a complete line that contains a text on standard error, and returns all of standard error.
 func (p *proxyProcess) waitForLog(text string) string {
 	p.t.Helper()
 	for end := time.Now().Add(fakes.WaitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -247,11 +247,11 @@
 			}
 		}
 	}
-	p.t.Fatalf("no %q in %q", text, p.stderr.String())
+	p.t.Fatalf("standard error never contained %q: %q", text, p.stderr.String())
 	return ""
 }
 
-// waitForCounter requests the counters until they include one, such as "open=0".
+// waitForCounter requests the counters by SIGUSR1 until they include a value such as "open=0".
 func (p *proxyProcess) waitForCounter(counter string) {
 	p.t.Helper()
 	for end := time.Now().Add(fakes.WaitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -260,10 +260,10 @@
 			return
 		}
 	}
-	p.t.Fatalf("never %s: %s", counter, p.stderr.String())
+	p.t.Fatalf("the counters never included %s: %s", counter, p.stderr.String())
 }
 
-// dial connects as a client.
+// dial opens a client connection to the main listener.
 func (p *proxyProcess) dial() *fakes.Peer {
 	p.t.Helper()
 	return fakes.Dial(p.t, p.addr)
@@ -283,8 +283,8 @@
 	return client, upstream
 }
 
-// suspend stops the process by SIGSTOP until resume is called: all that happens meanwhile reaches it in one iteration
-// of its loop.
+// suspend stops the process by SIGSTOP until resume is called. The process then handles everything that happened meanwhile in one
+// iteration of its event loop.
 func (p *proxyProcess) suspend() (resume func()) {
 	p.t.Helper()
 	pid := p.command.Process.Pid
@@ -293,14 +293,14 @@
 	}
 	for end := time.Now().Add(fakes.WaitTimeout); !allThreadsStopped(pid); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatal("the process does not stop")
+			p.t.Fatal("the process did not stop on SIGSTOP")
 		}
 	}
 	return func() { syscall.Kill(pid, syscall.SIGCONT) }
 }
 
-// allThreadsStopped reports whether each thread of a process is stopped. The state of the first one alone does not tell
-// that of the loop's.
+// allThreadsStopped reports whether every thread of a process is stopped. The state of the first thread is not enough, because the
+// event loop may run on another one.
 func allThreadsStopped(pid int) bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, path := range threads {
@@ -312,7 +312,7 @@
 	return err == nil && len(threads) > 0
 }
 
-// whileSuspended runs a function while the process is suspended.
+// whileSuspended calls meanwhile while the process is suspended.
 func (p *proxyProcess) whileSuspended(meanwhile func()) {
 	p.t.Helper()
 	resume := p.suspend()
--- a/cmd/micafront/protocol_test.go
+++ b/cmd/micafront/protocol_test.go
@@ -12,14 +12,14 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestIdleClientIsAnswered checks that a client that has sent nothing is answered before it is closed, in case it is
-// just about to send a request.
+// TestIdleClientIsAnswered checks that the proxy answers an idle client before it closes the connection, because the client may be sending
+// a request at that moment.
 func TestIdleClientIsAnswered(t *testing.T) {
 	proxy, _ := startWithEndpoint(t)
 	silent, ready := proxy.dial(), proxy.dial()
 	ready.Send("PING\r\n")
-	testkit.Equal(t, "a client that sent nothing", []string{"BUSY", "EOF"}, readToEnd(silent))
-	testkit.Equal(t, "a client that checked readiness", []string{"PONG", "EOF"}, readToEnd(ready))
+	testkit.Equal(t, "answer to a client that sent nothing", []string{"BUSY", "EOF"}, readToEnd(silent))
+	testkit.Equal(t, "answer to a client that checked readiness", []string{"PONG", "EOF"}, readToEnd(ready))
 }
 
 // TestMalformedRequests checks that malformed first lines are answered with a syntax error and counted.
@@ -38,14 +38,13 @@
 	}
 	proxy.waitForCounter("bad_lines=11")
 	proxy.waitForCounter("overlong=1")
-	// An endpoint that is not in the list cannot have an established connection.
+	// No connection can be established at an endpoint that is not in the list.
 	client := proxy.dial()
 	client.Send("OPEN id key c=feed,d=60000,at=s-9\r\n")
 	testkit.Equal(t, "unknown endpoint", "ERR", client.ReadLine())
 }
 
-// TestRejectedImmediately checks that a request that cannot be placed is rejected at once and not at its deadline, with
-// a time to retry.
+// TestRejectedImmediately checks that a request that cannot be placed is rejected immediately, with a retry delay, and not at its deadline.
 func TestRejectedImmediately(t *testing.T) {
 	proxy := startProxy(t, fakes.List(1, true))
 	client := proxy.dial()
@@ -56,8 +55,8 @@
 	testkit.Equal(t, "end", "EOF", client.ReadLine())
 }
 
-// TestProtocolViolations checks that clients that violate the protocol get one definite answer at once, and that
-// nothing of theirs reaches an endpoint.
+// TestProtocolViolations checks that a client that violates the protocol gets exactly one answer immediately, that none of its data
+// reaches an endpoint, and that other clients are not affected.
 func TestProtocolViolations(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client, upstream := proxy.connect(conns, "a")
@@ -66,7 +65,7 @@
 		"unknown_class": "OPEN x1 key c=feed2,d=60000\r\n",
 		"same_id":       "OPEN " + id + " key c=feed,d=60000\r\n",
 		"overtalked":    strings.Repeat(openLine("key"), 300),
-		"bad_lines":     "OPEN x2 ke", // half a command and its end
+		"bad_lines":     "OPEN x2 ke", // a partial line, then EOF
 	} {
 		violator := proxy.dial()
 		violator.Send(in)
@@ -81,30 +80,30 @@
 	for range 8 {
 		testkit.Equal(t, "readiness", "PONG", pings.ReadLine())
 	}
-	testkit.Equal(t, "too many", []string{"ERR SYNTAX", "EOF"}, []string{pings.ReadLine(), pings.ReadLine()})
-	// A line before the answer is an error too: the attempt ends, and the endpoint gets none of it.
+	testkit.Equal(t, "too many readiness checks", []string{"ERR SYNTAX", "EOF"}, []string{pings.ReadLine(), pings.ReadLine()})
+	// A line before the answer is an error too: the attempt ends, and the endpoint does not receive the line.
 	early := proxy.dial()
 	early.Send(openLine("b"))
-	at := fakes.Await(t, conns)
-	at.ReadLine()
+	earlyUpstream := fakes.Await(t, conns)
+	earlyUpstream.ReadLine()
 	early.Send("M 1\r\n")
-	testkit.Equal(t, "early", []string{"ERR SYNTAX", "EOF"}, []string{early.ReadLine(), early.ReadLine()})
-	testkit.Equal(t, "its attempt", "EOF", at.ReadLine())
+	testkit.Equal(t, "line before the answer", []string{"ERR SYNTAX", "EOF"}, []string{early.ReadLine(), early.ReadLine()})
+	testkit.Equal(t, "its attempt", "EOF", earlyUpstream.ReadLine())
 	proxy.waitForCounter("attempts=2")
 	client.Send("M 1\r\n")
 	testkit.Equal(t, "the other client", "M 1", upstream.ReadLine())
 }
 
-// TestAnswerReachesSendingClient checks that a client that is still sending reads why it is rejected: if it were closed
-// with unread bytes, its connection would be reset and the answer lost. Others are served meanwhile.
+// TestAnswerReachesSendingClient checks that a client that is still sending receives its error answer. If the proxy closed the connection
+// with unread bytes, the kernel would reset it and the answer would be lost. Other clients are served meanwhile.
 func TestAnswerReachesSendingClient(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
-	huge := proxy.dial()
+	client := proxy.dial()
 	sent := make(chan error, 1)
 	go func() {
 		chunk := bytes.Repeat([]byte("k"), 1<<20)
-		for range 24 { // for longer than an idle connection is kept
-			if _, err := huge.Write(chunk); err != nil {
+		for range 24 { // takes longer than an idle connection is kept
+			if _, err := client.Write(chunk); err != nil {
 				sent <- err
 				return
 			}
@@ -114,7 +113,7 @@
 	}()
 	proxy.connect(conns, "a")
 	if err := fakes.Await(t, sent); err != nil {
-		t.Errorf("cut off while sending: %v", err)
+		t.Errorf("the connection was closed while the client was sending: %v", err)
 	}
-	testkit.Equal(t, "answer", []string{"ERR SYNTAX", "EOF"}, []string{huge.ReadLine(), huge.ReadLine()})
+	testkit.Equal(t, "answer", []string{"ERR SYNTAX", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
 }
--- a/cmd/micafront/relay_test.go
+++ b/cmd/micafront/relay_test.go
@@ -10,8 +10,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestAnswerAndCloseInOneSegment checks that all that an endpoint sends with its answer and up to its close arrives,
-// however it is cut into segments.
+// TestAnswerAndCloseInOneSegment checks that everything that an endpoint sends up to its close reaches the client, whether it arrives
+// together or byte by byte.
 func TestAnswerAndCloseInOneSegment(t *testing.T) {
 	for _, c := range []struct {
 		sent string
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestByteByByte checks that bytes that arrive one at a time, in both directions, make the same lines.
+// TestByteByByte checks that lines that arrive one byte at a time are relayed unchanged in both directions.
 func TestByteByByte(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client := proxy.dial()
@@ -70,8 +70,7 @@
 	proxy.waitForMetrics(map[string]string{"svc.pending": "0", "svc.downstream_requests.feed.completed": "1"})
 }
 
-// TestRequestAndRelay checks the life of one connection: readiness, request, answer, lines both ways, half-close and
-// end.
+// TestRequestAndRelay checks a complete connection: readiness check, request, answer, lines in both directions, half-close and EOF.
 func TestRequestAndRelay(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
@@ -82,7 +81,7 @@
 	}
 	upstream := fakes.Await(t, conns)
 	first := upstream.ReadLine()
-	// The proxy replaces d by how long it waits; the rest is unchanged.
+	// The proxy replaces d with the time left and relays the rest unchanged.
 	if !regexp.MustCompile(`^OPEN 9b1f 7f3a c=feed,x=1,d=[1-5]\d{4},g=5c$`).MatchString(first) {
 		t.Errorf("first line %q", first)
 	}
@@ -91,7 +90,7 @@
 	client.Send("M 1\r\nM 2\r\nM")
 	client.Send(" 3\r\n")
 	testkit.Equal(t, "to the endpoint", []string{"M 1", "M 2", "M 3"}, []string{upstream.ReadLine(), upstream.ReadLine(), upstream.ReadLine()})
-	// After the client's half-close, what it sent and what the endpoint still sends both arrive.
+	// After the client's half-close, the lines that it sent and the lines that the endpoint still sends arrive.
 	client.Send("last")
 	client.CloseWrite()
 	testkit.Equal(t, "to the endpoint at the end", "last|EOF", upstream.ReadLine())
@@ -101,47 +100,47 @@
 	proxy.waitForCounter("open=0")
 }
 
-// TestResumedConnection checks that a client that resumes a connection gets further attempts at its endpoint, and that
-// a reset is passed on as one.
+// TestResumedConnection checks that the proxy retries a client that resumes a connection at the connection's endpoint, and relays a reset
+// as a reset.
 func TestResumedConnection(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
 	client.Send("OPEN id key c=feed,d=60000,at=s-1\r\n")
 	upstream := fakes.Await(t, conns)
 	upstream.ReadLine()
-	upstream.Close() // and is retried
+	upstream.Close() // the proxy retries
 	upstream = fakes.Await(t, conns)
 	upstream.ReadLine()
 	upstream.Send("UP r\r\n")
 	testkit.Equal(t, "answer", "UP r", client.ReadLine())
 	upstream.SetLinger(0)
 	upstream.Close()
-	testkit.Equal(t, "reset too", "RST", client.ReadLine())
+	testkit.Equal(t, "reset relayed", "RST", client.ReadLine())
 }
 
-// TestLoadReportIsLatency checks sites that report latency but no load: LOAD then carries the milliseconds of a
-// message, and an endpoint far over the objective loses its clients, between two lines.
+// TestLoadReportIsLatency checks settings under which endpoints report latency instead of load: LOAD then carries the latency of a message
+// in milliseconds, and the proxy moves clients, between two lines, from an endpoint far above the latency objective.
 func TestLoadReportIsLatency(t *testing.T) {
-	proxy, conns := startWithEndpoints(t, 5, func(proxy *proxyProcess) { // with capacity for those who are moved
+	proxy, conns := startWithEndpoints(t, 5, func(proxy *proxyProcess) { // with capacity for the moved clients
 		proxy.extraSettings = `"FamilyInfo":{"MessageAim":[0.05],"TellsDelay":true,"TellsLoad":false},`
 	})
 	client, upstream := proxy.connect(conns, "key")
-	// Invalid reports are relayed and move nobody.
-	absurd := []string{"LOAD 1e12", "LOAD -5", "LOAD NaN", "LOAD", "LOAD x"}
-	upstream.Send(strings.Join(absurd, "\r\n") + "\r\n")
-	for _, l := range absurd {
+	// Invalid reports are relayed and move no client.
+	invalid := []string{"LOAD 1e12", "LOAD -5", "LOAD NaN", "LOAD", "LOAD x"}
+	upstream.Send(strings.Join(invalid, "\r\n") + "\r\n")
+	for _, l := range invalid {
 		testkit.Equal(t, "invalid load report", l, client.ReadLine())
 	}
 	proxy.waitForCounter("absurd_loads=5")
 	upstream.Send("a\r\nLOAD 3000\r\nb")
-	testkit.Equal(t, "whole lines, then the move", []string{"a", "LOAD 3000", "MOVE"},
+	testkit.Equal(t, "complete lines, then the move", []string{"a", "LOAD 3000", "MOVE"},
 		[]string{client.ReadLine(), client.ReadLine(), client.ReadLine()})
 	testkit.Equal(t, "end", "EOF", client.ReadLine())
 	proxy.waitForCounter("moves=1")
 }
 
-// TestUnresponsiveEndpoint checks that an endpoint that echoes nothing loses its client within 7 s, by a move: decided
-// by the balancer, from the age of the unanswered line, or by the relay where no objective for messages is set.
+// TestUnresponsiveEndpoint checks that the proxy moves the client of an endpoint that does not answer a line, within 7 s. The balancer
+// decides by the age of the unanswered line, or the relay if no latency objective for messages is set.
 func TestUnresponsiveEndpoint(t *testing.T) {
 	for counter, extra := range map[string]string{
 		"moves":        `"FamilyInfo":{"MessageAim":[0.05]},`,
@@ -149,7 +148,7 @@
 	} {
 		t.Run(counter, func(t *testing.T) {
 			t.Parallel()
-			proxy, conns := startWithEndpoints(t, 5, withSettings(extra)) // with capacity for those who are moved
+			proxy, conns := startWithEndpoints(t, 5, withSettings(extra)) // with capacity for the moved clients
 			client, upstream := proxy.connect(conns, "key")
 			client.Send("M 1\r\n")
 			testkit.Equal(t, "to the endpoint", "M 1", upstream.ReadLine())
@@ -159,19 +158,19 @@
 	}
 }
 
-// TestSlowPeers checks that a peer that reads late gets everything in order, though little is buffered for it.
+// TestSlowPeers checks that a peer that starts to read late receives everything in order, although the proxy buffers little of it.
 func TestSlowPeers(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client, upstream := proxy.connect(conns, "key")
 	const lines = 1 << 16
-	for _, d := range []struct{ from, to *fakes.Peer }{{client, upstream}, {upstream, client}} {
+	for _, direction := range []struct{ from, to *fakes.Peer }{{client, upstream}, {upstream, client}} {
 		go func() {
 			for i := range lines {
-				fmt.Fprintf(d.from, "%064d\r\n", i)
+				fmt.Fprintf(direction.from, "%064d\r\n", i)
 			}
 		}()
 	}
-	for _, p := range []*fakes.Peer{client, upstream} { // the second begins when the first has read everything
+	for _, p := range []*fakes.Peer{client, upstream} { // the second peer starts to read when the first has read everything
 		for i := range lines {
 			if got, want := p.ReadLine(), fmt.Sprintf("%064d", i); got != want {
 				t.Fatalf("line %d: %q", i, got)
--- a/cmd/micafront/shutdown_test.go
+++ b/cmd/micafront/shutdown_test.go
@@ -18,23 +18,23 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// setMaxTimeout reloads the settings with this timeout of requests, in seconds. A stop then kills the process 0.7 s
-// after it.
+// setMaxTimeout reloads the settings with this timeout of requests, in seconds. The process is then expected to be killed 0.7 s after the
+// timeout, counted from the stop signal.
 func (p *proxyProcess) setMaxTimeout(seconds float64) {
 	p.t.Helper()
 	p.reload(`"Aim":30,"GiveUp":60`, fmt.Sprintf(`"Aim":%g,"GiveUp":%g`, seconds/2, seconds))
 	p.waitForCounter("reloads=1")
 }
 
-// beginStop sends SIGTERM, waits until the stop has begun, and returns when it was sent.
+// beginStop sends SIGTERM, waits until the shutdown has started, and returns when the signal was sent.
 func (p *proxyProcess) beginStop() time.Time {
 	p.t.Helper()
-	at := p.sendStop()
+	stopAt := p.sendStop()
 	p.waitForLog("shutdown started")
-	return at
+	return stopAt
 }
 
-// sendStop sends SIGTERM and returns when.
+// sendStop sends SIGTERM and returns the time.
 func (p *proxyProcess) sendStop() time.Time {
 	p.t.Helper()
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
@@ -43,17 +43,17 @@
 	return time.Now()
 }
 
-// expectExit waits for the end of the process, with exit code 0, before the kill. The tolerance past the kill is for a
-// busy machine.
+// expectExit checks that the process exits with code 0 before the kill, which is due the given time after stopAt. It tolerates 1.8 s more,
+// for a busy machine.
 func (p *proxyProcess) expectExit(stopAt time.Time, kill time.Duration) {
 	p.t.Helper()
 	err := fakes.Await(p.t, p.exited)
 	if took := time.Since(stopAt); err != nil || took > kill+1800*time.Millisecond {
-		p.t.Errorf("ended after %v, the kill comes after %v: %v", took, kill, err)
+		p.t.Errorf("exited after %v, with the kill due after %v: %v", took, kill, err)
 	}
 }
 
-// openPending sends a request that an endpoint has read and not answered.
+// openPending sends a request, reads it at the endpoint and leaves it unanswered.
 func (p *proxyProcess) openPending(conns chan *fakes.Peer, key string) (client, upstream *fakes.Peer) {
 	p.t.Helper()
 	client = p.dial()
@@ -63,7 +63,7 @@
 	return client, upstream
 }
 
-// stop sends SIGTERM and waits for the end of the process.
+// stop sends SIGTERM and waits until the process exits with code 0.
 func (p *proxyProcess) stop() {
 	p.t.Helper()
 	p.command.Process.Signal(syscall.SIGTERM)
@@ -72,27 +72,27 @@
 	}
 }
 
-// TestStopWaitsForPartialRequest checks that a stop waits for a client whose first line is incomplete, though nothing
-// else is left: it must get an answer.
+// TestStopWaitsForPartialRequest checks that a stop waits for a client whose first line is incomplete even if nothing else is left, because
+// the client must get an answer.
 func TestStopWaitsForPartialRequest(t *testing.T) {
 	proxy, _ := startWithEndpoint(t, withAdminListener)
 	client := proxy.dial()
 	client.Send("OPEN slow k c=feed,")
 	testkit.Equal(t, "readiness of a later client", "PONG", proxy.ping())
 	proxy.command.Process.Signal(syscall.SIGTERM)
-	testkit.Equal(t, "at its timeout", []string{"ERR SYNTAX", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
+	testkit.Equal(t, "answer at the client's idle timeout", []string{"ERR SYNTAX", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
 	client.Close()
 	if err := fakes.Await(t, proxy.exited); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 }
 
-// TestStop checks that a stop moves all clients, also those that connect meanwhile, and then ends the process.
+// TestStop checks that a stop moves all clients, including those that connect during the stop, and that the process then exits.
 func TestStop(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client, _ := proxy.connect(conns, "a")
 	proxy.command.Process.Signal(syscall.SIGTERM)
-	lateClient, _ := proxy.connect(conns, "b") // new connections are accepted for a while
+	lateClient, _ := proxy.connect(conns, "b") // the proxy accepts connections during the first part of a stop
 	for _, p := range []*fakes.Peer{client, lateClient} {
 		testkit.Equal(t, "moved", []string{"MOVE", "EOF"}, []string{p.ReadLine(), p.ReadLine()})
 		p.Close()
@@ -103,32 +103,32 @@
 	proxy.waitForLog("moves_stop=2")
 }
 
-// TestStopUnderLoad checks a stop with many connections, just after a reload: each client, late ones too, is asked to
-// move between two lines and loses none of them.
+// TestStopUnderLoad checks a stop with many connections just after a reload: every client, including those that connect during the stop, is
+// moved between two lines and loses none of them.
 func TestStopUnderLoad(t *testing.T) {
 	proxy, conns := startWithEndpoints(t, 3)
 	next := fakes.NewScriptedDiscovery(t)
 	type connection struct{ client, upstream *fakes.Peer }
-	var all []connection
+	var connections []connection
 	add := func(n int) {
 		for range n {
-			client, upstream := proxy.connect(conns, fmt.Sprint("k", len(all)))
-			all = append(all, connection{client, upstream})
+			client, upstream := proxy.connect(conns, fmt.Sprint("k", len(connections)))
+			connections = append(connections, connection{client, upstream})
 		}
 	}
 	add(150)
 	fakes.Await(t, proxy.discovery.Watches)
 	proxy.reload(proxy.discovery.Addr, next.Addr)
 	fakes.Await(t, next.Watches)
-	for i, c := range all {
+	for i, c := range connections {
 		c.upstream.Send(fmt.Sprintf("last %d\r\nhalf", i))
 	}
 	proxy.command.Process.Signal(syscall.SIGTERM)
-	early := len(all)
+	early := len(connections)
 	add(5)
-	for i, c := range all {
+	for i, c := range connections {
 		if i < early {
-			testkit.Equal(t, "before the move", fmt.Sprint("last ", i), c.client.ReadLine())
+			testkit.Equal(t, "last line before the move", fmt.Sprint("last ", i), c.client.ReadLine())
 		}
 		testkit.Equal(t, "moved", []string{"MOVE", "EOF"}, []string{c.client.ReadLine(), c.client.ReadLine()})
 		c.client.Close()
@@ -139,8 +139,8 @@
 	proxy.waitForLog("moves_stop=155")
 }
 
-// TestStopWhileEndpointsHang checks that requests at endpoints that hang get their one final answer, by whether they
-// may have run, before the kill, which comes earlier with shorter timeouts.
+// TestStopWhileEndpointsHang checks that requests at endpoints that hang get exactly one final answer before the kill, which is due earlier
+// with shorter timeouts. The answer depends on whether the request may have run.
 func TestStopWhileEndpointsHang(t *testing.T) {
 	for _, seconds := range []float64{0.3, 1} {
 		t.Run(fmt.Sprint(seconds), func(t *testing.T) {
@@ -159,8 +159,7 @@
 				clients = append(clients, c)
 			}
 			for i, c := range clients {
-				// The late ones have a deadline within the stop, so that the balancer may decide: their class is safe
-				// to repeat.
+				// The deadline of the late requests is within the stop, so that the balancer may reject them: their class is safe to repeat.
 				if got := readToEnd(c); got[0] != "ERR" && (i < early || !strings.HasPrefix(got[0], "BUSY ")) || !slices.Equal(got[1:], []string{"EOF"}) {
 					t.Errorf("answer %d: %q", i, got)
 				}
@@ -170,7 +169,7 @@
 	}
 }
 
-// TestStopWhileDialing checks a stop while an attempt dials: nothing has been sent, so a repeat is harmless.
+// TestStopWhileDialing checks that a stop while an attempt is dialing answers BUSY: nothing has been sent, so a repeat is harmless.
 func TestStopWhileDialing(t *testing.T) {
 	proxy, _, _ := startWithDelayedEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -182,16 +181,16 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopWhileResuming checks that a resumed connection that its endpoint does not accept is retried for long, but not
-// past the kill.
+// TestStopWhileResuming checks that the retries of a resumed connection that its endpoint does not accept end before the kill, although they
+// would otherwise continue for long.
 func TestStopWhileResuming(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
 	client := proxy.dial()
 	client.Send("OPEN id key c=feed,d=60000,at=s-1\r\n")
 	go func() {
-		for s := range conns {
-			s.Close()
+		for upstream := range conns {
+			upstream.Close()
 		}
 	}()
 	proxy.waitForCounter("standing=1")
@@ -202,7 +201,7 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopBoundsNewRequests checks that a request that arrives during a stop is sent with no more time than is left.
+// TestStopBoundsNewRequests checks that a request that arrives during a stop is sent with a deadline within the time left of the stop.
 func TestStopBoundsNewRequests(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -212,15 +211,15 @@
 	upstream := fakes.Await(t, conns)
 	first := upstream.ReadLine()
 	if !regexp.MustCompile(`,d=(\d{1,3}|1[0-3]\d\d|1400)$`).MatchString(first) {
-		t.Errorf("first line %q: more than is left of 1.4 s", first)
+		t.Errorf("first line %q: the deadline exceeds the time left of 1.4 s", first)
 	}
 	upstream.Send("UP r\r\n")
 	testkit.Equal(t, "served, and moved", []string{"UP r", "MOVE", "EOF"}, readToEnd(client))
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopInOneIterationWithRequests checks that requests and an answer that arrive in one iteration with the signal
-// are served.
+// TestStopInOneIterationWithRequests checks that requests, and a request whose answer arrives, in the same iteration of the event loop as
+// the stop signal are served.
 func TestStopInOneIterationWithRequests(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	idle := proxy.dial()
@@ -251,8 +250,8 @@
 	proxy.expectExit(stopAt, 3700*time.Millisecond)
 }
 
-// TestStopDuringPartialRequest checks that a client whose first line is incomplete may complete it until answers are
-// due, and is answered then.
+// TestStopDuringPartialRequest checks that a stop answers a client whose first line is incomplete when final answers are due, and that the
+// rest of the line is no longer read.
 func TestStopDuringPartialRequest(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -261,14 +260,14 @@
 	testkit.Equal(t, "readiness of a later client", "PONG", proxy.ping())
 	stopAt := proxy.beginStop()
 	testkit.Equal(t, "answer", "BUSY", client.ReadLine())
-	_, _ = io.WriteString(client, "000\r\n") // after the decision to close; it is not read
+	_, _ = io.WriteString(client, "000\r\n") // sent after the answer, so the proxy does not read it
 	testkit.Equal(t, "end", []string{"EOF"}, readToEnd(client))
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 	testkit.Equal(t, "requests sent", 0, len(conns))
 }
 
-// TestStopWithIdleClients checks that idle clients do not delay a stop and are answered, so that a request sent in that
-// moment meets its answer.
+// TestStopWithIdleClients checks that idle clients do not delay a stop and are answered, so that a request sent at that moment has its
+// answer.
 func TestStopWithIdleClients(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	var clients []*fakes.Peer
@@ -293,28 +292,28 @@
 	testkit.Equal(t, "requests sent", 0, len(conns))
 }
 
-// TestRequestsDuringStop checks that a request at any moment of a stop, on an idle connection or from the listener's
-// queue, is served or rejected, never dropped, and never sent once it was rejected.
+// TestRequestsDuringStop checks that a request at any time of a stop, on an idle connection or from the listener's queue, is either served
+// or rejected, never dropped.
 func TestRequestsDuringStop(t *testing.T) {
-	for _, at := range []time.Duration{0, 400, 600, 690, 740, 900} {
-		t.Run((at * time.Millisecond).String(), func(t *testing.T) {
+	for _, delay := range []time.Duration{0, 400, 600, 690, 740, 900} {
+		t.Run((delay * time.Millisecond).String(), func(t *testing.T) {
 			t.Parallel()
 			proxy, conns := startWithEndpoint(t)
 			go func() {
-				for s := range conns {
+				for upstream := range conns {
 					go func() {
-						_, _ = s.ReadLineErr() // the proxy may close it at any time
-						_, _ = io.WriteString(s, "UP r\r\n")
+						_, _ = upstream.ReadLineErr() // the proxy may close the connection at any time
+						_, _ = io.WriteString(upstream, "UP r\r\n")
 					}()
 				}
 			}()
 			idle := proxy.dial()
 			idle.Send("PING\r\n")
 			testkit.Equal(t, "readiness", "PONG", idle.ReadLine())
-			partial := proxy.dial() // else the process might end first
+			partial := proxy.dial() // keeps the process from exiting early
 			partial.Send("OPEN hold key c=fe")
 			proxy.beginStop()
-			time.Sleep(at * time.Millisecond) // a moment of the stop; the answers are the same at each
+			time.Sleep(delay * time.Millisecond) // the answers are the same at any time of the stop
 			var queued *fakes.Peer
 			proxy.whileSuspended(func() {
 				queued = proxy.dial()
@@ -323,13 +322,13 @@
 				partial.CloseWrite()
 				time.Sleep(700 * time.Millisecond) // until the next step of the stop is due as well
 			})
-			for what, c := range map[string]*fakes.Peer{"rested": idle, "queued": queued} {
+			for name, c := range map[string]*fakes.Peer{"idle": idle, "queued": queued} {
 				got := readToEnd(c)
 				if !slices.Equal(got, []string{"BUSY", "EOF"}) && !slices.Equal(got, []string{"UP r", "MOVE", "EOF"}) {
-					t.Errorf("%s got %q", what, got)
+					t.Errorf("the %s client got %q", name, got)
 				}
 			}
-			testkit.Equal(t, "half a line", []string{"ERR SYNTAX", "EOF"}, readToEnd(partial))
+			testkit.Equal(t, "partial line", []string{"ERR SYNTAX", "EOF"}, readToEnd(partial))
 			if err := fakes.Await(t, proxy.exited); err != nil {
 				t.Errorf("exit: %v", err)
 			}
@@ -337,8 +336,8 @@
 	}
 }
 
-// TestStopAfterLongSuspension checks that clients in the listener's queue are rejected in time though all deadlines of
-// the stop have passed at once.
+// TestStopAfterLongSuspension checks that clients in the listener's queue are still rejected if the process was suspended past all
+// deadlines of the stop.
 func TestStopAfterLongSuspension(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(0.3)
@@ -349,7 +348,7 @@
 	var queued *fakes.Peer
 	proxy.beginStop()
 	proxy.whileSuspended(func() {
-		idle.Send(openLine("b")) // read before the step that is due: too late to be sent
+		idle.Send(openLine("b")) // read before the due step of the stop, but too late to be sent
 		queued = proxy.dial()
 		queued.Send(openLine("a"))
 		time.Sleep(1500 * time.Millisecond) // past every deadline
@@ -377,8 +376,8 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopDuringReload checks a stop in one iteration with a reload: the kill follows the settings at the signal or the
-// new ones, and the stop is in time for both.
+// TestStopDuringReload checks a stop that is followed immediately by a reload: the kill may be due by the settings before or after the
+// reload, and the process exits before the earlier one.
 func TestStopDuringReload(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -390,8 +389,8 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopAndReloadPending checks a stop that is signaled before a reload while the process is suspended: both signals are
-// pending when it goes on, and the kernel delivers the reload's first. The stop goes by the settings before the reload.
+// TestStopAndReloadPending checks a stop and a later reload that are signaled while the process is suspended. Both signals are pending when
+// the process resumes, and the kernel delivers the reload's first. The stop must still use the settings before the reload.
 func TestStopAndReloadPending(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -407,7 +406,7 @@
 	testkit.Equal(t, "schedule", true, strings.Contains(proxy.stderr.String(), logLine("shutdown started", `"answers_within": "1.4s"`)))
 }
 
-// TestStopWhileDrained checks that a stop during a drain cannot be taken back by a rejoin: readiness checks still fail.
+// TestStopWhileDrained checks that a rejoin does not undo a stop during a drain: readiness checks still fail.
 func TestStopWhileDrained(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client, _ := proxy.connect(conns, "a")
@@ -420,14 +419,14 @@
 	if status, _ := proxy.adminCall("PUT", "/api/rejoin"); status != 200 {
 		t.Errorf("status %d", status)
 	}
-	testkit.Equal(t, "drained still", "ERR DRAINED", proxy.ping())
+	testkit.Equal(t, "still drained after the rejoin", "ERR DRAINED", proxy.ping())
 	testkit.Equal(t, "moved", []string{"MOVE", "EOF"}, readToEnd(client))
 	testkit.Equal(t, "answer", []string{"ERR", "EOF"}, readToEnd(pending))
 	proxy.expectExit(stopAt, 3700*time.Millisecond)
 }
 
-// TestStopDuringHotRestart checks a stop after a successor has connected but before it serves, and that a socket that
-// another process has put in the place of this one's stays.
+// TestStopDuringHotRestart checks a stop after a successor has connected but before it serves, and that the process does not remove a socket
+// with which another process has replaced its own.
 func TestStopDuringHotRestart(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
@@ -461,8 +460,7 @@
 	}
 }
 
-// TestStopWhileSuccessorDies checks that when the successor dies during a stop, new clients are served and moved by the
-// old process.
+// TestStopWhileSuccessorDies checks that the old process serves and moves new clients if the successor dies during a stop.
 func TestStopWhileSuccessorDies(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	pending, upstream := proxy.openPending(conns, "a")
@@ -481,8 +479,8 @@
 	proxy.expectExit(stopAt, 3700*time.Millisecond)
 }
 
-// TestStopWithSuccessorWhileEndpointsHang checks that during a stop beside a successor that serves, requests at
-// endpoints that hang are answered in time and established connections continue at the successor.
+// TestStopWithSuccessorWhileEndpointsHang checks that during a stop with a serving successor, requests at endpoints that hang are answered
+// in time and established connections continue at the successor.
 func TestStopWithSuccessorWhileEndpointsHang(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	proxy.setMaxTimeout(1)
@@ -498,7 +496,7 @@
 	successor.connect(conns, "c")
 }
 
-// TestLogReaderCloses checks that the proxy serves on when the reader of its standard error closes.
+// TestLogReaderCloses checks that the proxy continues to serve when the reader of its standard error closes.
 func TestLogReaderCloses(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	r, stderr, err := os.Pipe()
@@ -529,14 +527,14 @@
 	next.addr, _, _ = strings.Cut(rest, "\n")
 	proxy.command.Process.Kill()
 	_ = fakes.Await(t, proxy.exited)             // it was killed
-	next.command.Process.Signal(syscall.SIGUSR1) // makes it write
+	next.command.Process.Signal(syscall.SIGUSR1) // makes the process write to standard error
 	next.connect(conns, "a")
 	next.command.Process.Signal(syscall.SIGUSR1)
 	next.stop()
 }
 
-// TestAcceptedAfterClientLeft checks that where attempts may not be canceled, one that is accepted after its client has
-// disconnected, or has had its final answer in a stop, is closed, and that the process continues or ends in order.
+// TestAcceptedAfterClientLeft checks that if attempts may not be canceled, the proxy closes an attempt that is accepted after its client has
+// disconnected or got its final answer in a stop, and continues to serve or exits normally.
 func TestAcceptedAfterClientLeft(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	proxy.reload(`"MayCancel":true`, `"MayCancel":false`)
