--- a/cmd/micafront/site_test.go
+++ b/cmd/micafront/site_test.go
@@ -15,6 +15,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
+// toolsBinary builds micafrontctl once and returns its path.
 var toolsBinary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "micafrontctl")
 	if err != nil {
@@ -28,8 +29,8 @@
 	return path, nil
 })
 
-// startFromSite starts the program from a file in the site language; env holds names and values of further variables in
-// turn.
+// startFromSite starts the program from a file in the site language; env holds alternating names and values of further
+// environment variables.
 func startFromSite(t *testing.T, file string, env ...string) (*proxyProcess, map[string]chan *fakes.Peer) {
 	t.Helper()
 	path, err := toolsBinary()
@@ -42,10 +43,10 @@
 	}
 	conns := map[string]chan *fakes.Peer{}
 	var entries []string
-	for _, z := range []string{"thies", "dakar"} {
-		conns[z] = make(chan *fakes.Peer, 64)
-		endpoint := fakes.NewScriptedEndpoint(t, "s-"+z, conns[z])
-		entries = append(entries, fmt.Sprintf(`{id: %q, address: %q, zone: %q, lifecycle: "in_service"}`, endpoint.ID, endpoint.Addr, z))
+	for _, zone := range []string{"thies", "dakar"} {
+		conns[zone] = make(chan *fakes.Peer, 64)
+		endpoint := fakes.NewScriptedEndpoint(t, "s-"+zone, conns[zone])
+		entries = append(entries, fmt.Sprintf(`{id: %q, address: %q, zone: %q, lifecycle: "in_service"}`, endpoint.ID, endpoint.Addr, zone))
 	}
 	proxy := startProxy(t, "", func(proxy *proxyProcess) {
 		proxy.siteText = strings.NewReplacer("127.0.0.1:8081", "127.0.0.1:0", "127.0.0.1:8500", proxy.discovery.Addr).Replace(string(text)) +
@@ -58,7 +59,8 @@
 	return proxy, conns
 }
 
-// TestStartFromSite checks that the program runs from the site language and reloads a changed file whole or not at all.
+// TestStartFromSite checks that the program runs from a configuration in the site language, and that a reload applies a changed
+// file completely or not at all.
 func TestStartFromSite(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startFromSite(t, "../../internal/sitelang/testdata/base.cue")
@@ -80,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A file that is truncated is rejected too.
+	// A truncated file is rejected too.
 	if err := os.WriteFile(proxy.configPath, text[:len(text)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +96,7 @@
 	connectIn("k", "dakar")
 }
 
-// TestStopDuringSiteCompilation checks that a stop does not wait for a site that takes long to compile.
+// TestStopDuringSiteCompilation checks that a stop does not wait until a slow compilation of the site has finished.
 func TestStopDuringSiteCompilation(t *testing.T) {
 	t.Parallel()
 	compiler, err := toolsBinary()
@@ -117,7 +119,7 @@
 		if _, err := os.Stat(started); err == nil {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("the site is not compiled")
+			t.Fatal("the compilation of the site never started")
 		}
 	}
 	proxy.command.Process.Signal(syscall.SIGTERM)
