--- a/cmd/micafront/admin_test.go
+++ b/cmd/micafront/admin_test.go
@@ -120,8 +120,8 @@
 	testkit.Equal(t, "partial call and EOF", "HTTP/1.1 400 Bad Request", partial.ReadLine())
 }
 
-// TestAdminListenerDuringConnectionFlood checks that the admin listener still answers calls when there are many unfinished calls and
-// clients use all descriptors.
+// TestAdminListenerDuringConnectionFlood checks that the admin listener still answers calls when there are many unfinished
+// calls and clients use all descriptors.
 func TestAdminListenerDuringConnectionFlood(t *testing.T) {
 	proxy, _ := startWithEndpoint(t, withAdminListener, withMaxDescriptors(48))
 	var unfinished []*fakes.Peer
@@ -179,7 +179,8 @@
 	}
 }
 
-// TestTelemetry checks that the telemetry counts every accepted request once in its class, and an attempt once its request is sent.
+// TestTelemetry checks that the telemetry counts every accepted request once in its class, and an attempt once its request
+// is sent.
 func TestTelemetry(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client, upstream := proxy.connect(conns, "a")
@@ -218,8 +219,8 @@
 		"svc.downstream_requests.feed.failed": "1"})
 }
 
-// TestDrain checks that a drained proxy answers PING with an error and moves established and new connections while it continues to serve,
-// and that it is ready again after a rejoin. Every call is made twice, because operators repeat calls.
+// TestDrain checks that a drained proxy answers PING with an error and moves established and new connections while it
+// continues to serve, and that it is ready again after a rejoin. Every call is made twice, because operators repeat calls.
 func TestDrain(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	put := func(path string) {
--- a/cmd/micafront/attempts_test.go
+++ b/cmd/micafront/attempts_test.go
@@ -13,8 +13,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// nextAttemptOrAnswer waits for what follows an attempt. For another attempt it returns "again", the attempt's connection and a
-// channel that receives the client's answer; otherwise it returns the first word of the client's answer.
+// nextAttemptOrAnswer waits for what follows an attempt. For another attempt it returns "again", the attempt's connection
+// and a channel that receives the client's answer; otherwise it returns the first word of the client's answer.
 func nextAttemptOrAnswer(t *testing.T, conns chan *fakes.Peer, client *fakes.Peer) (result string, upstream *fakes.Peer, answer chan string) {
 	t.Helper()
 	answer = make(chan string, 1)
@@ -88,9 +88,9 @@
 	return cases
 }
 
-// TestRetryAfterAttempt checks what follows an attempt: another attempt, BUSY, which promises that a repeat is harmless, or ERR,
-// which promises nothing. The result depends on the effect of the class and on whether the attempt may have run, not on the name
-// of the class.
+// TestRetryAfterAttempt checks what follows an attempt: another attempt, BUSY, which promises that a repeat is harmless, or
+// ERR, which promises nothing. The result depends on the effect of the class and on whether the attempt may have run, not on
+// the name of the class.
 func TestRetryAfterAttempt(t *testing.T) {
 	for _, c := range retryCases() {
 		t.Run(fmt.Sprint(c.effect, " ", c.scope, " ", c.dedupWindow, " ", c.reaction), func(t *testing.T) {
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestEndpointDrainsWhileDialing checks that an endpoint that starts to drain while the proxy dials it receives no request, because
-// its drain grace may have ended by the time the connection is established.
+// TestEndpointDrainsWhileDialing checks that an endpoint that starts to drain while the proxy dials it receives no request,
+// because its drain grace may have ended by the time the connection is established.
 func TestEndpointDrainsWhileDialing(t *testing.T) {
 	t.Parallel()
 	for name, list := range map[string]func(string) string{
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestResumeAtDrainingEndpoint checks that a connection established at a draining endpoint, whose packets now arrive at this proxy,
-// continues at that endpoint until the drain grace ends.
+// TestResumeAtDrainingEndpoint checks that a connection established at a draining endpoint, whose packets now arrive at this
+// proxy, continues at that endpoint until the drain grace ends.
 func TestResumeAtDrainingEndpoint(t *testing.T) {
 	t.Parallel()
 	for grace, continues := range map[string]bool{`"DrainGrace":30`: true, `"DrainGrace":0`: false} {
@@ -215,9 +215,9 @@
 	}
 }
 
-// TestCanceledRequestNeverArrives checks that a request never reaches the endpoint if its attempt is canceled before the endpoint's
-// machine has received it completely. Otherwise the request might run concurrently with the next attempt, or after the client was
-// told that nothing will run.
+// TestCanceledRequestNeverArrives checks that a request never reaches the endpoint if its attempt is canceled before the
+// endpoint's machine has received it completely. Otherwise the request might run concurrently with the next attempt, or
+// after the client was told that nothing will run.
 func TestCanceledRequestNeverArrives(t *testing.T) {
 	t.Parallel()
 	smallBuffer := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -245,8 +245,8 @@
 	}
 }
 
-// TestTwoEventsInOneLoopIteration checks that two events in one iteration of the event loop, in either order, cause no second attempt
-// and leave no state.
+// TestTwoEventsInOneLoopIteration checks that two events in one iteration of the event loop, in either order, cause no
+// second attempt and leave no state.
 func TestTwoEventsInOneLoopIteration(t *testing.T) {
 	type connection struct{ client, upstream *fakes.Peer }
 	cases := map[string]func(connection){
@@ -285,8 +285,8 @@
 	}
 }
 
-// TestDuplicateRequestID checks that a request with the id of a request in progress is rejected while the first one continues, and
-// that the id can be used again afterwards.
+// TestDuplicateRequestID checks that a request with the id of a request in progress is rejected while the first one
+// continues, and that the id can be used again afterwards.
 func TestDuplicateRequestID(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoint(t, withClasses(classJSON("mint", "unsafe", "all", 0)))
@@ -308,8 +308,8 @@
 	proxy.waitForCounter("attempts=2")
 }
 
-// TestAttemptOutcomes checks that every outcome ends the attempt and that the next attempt goes to another endpoint. The case name is
-// the counter that the outcome increments.
+// TestAttemptOutcomes checks that every outcome ends the attempt and that the next attempt goes to another endpoint. The
+// case name is the counter that the outcome increments.
 func TestAttemptOutcomes(t *testing.T) {
 	for name, act := range map[string]func(*fakes.Peer){
 		"outcome_full":      func(upstream *fakes.Peer) { upstream.Send("BUSY\r\n") },
--- a/cmd/micafront/control_plane_list_test.go
+++ b/cmd/micafront/control_plane_list_test.go
@@ -10,8 +10,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// startWithListReplicas starts the program with replicas that serve a list with one endpoint in each of two zones. If prepare is not
-// nil, it is called with the replicas before the program starts.
+// startWithListReplicas starts the program with replicas that serve a list with one endpoint in each of two zones. If
+// prepare is not nil, it is called with the replicas before the program starts.
 func startWithListReplicas(t *testing.T, count int, prepare func([]*listReplica)) (proxy *proxyProcess, replicas []*listReplica, discovery *fakes.DiscoveryServer,
 	conns map[string]chan *fakes.Peer) {
 	t.Helper()
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestListFromControlPlane checks that the proxy takes the list and its changes from the replica and does not call discovery, even
-// after a reload changes the address of discovery. While the replica has no list, the proxy calls discovery.
+// TestListFromControlPlane checks that the proxy takes the list and its changes from the replica and does not call
+// discovery, even after a reload changes the address of discovery. While the replica has no list, the proxy calls discovery.
 func TestListFromControlPlane(t *testing.T) {
 	t.Parallel()
 	proxy, replicas, discovery, conns := startWithListReplicas(t, 1, nil)
@@ -85,8 +85,8 @@
 	proxy.connectWithRetry(conns["b"], "alpha")
 }
 
-// TestListFromNextReplica checks that the proxy skips a replica that rejects list calls, whether it is the first or the second one,
-// without waiting for the balancer's retry pause.
+// TestListFromNextReplica checks that the proxy skips a replica that rejects list calls, whether it is the first or the
+// second one, without waiting for the balancer's retry pause.
 func TestListFromNextReplica(t *testing.T) {
 	t.Parallel()
 	for serving, name := range []string{"0", "1"} {
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestListFallsBackToDiscovery checks that the proxy calls discovery when no replica serves the list, but not before the replicas have
-// had the time to elect a leader, and that it returns to the replicas once they serve again.
+// TestListFallsBackToDiscovery checks that the proxy calls discovery when no replica serves the list, but not before the
+// replicas have had the time to elect a leader, and that it returns to the replicas once they serve again.
 func TestListFallsBackToDiscovery(t *testing.T) {
 	t.Parallel()
 	for name, stopServing := range map[string]func(*listReplica){
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestListAfterHotRestart checks that a successor requests the list from its replica starting at the predecessor's generation, and from
-// the start if the predecessor's list came from discovery.
+// TestListAfterHotRestart checks that a successor requests the list from its replica starting at the predecessor's
+// generation, and from the start if the predecessor's list came from discovery.
 func TestListAfterHotRestart(t *testing.T) {
 	t.Parallel()
 	proxy, replicas, discovery, _ := startWithListReplicas(t, 1, nil)
--- a/cmd/micafront/deadline_test.go
+++ b/cmd/micafront/deadline_test.go
@@ -10,7 +10,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestDedupWindowEndsWhileDialing checks that a retry is not sent if the deduplication window ends while its connection is dialed.
+// TestDedupWindowEndsWhileDialing checks that a retry is not sent if the deduplication window ends while its connection is
+// dialed.
 func TestDedupWindowEndsWhileDialing(t *testing.T) {
 	for scope, want := range map[string]string{"all": `^BUSY`, "zone": `^ERR$`} {
 		t.Run(scope, func(t *testing.T) {
@@ -28,8 +29,8 @@
 	}
 }
 
-// TestDedupWindowEndsAsConnectionIsEstablished checks that a retry is not sent if its connection is established and the deduplication
-// window ends in the same iteration of the event loop: both happen while the process is suspended.
+// TestDedupWindowEndsAsConnectionIsEstablished checks that a retry is not sent if its connection is established and the
+// deduplication window ends in the same iteration of the event loop: both happen while the process is suspended.
 func TestDedupWindowEndsAsConnectionIsEstablished(t *testing.T) {
 	t.Parallel()
 	proxy, delayed, unblock, client, firstUpstream := startWithDelayedSecondEndpoint(t, withClasses(classJSON("mint", "keyed", "zone", 4)), withConnectTimeout(100))
@@ -44,8 +45,8 @@
 	testkit.Equal(t, "answer", []string{"ERR", "EOF"}, []string{client.ReadLine(), client.ReadLine()})
 }
 
-// TestConnectionEstablishedAfterDeadline checks that the proxy sends nothing on a connection that is established after the client's
-// deadline.
+// TestConnectionEstablishedAfterDeadline checks that the proxy sends nothing on a connection that is established after the
+// client's deadline.
 func TestConnectionEstablishedAfterDeadline(t *testing.T) {
 	t.Parallel()
 	proxy, delayed, unblock := startWithDelayedEndpoint(t, withClasses(classJSON("mint", "unsafe", "all", 0)))
@@ -65,8 +66,8 @@
 	proxy.waitForCounter("attempts=0")
 }
 
-// TestSuspendedPastDeadline checks that a process that was suspended past a client's deadline answers the client exactly once when it
-// resumes, with the endpoint's answer or with ERR, and makes no other attempt.
+// TestSuspendedPastDeadline checks that a process that was suspended past a client's deadline answers the client exactly
+// once when it resumes, with the endpoint's answer or with ERR, and makes no other attempt.
 func TestSuspendedPastDeadline(t *testing.T) {
 	for name, answer := range map[string]string{"answered": "UP r\r\n", "hangs": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -98,8 +99,8 @@
 	}
 }
 
-// TestOneAnswerByDeadline checks that a request gets exactly one answer by its deadline, however short the deadline is. An answer that
-// comes more than half a second after the deadline and the slack for late clients is lost. The test allows 3 s.
+// TestOneAnswerByDeadline checks that a request gets exactly one answer by its deadline, however short the deadline is. An
+// answer that comes more than half a second after the deadline and the slack for late clients is lost. The test allows 3 s.
 func TestOneAnswerByDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name, attributes string
@@ -135,8 +136,8 @@
 	}
 }
 
-// TestEndpointHangs checks that an attempt times out and its connection is closed if the endpoint reads the request and never answers.
-// If a repeat is harmless the next attempt follows; otherwise the client is told that the request failed.
+// TestEndpointHangs checks that an attempt times out and its connection is closed if the endpoint reads the request and
+// never answers. If a repeat is harmless the next attempt follows; otherwise the client is told that the request failed.
 func TestEndpointHangs(t *testing.T) {
 	for effect, want := range map[string]string{"safe": "again", "keyed": "again", "unsafe": "ERR"} {
 		t.Run(effect, func(t *testing.T) {
@@ -158,9 +159,9 @@
 	}
 }
 
-// TestEndpointCloseBeforeAttemptTimeout checks that if an attempt times out and its endpoint closes the connection while the process is
-// suspended, the process reads the close before it checks the timeout. The attempt then ends by the close, and the next attempt,
-// which reuses the descriptor, is served.
+// TestEndpointCloseBeforeAttemptTimeout checks that if an attempt times out and its endpoint closes the connection while the
+// process is suspended, the process reads the close before it checks the timeout. The attempt then ends by the close, and
+// the next attempt, which reuses the descriptor, is served.
 func TestEndpointCloseBeforeAttemptTimeout(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoints(t, 2, withClasses(classJSON("mint", "keyed", "all", 60)), withConnectTimeout(2))
@@ -184,8 +185,8 @@
 	testkit.Equal(t, "an attempt is counted as timed out", false, strings.Contains(proxy.stderr.String(), "outcome_timeout=1"))
 }
 
-// TestStaleCloseOfCanceledAttempt checks that the close of a connection whose attempt was canceled earlier in the same iteration of the
-// event loop is not attributed to the next attempt, which reuses the descriptor.
+// TestStaleCloseOfCanceledAttempt checks that the close of a connection whose attempt was canceled earlier in the same
+// iteration of the event loop is not attributed to the next attempt, which reuses the descriptor.
 func TestStaleCloseOfCanceledAttempt(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoints(t, 2, withClasses(classJSON("mint", "keyed", "all", 60)), withConnectTimeout(2))
--- a/cmd/micafront/delayed_endpoint_test.go
+++ b/cmd/micafront/delayed_endpoint_test.go
@@ -30,8 +30,8 @@
 	t.Fatalf("no connection to %s in state %s", addr, state)
 }
 
-// waitForArrival waits until the program's end of a connection has something to read: bytes, an EOF or a reset. /proc/net/tcp then no
-// longer lists the connection as established with an empty receive queue.
+// waitForArrival waits until the program's end of a connection has something to read: bytes, an EOF or a reset.
+// /proc/net/tcp then no longer lists the connection as established with an empty receive queue.
 func waitForArrival(t *testing.T, p *fakes.Peer) {
 	t.Helper()
 	near, far := p.RemoteAddr().(*net.TCPAddr).Port, p.LocalAddr().(*net.TCPAddr).Port
@@ -64,7 +64,8 @@
 	return fakes.NewPeer(t, conn)
 }
 
-// startWithDelayedEndpoint starts the program with one endpoint whose connections are established only once unblock is called.
+// startWithDelayedEndpoint starts the program with one endpoint whose connections are established only once unblock is
+// called.
 func startWithDelayedEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, unblock func()) {
 	t.Helper()
 	delayed, unblock = newDelayedListener(t)
@@ -80,8 +81,8 @@
 	}
 }
 
-// startWithDelayedSecondEndpoint starts the program with an endpoint that accepts connections and one whose connections are delayed.
-// It sends requests until the first attempt of one goes to the former, and returns both ends of that request.
+// startWithDelayedSecondEndpoint starts the program with an endpoint that accepts connections and one whose connections are
+// delayed. It sends requests until the first attempt of one goes to the former, and returns both ends of that request.
 func startWithDelayedSecondEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, unblock func(), client, upstream *fakes.Peer) {
 	t.Helper()
 	delayed, unblock = newDelayedListener(t)
@@ -118,8 +119,8 @@
 	}
 }
 
-// newDelayedEndpoint returns an endpoint whose connections are established only once accept is called. They then arrive on the
-// channel.
+// newDelayedEndpoint returns an endpoint whose connections are established only once accept is called. They then arrive on
+// the channel.
 func newDelayedEndpoint(t *testing.T) (addr string, accept func(), conns chan *fakes.Peer) {
 	t.Helper()
 	l, unblock := newDelayedListener(t)
@@ -138,8 +139,8 @@
 	}, conns
 }
 
-// newDelayedListener returns a listener at which connections are established only once unblock is called: its accept queue is full
-// until then.
+// newDelayedListener returns a listener at which connections are established only once unblock is called: its accept queue
+// is full until then.
 func newDelayedListener(t *testing.T) (listener net.Listener, unblock func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/micafront/descriptors_test.go
+++ b/cmd/micafront/descriptors_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestDescriptorsExhaustedByAttempts checks that a client is answered BUSY by its deadline if no descriptor is left for its attempt,
-// because nothing has run.
+// TestDescriptorsExhaustedByAttempts checks that a client is answered BUSY by its deadline if no descriptor is left for its
+// attempt, because nothing has run.
 func TestDescriptorsExhaustedByAttempts(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(64), withClasses(classJSON("mint", "unsafe", "all", 0)))
@@ -46,8 +46,8 @@
 	proxy.waitForCounter("open=0")
 }
 
-// TestEvictedClientIsAnswered checks that an idle client that is evicted to free a descriptor gets an answer, even in the middle of its
-// first line.
+// TestEvictedClientIsAnswered checks that an idle client that is evicted to free a descriptor gets an answer, even in the
+// middle of its first line.
 func TestEvictedClientIsAnswered(t *testing.T) {
 	proxy, _ := startWithEndpoint(t, withMaxDescriptors(48)) // allows fewer idle clients than are accepted in one iteration of the event loop
 	var clients []*fakes.Peer
@@ -73,8 +73,8 @@
 	proxy.waitForCounter("evicted=12")
 }
 
-// TestRequestFromEvictionCandidate checks that an idle client is served if its request arrives in the iteration of the event loop in
-// which it would be evicted.
+// TestRequestFromEvictionCandidate checks that an idle client is served if its request arrives in the iteration of the event
+// loop in which it would be evicted.
 func TestRequestFromEvictionCandidate(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(96))
 	var clients []*fakes.Peer
@@ -96,8 +96,8 @@
 	proxy.waitForCounter("evicted=0")
 }
 
-// TestRequestAtIdleTimeout checks that an idle client is served if its request arrives in the iteration of the event loop in which its
-// idle timeout expires.
+// TestRequestAtIdleTimeout checks that an idle client is served if its request arrives in the iteration of the event loop in
+// which its idle timeout expires.
 func TestRequestAtIdleTimeout(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
@@ -113,8 +113,8 @@
 	testkit.Equal(t, "answer", "UP r", client.ReadLine())
 }
 
-// TestNoDescriptorForAccept checks that clients wait while no descriptor is left for them, that the proxy does not retry in a busy loop,
-// and that it serves the clients once a descriptor is available.
+// TestNoDescriptorForAccept checks that clients wait while no descriptor is left for them, that the proxy does not retry in
+// a busy loop, and that it serves the clients once a descriptor is available.
 func TestNoDescriptorForAccept(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	fakes.Await(t, proxy.discovery.Watches)
@@ -155,8 +155,8 @@
 	testkit.Equal(t, "answer", "UP r", client.ReadLine())
 }
 
-// TestRejectedClientsDoNotBlockNewOnes checks that clients that stay connected after an error answer do not use up the descriptors that a
-// new client needs.
+// TestRejectedClientsDoNotBlockNewOnes checks that clients that stay connected after an error answer do not use up the
+// descriptors that a new client needs.
 func TestRejectedClientsDoNotBlockNewOnes(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(96))
 	for range 60 {
@@ -167,8 +167,8 @@
 	proxy.connect(conns, "key")
 }
 
-// TestIdleClientsAreEvicted checks that the proxy closes clients that send nothing, a slow partial line or only PING, and that many such
-// clients leave enough descriptors for requests.
+// TestIdleClientsAreEvicted checks that the proxy closes clients that send nothing, a slow partial line or only PING, and
+// that many such clients leave enough descriptors for requests.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(96))
 	slow, began := proxy.dial(), time.Now()
@@ -207,7 +207,8 @@
 	}
 }
 
-// TestOutOfDescriptors checks that the proxy still serves requests after idle clients used up its descriptors and disconnected.
+// TestOutOfDescriptors checks that the proxy still serves requests after idle clients used up its descriptors and
+// disconnected.
 func TestOutOfDescriptors(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withMaxDescriptors(48))
 	var idle []*fakes.Peer
--- a/cmd/micafront/disconnect_test.go
+++ b/cmd/micafront/disconnect_test.go
@@ -17,8 +17,8 @@
 	p.waitForCounter("reloads=1")
 }
 
-// TestClientDisconnectsWithoutCancel checks what happens when a client disconnects and attempts may not be canceled: a request that has
-// not been sent is never sent, and the proxy closes a connection that the endpoint accepts afterwards.
+// TestClientDisconnectsWithoutCancel checks what happens when a client disconnects and attempts may not be canceled: a
+// request that has not been sent is never sent, and the proxy closes a connection that the endpoint accepts afterwards.
 func TestClientDisconnectsWithoutCancel(t *testing.T) {
 	t.Parallel()
 	withoutCancel := withReplacement(`"MayCancel":true`, `"MayCancel":false`)
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestResetUnderBackpressure checks that the proxy notices a reset by one peer even while it does not read from that peer because the
-// other peer reads nothing.
+// TestResetUnderBackpressure checks that the proxy notices a reset by one peer even while it does not read from that peer
+// because the other peer reads nothing.
 func TestResetUnderBackpressure(t *testing.T) {
 	for name, chunk := range map[string]string{"client": "y", "endpoint": "news\r\n"} {
 		t.Run(name, func(t *testing.T) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestEndpointNeverReads checks that the proxy moves the client of an endpoint that reads nothing for too long, because the client is not
-// at fault.
+// TestEndpointNeverReads checks that the proxy moves the client of an endpoint that reads nothing for too long, because the
+// client is not at fault.
 func TestEndpointNeverReads(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client, upstream := proxy.connect(conns, "key")
@@ -86,8 +86,8 @@
 	proxy.waitForCounter("open=0")
 }
 
-// TestHalfCloseAfterEarlyBytes checks that a client that resumes a connection may send a bounded number of bytes before the connection is
-// established, and counts as disconnected if it then half-closes.
+// TestHalfCloseAfterEarlyBytes checks that a client that resumes a connection may send a bounded number of bytes before the
+// connection is established, and counts as disconnected if it then half-closes.
 func TestHalfCloseAfterEarlyBytes(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
@@ -104,8 +104,8 @@
 	proxy.waitForCounter("outcome_cancelled=1")
 }
 
-// TestClientDisconnectsWhileDialing checks that the proxy does not send the request of a client that disconnected while the endpoint was
-// dialed, even if attempts may not be canceled.
+// TestClientDisconnectsWhileDialing checks that the proxy does not send the request of a client that disconnected while the
+// endpoint was dialed, even if attempts may not be canceled.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for name, disconnect := range map[string]func(*fakes.Peer){
 		"end": func(client *fakes.Peer) { client.CloseWrite() }, "close": func(client *fakes.Peer) { client.Close() }, "reset": resetConn,
@@ -132,8 +132,8 @@
 	}
 }
 
-// TestClientDisconnectedBeforeEstablished checks that the proxy sends no request if the client disconnects in the iteration of the event
-// loop in which the connection to the endpoint is established.
+// TestClientDisconnectedBeforeEstablished checks that the proxy sends no request if the client disconnects in the iteration
+// of the event loop in which the connection to the endpoint is established.
 func TestClientDisconnectedBeforeEstablished(t *testing.T) {
 	for name, disconnect := range map[string]func(*fakes.Peer){
 		"end": func(client *fakes.Peer) { client.CloseWrite() }, "close": func(client *fakes.Peer) { client.Close() }, "reset": resetConn,
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestManyClientsDisconnectOnRejection checks that the proxy makes no further attempts if many clients disconnect in the iteration of the
-// event loop in which their endpoints reject them.
+// TestManyClientsDisconnectOnRejection checks that the proxy makes no further attempts if many clients disconnect in the
+// iteration of the event loop in which their endpoints reject them.
 func TestManyClientsDisconnectOnRejection(t *testing.T) {
 	conns := make(chan *fakes.Peer, 64)
 	a, b := fakes.NewScriptedEndpoint(t, "s-1", conns), fakes.NewScriptedEndpoint(t, "s-2", conns)
@@ -192,8 +192,8 @@
 	proxy.waitForCounter(fmt.Sprintf("attempts=%d", clientCount))
 }
 
-// TestDisconnectWithFirstLine checks that no attempt is made for a client that sends a request and disconnects immediately, even before
-// the proxy has accepted its connection.
+// TestDisconnectWithFirstLine checks that no attempt is made for a client that sends a request and disconnects immediately,
+// even before the proxy has accepted its connection.
 func TestDisconnectWithFirstLine(t *testing.T) {
 	for name, disconnect := range map[string]func(*fakes.Peer){
 		"end": func(client *fakes.Peer) { client.CloseWrite() }, "close": func(client *fakes.Peer) { client.Close() }, "reset": resetConn,
@@ -228,8 +228,8 @@
 	}
 }
 
-// TestMoveDuringPartialLine checks that a move closes a connection with an EOF while the endpoint is sending a line. A reset would
-// discard what the endpoint has not read yet.
+// TestMoveDuringPartialLine checks that a move closes a connection with an EOF while the endpoint is sending a line. A reset
+// would discard what the endpoint has not read yet.
 func TestMoveDuringPartialLine(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client, upstream := proxy.connect(conns, "key")
@@ -245,8 +245,8 @@
 	testkit.Equal(t, "endpoint", "EOF", upstream.ReadLine())
 }
 
-// TestBothPeersDisconnectTogether checks that an established connection is closed and leaves no state if both peers disconnect in one
-// iteration of the event loop, each by EOF, close or reset.
+// TestBothPeersDisconnectTogether checks that an established connection is closed and leaves no state if both peers
+// disconnect in one iteration of the event loop, each by EOF, close or reset.
 func TestBothPeersDisconnectTogether(t *testing.T) {
 	disconnect := map[string]func(*fakes.Peer){"end": func(p *fakes.Peer) { p.CloseWrite() },
 		"close": func(p *fakes.Peer) { p.Close() }, "reset": resetConn}
@@ -279,8 +279,8 @@
 	}
 }
 
-// TestClientsDisconnectAtAnyStage checks that clients that disconnect at any stage, by EOF, close or reset, leave no request, attempt or
-// descriptor behind.
+// TestClientsDisconnectAtAnyStage checks that clients that disconnect at any stage, by EOF, close or reset, leave no
+// request, attempt or descriptor behind.
 func TestClientsDisconnectAtAnyStage(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
@@ -330,7 +330,8 @@
 	proxy.waitForDescriptors(before)
 }
 
-// TestClientDisconnectsBeforeAnswer checks that the proxy cancels the attempt of a client that disconnects before its answer.
+// TestClientDisconnectsBeforeAnswer checks that the proxy cancels the attempt of a client that disconnects before its
+// answer.
 func TestClientDisconnectsBeforeAnswer(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
--- a/cmd/micafront/discovery_test.go
+++ b/cmd/micafront/discovery_test.go
@@ -14,8 +14,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// respondWatch returns a handler that answers a call with lines of a watch, the last one without a line end, and then ends the
-// response or, if stall is set, keeps it open.
+// respondWatch returns a handler that answers a call with lines of a watch, the last one without a line end, and then ends
+// the response or, if stall is set, keeps it open.
 func respondWatch(stall bool, lines ...string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(rw, strings.Join(lines, "\n")) // the caller may have disconnected
@@ -26,8 +26,8 @@
 	}
 }
 
-// respondRaw returns a handler that answers a call with raw bytes, which need not be HTTP, and closes the connection. Without bytes it
-// resets the connection.
+// respondRaw returns a handler that answers a call with raw bytes, which need not be HTTP, and closes the connection.
+// Without bytes it resets the connection.
 func respondRaw(text string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, _ *http.Request) {
 		conn, _, err := rw.(http.Hijacker).Hijack()
@@ -51,7 +51,8 @@
 	}
 }
 
-// serveOneRequest sends a request, accepts it, closes the endpoint's connection, and returns all lines that the client reads.
+// serveOneRequest sends a request, accepts it, closes the endpoint's connection, and returns all lines that the client
+// reads.
 func serveOneRequest(proxy *proxyProcess, conns chan *fakes.Peer) []string {
 	client := proxy.dial()
 	defer client.Close()
@@ -67,8 +68,8 @@
 	return lines
 }
 
-// TestDiscoveryInvalidResponses checks that after an invalid response the last valid list stays in use, requests are served, the log
-// names the position and the fault, the failure is counted, and the proxy calls discovery again.
+// TestDiscoveryInvalidResponses checks that after an invalid response the last valid list stays in use, requests are served,
+// the log names the position and the fault, the failure is counted, and the proxy calls discovery again.
 func TestDiscoveryInvalidResponses(t *testing.T) {
 	good := listEntry("s-1", "127.0.0.1:1", "terminating")
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestDiscoveryWatchStalls checks that the proxy opens a second watch within six seconds if the first one stalls in the middle of a line
-// and stays open, and does not count this as a failure. The second watch sends an indented list.
+// TestDiscoveryWatchStalls checks that the proxy opens a second watch within six seconds if the first one stalls in the
+// middle of a line and stays open, and does not count this as a failure. The second watch sends an indented list.
 func TestDiscoveryWatchStalls(t *testing.T) {
 	t.Parallel()
 	stalled := make(chan time.Time, 1)
@@ -151,8 +152,8 @@
 	proxy.waitForMetrics(map[string]string{"svc.members": "3"})
 }
 
-// TestDiscoveryPushedLists checks that with pushed lists the current list applies immediately, in a new process and after an outage. Over
-// real sockets a pushed list also arrives on a watch that the proxy opens.
+// TestDiscoveryPushedLists checks that with pushed lists the current list applies immediately, in a new process and after an
+// outage. Over real sockets a pushed list also arrives on a watch that the proxy opens.
 func TestDiscoveryPushedLists(t *testing.T) {
 	t.Parallel()
 	conns := make(chan *fakes.Peer, 64)
@@ -174,7 +175,8 @@
 	proxy.waitForMetrics(map[string]string{"svc.members": "1"})
 }
 
-// TestDiscoveryRepeatedLargeList checks that a repeated list changes nothing and that all endpoints of a list of 600 are used.
+// TestDiscoveryRepeatedLargeList checks that a repeated list changes nothing and that all endpoints of a list of 600 are
+// used.
 func TestDiscoveryRepeatedLargeList(t *testing.T) {
 	conns := make(chan *fakes.Peer, 64)
 	endpoint := fakes.NewScriptedEndpoint(t, "s-1", conns)
@@ -196,8 +198,8 @@
 	proxy.waitForCounter("list_failures=0")
 }
 
-// TestKnownListOutdated checks that the proxy serves from discovery's list if the list known at the start is older or newer than it, empty
-// or missing.
+// TestKnownListOutdated checks that the proxy serves from discovery's list if the list known at the start is older or newer
+// than it, empty or missing.
 func TestKnownListOutdated(t *testing.T) {
 	for _, c := range []struct{ name, known, first string }{
 		{"older than discovery", fakes.List(7, true, listEntry("s-gone", "127.0.0.1:1", "in_service")), "watch=1&from=7"},
@@ -228,8 +230,8 @@
 	}
 }
 
-// TestEndpointListWatch checks that the proxy opens the watch again after it ended or sent an invalid list, and applies the changes that
-// follow.
+// TestEndpointListWatch checks that the proxy opens the watch again after it ended or sent an invalid list, and applies the
+// changes that follow.
 func TestEndpointListWatch(t *testing.T) {
 	conns := make(chan *fakes.Peer, 64)
 	endpoint := fakes.NewScriptedEndpoint(t, "s-7", conns)
--- a/cmd/micafront/discovery_watch_test.go
+++ b/cmd/micafront/discovery_watch_test.go
@@ -11,8 +11,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestWatchRetryInterval checks that the proxy reopens a lost watch repeatedly without waiting for the discovery interval. The tests of
-// internal/discovery check the pauses themselves, without a clock.
+// TestWatchRetryInterval checks that the proxy reopens a lost watch repeatedly without waiting for the discovery interval.
+// The tests of internal/discovery check the pauses themselves, without a clock.
 func TestWatchRetryInterval(t *testing.T) {
 	t.Parallel()
 	proxy, _ := startWithEndpoint(t, withAdminListener)
@@ -31,8 +31,8 @@
 	proxy.waitForMetrics(map[string]string{"svc.members": "2"})
 }
 
-// TestReloadToUnavailableDiscoveryAndBack checks that the proxy keeps the watch at the first discovery address open and applies its changes
-// when a reload selects an unavailable address and another reload selects the first address again.
+// TestReloadToUnavailableDiscoveryAndBack checks that the proxy keeps the watch at the first discovery address open and
+// applies its changes when a reload selects an unavailable address and another reload selects the first address again.
 func TestReloadToUnavailableDiscoveryAndBack(t *testing.T) {
 	t.Parallel()
 	proxy, _ := startWithEndpoint(t, withAdminListener)
@@ -56,8 +56,8 @@
 	testkit.Equal(t, "further calls of the first address", 0, len(proxy.discovery.Watches))
 }
 
-// TestReloadDiscoveryTwice checks that after two successive reloads the proxy follows only the third discovery service: a drain that
-// it announces applies.
+// TestReloadDiscoveryTwice checks that after two successive reloads the proxy follows only the third discovery service: a
+// drain that it announces applies.
 func TestReloadDiscoveryTwice(t *testing.T) {
 	t.Parallel()
 	proxy, _ := startWithEndpoint(t, withAdminListener)
@@ -73,8 +73,8 @@
 	proxy.waitForCounter("list_failures=0")
 }
 
-// TestWatchWhileSuspended checks that a list that arrives while the process is suspended applies once the process resumes, and that a
-// watch that ended meanwhile is reopened from that list's generation.
+// TestWatchWhileSuspended checks that a list that arrives while the process is suspended applies once the process resumes,
+// and that a watch that ended meanwhile is reopened from that list's generation.
 func TestWatchWhileSuspended(t *testing.T) {
 	t.Parallel()
 	proxy, _ := startWithEndpoint(t, withAdminListener)
--- a/cmd/micafront/fleet_test.go
+++ b/cmd/micafront/fleet_test.go
@@ -38,13 +38,14 @@
 	return v
 }
 
-// routesByKey returns two pools, one for each zone, and routes by the first letter of the key: "b" goes to pool b and "a" to poolOfA.
+// routesByKey returns two pools, one for each zone, and routes by the first letter of the key: "b" goes to pool b and "a" to
+// poolOfA.
 func routesByKey(poolOfA string) string {
 	return strings.Replace(twoPools(`"attempts":3`), `"to":[{"pool":"a"`, `"to":[{"pool":"`+poolOfA+`"`, 1)
 }
 
-// withControlPlane adds a fleet record with these replicas to the configuration; members holds further members of the record, each with
-// a leading comma.
+// withControlPlane adds a fleet record with these replicas to the configuration; members holds further members of the
+// record, each with a leading comma.
 func withControlPlane(members string, replicas ...*fakeReplica) proxyOption {
 	return func(proxy *proxyProcess) {
 		var addrs []string
@@ -56,8 +57,8 @@
 	}
 }
 
-// startInFleet starts the program with one replica and two zones and waits until version 1 is active, which routes all keys to pool b.
-// members holds further members of the fleet record.
+// startInFleet starts the program with one replica and two zones and waits until version 1 is active, which routes all keys
+// to pool b. members holds further members of the fleet record.
 func startInFleet(t *testing.T, terms fleetconfig.Terms, members string) (*proxyProcess, *fakeReplica, map[string]chan *fakes.Peer) {
 	t.Helper()
 	replica := newFakeReplica(t)
@@ -127,9 +128,9 @@
 	return text
 }
 
-// TestFleetVersionChanges checks that the control plane's version is active instead of the file's settings and routes: no new connection
-// is accepted before the first lease, and each later version applies once it is active, not once it is prepared. Established
-// connections continue.
+// TestFleetVersionChanges checks that the control plane's version is active instead of the file's settings and routes: no
+// new connection is accepted before the first lease, and each later version applies once it is active, not once it is
+// prepared. Established connections continue.
 func TestFleetVersionChanges(t *testing.T) {
 	t.Parallel()
 	replica := newFakeReplica(t)
@@ -184,8 +185,8 @@
 	}
 }
 
-// TestFleetLeaseExpires checks that after the lease has expired the proxy rejects the requests that the next version places elsewhere,
-// whether they arrive, are due for another attempt or are about to be sent, and serves all others.
+// TestFleetLeaseExpires checks that after the lease has expired the proxy rejects the requests that the next version places
+// elsewhere, whether they arrive, are due for another attempt or are about to be sent, and serves all others.
 func TestFleetLeaseExpires(t *testing.T) {
 	t.Parallel()
 	terms := fleetconfig.Terms{AgreementTimeout: 1500 * time.Millisecond, MemberTimeout: time.Hour}
@@ -235,8 +236,8 @@
 	proxy.connectWithRetry(conns["a"], "alpha")
 }
 
-// TestFleetVersionChangesDuringRequest checks that no further attempt is made for a request that was placed by a version that is no longer
-// active.
+// TestFleetVersionChangesDuringRequest checks that no further attempt is made for a request that was placed by a version
+// that is no longer active.
 func TestFleetVersionChangesDuringRequest(t *testing.T) {
 	t.Parallel()
 	proxy, replica, conns := startInFleet(t, fleetconfig.Terms{}, "")
@@ -270,8 +271,8 @@
 	proxy.connectWithRetry(conns["a"], "alpha")
 }
 
-// TestFleetMembershipExpires checks that a proxy that no longer knows which version is active rejects or serves requests according to the
-// lease expiry policy of its version.
+// TestFleetMembershipExpires checks that a proxy that no longer knows which version is active rejects or serves requests
+// according to the lease expiry policy of its version.
 func TestFleetMembershipExpires(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -301,8 +302,8 @@
 	}
 }
 
-// TestFleetServesFromFile checks that a proxy that never had a version serves from its file after the timeouts if its expiry policy is
-// "serve".
+// TestFleetServesFromFile checks that a proxy that never had a version serves from its file after the timeouts if its expiry
+// policy is "serve".
 func TestFleetServesFromFile(t *testing.T) {
 	t.Parallel()
 	replica := newFakeReplica(t)
@@ -313,8 +314,8 @@
 	proxy.waitForMetrics(map[string]string{"svc.fleet.state": "starting", "svc.fleet.blind_served": "1"})
 }
 
-// TestFleetRejectsVersions checks that a node rejects a version that is too large or invalid and gives the reason, and that the active
-// version stays active.
+// TestFleetRejectsVersions checks that a node rejects a version that is too large or invalid and gives the reason, and that
+// the active version stays active.
 func TestFleetRejectsVersions(t *testing.T) {
 	t.Parallel()
 	proxy, replica, conns := startInFleet(t, fleetconfig.Terms{AgreementTimeout: 400 * time.Millisecond}, `,"memory_mb":8`)
@@ -356,9 +357,9 @@
 	replica.propose(proxy.version(number+1, routesByKey("a"), fleetconfig.Terms{})) // a valid version is still prepared
 }
 
-// TestFleetServices checks routes to a service: connections go to the provider in the proxy's zone and fall back to the other provider.
-// Once a version's catalog marks the former as lost, the other provider is preferred. A version whose routes name a service that its
-// catalog does not contain is rejected.
+// TestFleetServices checks routes to a service: connections go to the provider in the proxy's zone and fall back to the
+// other provider. Once a version's catalog marks the former as lost, the other provider is preferred. A version whose routes
+// name a service that its catalog does not contain is rejected.
 func TestFleetServices(t *testing.T) {
 	t.Parallel()
 	proxy, replica, conns := startInFleet(t, fleetconfig.Terms{}, "")
@@ -462,8 +463,8 @@
 	}
 }
 
-// TestFleetHotRestart checks that during a hot restart each process renews its own lease, and that the old process serves until the new one
-// has an active version.
+// TestFleetHotRestart checks that during a hot restart each process renews its own lease, and that the old process serves
+// until the new one has an active version.
 func TestFleetHotRestart(t *testing.T) {
 	t.Parallel()
 	proxy, replica, conns := startInFleet(t, fleetconfig.Terms{}, "")
--- a/cmd/micafront/helpers_test.go
+++ b/cmd/micafront/helpers_test.go
@@ -23,8 +23,8 @@
 	return fmt.Sprintf(`{"Name":%q,"Aim":5,"GiveUp":30,"Credit":2,"Effect":%q,"DedupScope":%q,"MemorySpan":%g}`, name, effect, scope, dedupWindow)
 }
 
-// openLineOfClass returns the first line of a request of a class, with a new id; attributes holds further attributes, each with a
-// leading comma.
+// openLineOfClass returns the first line of a request of a class, with a new id; attributes holds further attributes, each
+// with a leading comma.
 func openLineOfClass(class, key, attributes string) string {
 	return fmt.Sprintf("OPEN %s %s c=%s%s\r\n", fakes.NextID(), key, class, attributes)
 }
@@ -102,8 +102,8 @@
 	return startProxy(t, fakes.List(1, true, entries...), options...), conns
 }
 
-// openAndServe sends a request and returns the client's answer as readAnswer reads it. If an attempt reaches an endpoint, it calls
-// accept with the endpoint's connection.
+// openAndServe sends a request and returns the client's answer as readAnswer reads it. If an attempt reaches an endpoint, it
+// calls accept with the endpoint's connection.
 func openAndServe[V any](client *fakes.Peer, conns chan *fakes.Peer, key string, accept func(upstream *fakes.Peer), readAnswer func() V) (answer V, accepted bool) {
 	client.Send(openLine(key))
 	got := make(chan V, 1)
--- a/cmd/micafront/hot_restart_test.go
+++ b/cmd/micafront/hot_restart_test.go
@@ -50,8 +50,8 @@
 	l.Close()
 }
 
-// TestHotRestartWithPools checks that a hot restart hands over all pools and listeners: connections continue and still count as open
-// connections of their pools and routes, and connections in the queue of an extra listener are not lost.
+// TestHotRestartWithPools checks that a hot restart hands over all pools and listeners: connections continue and still count
+// as open connections of their pools and routes, and connections in the queue of an extra listener are not lost.
 func TestHotRestartWithPools(t *testing.T) {
 	t.Parallel()
 	text := strings.Replace(twoPools(`"attempts":3`), `"pools":[`, `"listeners":{"lan":"127.0.0.1:0"},"pools":[`, 1)
@@ -84,8 +84,8 @@
 	successor.waitForCounter("open=3")
 }
 
-// TestNoHotRestartAfterListenersClose checks that a process that has closed its listeners but still relays connections accepts no
-// successor. The next process starts without a handover, which could contain descriptors that were reused.
+// TestNoHotRestartAfterListenersClose checks that a process that has closed its listeners but still relays connections
+// accepts no successor. The next process starts without a handover, which could contain descriptors that were reused.
 func TestNoHotRestartAfterListenersClose(t *testing.T) {
 	proxy, client, upstream, _ := startPassThrough(t)
 	proxy.setMaxTimeout(0.3)
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestHotRestart checks that a second process takes over from the first, and a third from the second, without rejecting a client, and
-// that the old process continues to serve if its successor dies.
+// TestHotRestart checks that a second process takes over from the first, and a third from the second, without rejecting a
+// client, and that the old process continues to serve if its successor dies.
 func TestHotRestart(t *testing.T) {
 	proxy, conns := startWithEndpoints(t, 3, withAdminListener)
 	client, upstream := proxy.connect(conns, "a")
@@ -173,7 +173,8 @@
 	}
 }
 
-// TestStartWithoutHandover checks that without a usable handover socket a second process still starts and runs beside the first one.
+// TestStartWithoutHandover checks that without a usable handover socket a second process still starts and runs beside the
+// first one.
 func TestStartWithoutHandover(t *testing.T) {
 	long := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	if err := os.Mkdir(long, 0o700); err != nil {
@@ -202,8 +203,8 @@
 	}
 }
 
-// TestUnreadableHandover checks that a process starts with its own endpoint list if its predecessor's socket is stale, or the handover is
-// unreadable or incomplete.
+// TestUnreadableHandover checks that a process starts with its own endpoint list if its predecessor's socket is stale, or
+// the handover is unreadable or incomplete.
 func TestUnreadableHandover(t *testing.T) {
 	for name, text := range map[string]string{
 		"stale": "", "nonsense": "{\n", "no state": "{}\n", "silence": "{\"Module\"",
@@ -245,8 +246,8 @@
 	}
 }
 
-// TestSuccessorHeartbeat checks that a process counts its successor's descriptors as its own, and that it serves clients again when the
-// successor dies or stops sending its heartbeat.
+// TestSuccessorHeartbeat checks that a process counts its successor's descriptors as its own, and that it serves clients
+// again when the successor dies or stops sending its heartbeat.
 func TestSuccessorHeartbeat(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
--- a/cmd/micafront/large_list_test.go
+++ b/cmd/micafront/large_list_test.go
@@ -81,7 +81,8 @@
 	return len(e.attempts)
 }
 
-// entries returns count entries of an endpoint list, numbered from first. They are in three zones and all have this endpoint's address.
+// entries returns count entries of an endpoint list, numbered from first. They are in three zones and all have this
+// endpoint's address.
 func (e *answeringEndpoint) entries(first, count int, lifecycle string) []string {
 	entries := make([]string, 0, count)
 	for i := first; i < first+count; i++ {
@@ -103,7 +104,8 @@
 	wait   time.Duration
 }
 
-// sendPeriodically sends a request on a new connection every interval until stop is closed, and returns the timings of all requests.
+// sendPeriodically sends a request on a new connection every interval until stop is closed, and returns the timings of all
+// requests.
 func sendPeriodically(t *testing.T, addr string, interval, timeout time.Duration, stop <-chan struct{}) []requestTiming {
 	var mu sync.Mutex
 	var timings []requestTiming
@@ -150,8 +152,8 @@
 // answerTolerance is how long after a request's deadline its answer may arrive; a later answer is lost.
 const answerTolerance = 500 * time.Millisecond
 
-// TestDeadlinesDuringLargeListUpdates checks that clients with short timeouts are answered in time while a list of 3,200 endpoints is
-// replaced in parts, and that no attempt starts after a request's deadline.
+// TestDeadlinesDuringLargeListUpdates checks that clients with short timeouts are answered in time while a list of 3,200
+// endpoints is replaced in parts, and that no attempt starts after a request's deadline.
 func TestDeadlinesDuringLargeListUpdates(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	endpoint := newAnsweringEndpoint(t)
@@ -194,8 +196,8 @@
 	t.Logf("longest wait for an answer: %v", longest)
 }
 
-// TestExpiredRequestsAfterSuspension checks that requests whose deadline passes while the process is suspended are rejected without an
-// attempt, and that a request whose deadline has not passed is served.
+// TestExpiredRequestsAfterSuspension checks that requests whose deadline passes while the process is suspended are rejected
+// without an attempt, and that a request whose deadline has not passed is served.
 func TestExpiredRequestsAfterSuspension(t *testing.T) {
 	t.Parallel()
 	endpoint := newAnsweringEndpoint(t)
@@ -247,8 +249,8 @@
 	}
 }
 
-// TestLoadQueriesLeaveDescriptorsForRequests checks that clients are served while the proxy queries the load of several times as many
-// endpoints as it may have descriptors.
+// TestLoadQueriesLeaveDescriptorsForRequests checks that clients are served while the proxy queries the load of several
+// times as many endpoints as it may have descriptors.
 func TestLoadQueriesLeaveDescriptorsForRequests(t *testing.T) {
 	t.Parallel()
 	const maxDescriptors = 400
--- a/cmd/micafront/list_replica_test.go
+++ b/cmd/micafront/list_replica_test.go
@@ -16,8 +16,8 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// listReplica is a control-plane replica that also serves endpoint lists. It takes them from a discovery server, which represents the
-// list that the replicas agreed on.
+// listReplica is a control-plane replica that also serves endpoint lists. It takes them from a discovery server, which
+// represents the list that the replicas agreed on.
 type listReplica struct {
 	*fakeReplica
 	listQueries chan string // queries of the list calls that were forwarded
@@ -42,7 +42,8 @@
 	return replica
 }
 
-// serveListsWith sets the handler of list calls, where nil serves the discovery server's list, and ends the watches in progress.
+// serveListsWith sets the handler of list calls, where nil serves the discovery server's list, and ends the watches in
+// progress.
 func (r *listReplica) serveListsWith(handler http.HandlerFunc) {
 	r.listMu.Lock()
 	defer r.listMu.Unlock()
--- a/cmd/micafront/load_reports_test.go
+++ b/cmd/micafront/load_reports_test.go
@@ -22,8 +22,8 @@
 	return client, client.ReadLine()
 }
 
-// floodUntilRejected connects as a tenant until a request is rejected. For every connection that ends, the channel receives whether the
-// client was asked to move.
+// floodUntilRejected connects as a tenant until a request is rejected. For every connection that ends, the channel receives
+// whether the client was asked to move.
 func floodUntilRejected(t *testing.T, proxy *proxyProcess, tenant string) (moved chan bool) {
 	t.Helper()
 	const maxConns = 36 // capacity of the three endpoints
@@ -43,8 +43,8 @@
 	}
 }
 
-// establishShare connects as a tenant until it has its share of connections, and fails the test if requests are still rejected after the
-// deadline.
+// establishShare connects as a tenant until it has its share of connections, and fails the test if requests are still
+// rejected after the deadline.
 func establishShare(t *testing.T, proxy *proxyProcess, tenant string, share int, deadline time.Time) {
 	t.Helper()
 	for established := 0; established < share; {
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestTenantSharesUnderFlood checks that while one tenant connects until it is rejected, the three others still get their shares, because
-// the proxy moves the first tenant's connections that exceed its share. Each request gets one answer, and no two attempts of a request
-// overlap.
+// TestTenantSharesUnderFlood checks that while one tenant connects until it is rejected, the three others still get their
+// shares, because the proxy moves the first tenant's connections that exceed its share. Each request gets one answer, and no
+// two attempts of a request overlap.
 func TestTenantSharesUnderFlood(t *testing.T) {
 	checker := fakes.NewProtocolChecker()
 	var entries []string
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestInvalidLoadReports checks that requests are placed without load reports if an endpoint answers load queries with invalid reports or
-// closes the connection.
+// TestInvalidLoadReports checks that requests are placed without load reports if an endpoint answers load queries with
+// invalid reports or closes the connection.
 func TestInvalidLoadReports(t *testing.T) {
 	for _, reply := range []string{"NO\r\n", "PONG x0=\r\n", "PONG x0=1e999\r\n", strings.Repeat("x", 5000), ""} {
 		conns := make(chan *fakes.Peer, 100)
@@ -133,7 +133,8 @@
 	}
 }
 
-// TestLoadReportTimeout checks that the proxy queries an endpoint again on a new connection if it does not answer a load query in time.
+// TestLoadReportTimeout checks that the proxy queries an endpoint again on a new connection if it does not answer a load
+// query in time.
 func TestLoadReportTimeout(t *testing.T) {
 	conns := make(chan *fakes.Peer, 100)
 	upstream := fakes.NewScriptedEndpoint(t, "s1", conns)
--- a/cmd/micafront/main.go
+++ b/cmd/micafront/main.go
@@ -1,8 +1,8 @@
 // Command micafront is the proxy: it places clients' long-lived connections on endpoints and relays them.
 //
 // Without arguments it runs the proxy, configured by the environment and the file that EDGE_CONFIG names. With arguments it
-// executes micafrontctl, which implements all other commands. SIGTERM and SIGINT shut the proxy down gracefully, SIGHUP reloads
-// the configuration and SIGUSR1 logs the counters.
+// executes micafrontctl, which implements all other commands. SIGTERM and SIGINT shut the proxy down gracefully, SIGHUP
+// reloads the configuration and SIGUSR1 logs the counters.
 package main
 
 import (
@@ -24,7 +24,8 @@
 	exitToolsFailed = 2 // micafrontctl could not be executed
 )
 
-// Capacities of the signal queues. A reload that arrives at a full queue is dropped, because the queued ones read the same file.
+// Capacities of the signal queues. A reload that arrives at a full queue is dropped, because the queued ones read the same
+// file.
 const (
 	maxQueuedSignals = 8
 	maxQueuedReloads = 64
@@ -55,8 +56,8 @@
 	return line
 }
 
-// execTools replaces this process with micafrontctl, so that the proxy does not link the other commands. It returns only if that
-// fails.
+// execTools replaces this process with micafrontctl, so that the proxy does not link the other commands. It returns only if
+// that fails.
 func execTools() error {
 	path, err := config.ToolsPath(os.Getenv)
 	if err != nil {
@@ -103,9 +104,9 @@
 	log.Info("micafront: " + cfg.Name + " serves at " + p.Addr())
 }
 
-// handleSignals passes signals to the proxy until the process exits; they have no effect once the proxy's event loop has ended.
-// Reloads run in a separate goroutine, because a site takes time to compile and a stop must not wait for it. Signals that are
-// pending together arrive in no guaranteed order, which the proxy allows for in the timing of a stop.
+// handleSignals passes signals to the proxy until the process exits; they have no effect once the proxy's event loop has
+// ended. Reloads run in a separate goroutine, because a site takes time to compile and a stop must not wait for it. Signals
+// that are pending together arrive in no guaranteed order, which the proxy allows for in the timing of a stop.
 //
 // It ignores the errors of the proxy's methods: they come from evloop.Loop.Post, which cannot fail.
 func handleSignals(signals <-chan os.Signal, p *proxy.Proxy, log *logging.Logger, cfg *config.Config) {
@@ -142,8 +143,9 @@
 	return next
 }
 
-// limitDescriptors lowers the process's limit on file descriptors to the configured one, because a descriptor that the kernel
-// refuses does less harm than one above the limit. Where the limit cannot be changed, the proxy's own count still bounds them.
+// limitDescriptors lowers the process's limit on file descriptors to the configured one, because a descriptor that the
+// kernel refuses does less harm than one above the limit. Where the limit cannot be changed, the proxy's own count still
+// bounds them.
 func limitDescriptors(cfg *config.Config) {
 	if cfg.MaxDescriptors <= 0 {
 		return
--- a/cmd/micafront/main_test.go
+++ b/cmd/micafront/main_test.go
@@ -30,7 +30,8 @@
 	"Limits":{"AttemptsCap":1,"ConnectTimeout":1,"MaxOpen":1,"MaxRetryAfter":1},
 	"Invariants":{"AnswerSlack":0,"AskEvery":1,"Cold":1,"ColdFrom":1,"DrainGrace":1,"Fall":1,"OverloadFactor":1}}`
 
-// TestConfigErrors checks that the program reports a fatal configuration error on one line, with the fault and its resolution.
+// TestConfigErrors checks that the program reports a fatal configuration error on one line, with the fault and its
+// resolution.
 func TestConfigErrors(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",` +
 		`"known":{"generation":0,"reset":true,"instances":[]},"settings":{}}`
--- a/cmd/micafront/pass_through_test.go
+++ b/cmd/micafront/pass_through_test.go
@@ -11,8 +11,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// startPassThrough starts the program in pass-through mode with two established clients: one at the endpoint where other proxies would
-// place it too, and a misplaced one, whose first endpoint failed the attempt.
+// startPassThrough starts the program in pass-through mode with two established clients: one at the endpoint where other
+// proxies would place it too, and a misplaced one, whose first endpoint failed the attempt.
 func startPassThrough(t *testing.T, options ...proxyOption) (proxy *proxyProcess, client, upstream, misplaced *fakes.Peer) {
 	t.Helper()
 	conns := make(chan *fakes.Peer, 64)
@@ -35,8 +35,8 @@
 	return proxy, client, upstream, misplaced
 }
 
-// TestStopInPassThroughMode checks that in pass-through mode a stop moves only misplaced clients, because another proxy would place the
-// others at the same endpoints.
+// TestStopInPassThroughMode checks that in pass-through mode a stop moves only misplaced clients, because another proxy
+// would place the others at the same endpoints.
 func TestStopInPassThroughMode(t *testing.T) {
 	proxy, client, upstream, misplaced := startPassThrough(t)
 	proxy.command.Process.Signal(syscall.SIGTERM)
@@ -62,9 +62,9 @@
 	testkit.Equal(t, "still relayed", "M 1", upstream.ReadLine())
 }
 
-// TestStopInPassThroughModeKeepsConnections checks that in pass-through mode a stopping process answers pending requests before the
-// process would be killed and still relays established connections after that time, because a connection that the process closes
-// cannot continue at another proxy.
+// TestStopInPassThroughModeKeepsConnections checks that in pass-through mode a stopping process answers pending requests
+// before the process would be killed and still relays established connections after that time, because a connection that the
+// process closes cannot continue at another proxy.
 func TestStopInPassThroughModeKeepsConnections(t *testing.T) {
 	for _, seconds := range []float64{1, 60} {
 		t.Run(fmt.Sprint(seconds), func(t *testing.T) {
@@ -94,7 +94,8 @@
 	}
 }
 
-// TestHotRestartInPassThroughMode checks that in pass-through mode the successor knows the endpoint of every established connection.
+// TestHotRestartInPassThroughMode checks that in pass-through mode the successor knows the endpoint of every established
+// connection.
 func TestHotRestartInPassThroughMode(t *testing.T) {
 	proxy, client, upstream, misplaced := startPassThrough(t, withAdminListener)
 	successor := proxy.startSuccessor()
--- a/cmd/micafront/pool_reload_test.go
+++ b/cmd/micafront/pool_reload_test.go
@@ -27,8 +27,8 @@
 	return table
 }
 
-// TestReloadOfPools checks that on a reload the remaining pools keep their connections, even if they are renamed, and that the connections
-// of a removed pool are moved within the configured time.
+// TestReloadOfPools checks that on a reload the remaining pools keep their connections, even if they are renamed, and that
+// the connections of a removed pool are moved within the configured time.
 func TestReloadOfPools(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(strings.Replace(twoPools(`"attempts":3`), `"pools":[`, `"drain_over_us":400000,"pools":[`, 1)))
@@ -63,8 +63,8 @@
 	proxy.connect(conns["c"], "beta")
 }
 
-// TestReloadDuringRequest checks that a request whose pool is removed while it is pending is served by the policy's fallback pool, and that
-// a repeated reload changes nothing.
+// TestReloadDuringRequest checks that a request whose pool is removed while it is pending is served by the policy's fallback
+// pool, and that a repeated reload changes nothing.
 func TestReloadDuringRequest(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(twoPools(`"attempts":3,"fallback":["b"]`)))
@@ -86,8 +86,8 @@
 	proxy.waitForLog(logLine("removed pool has no connections left", `"pool": "a"}`))
 }
 
-// TestEndpointChangesPool checks that when an endpoint's entry changes to another pool, the endpoint's connections continue, and the other
-// pool places new connections on it and moves all of them when it drains.
+// TestEndpointChangesPool checks that when an endpoint's entry changes to another pool, the endpoint's connections continue,
+// and the other pool places new connections on it and moves all of them when it drains.
 func TestEndpointChangesPool(t *testing.T) {
 	t.Parallel()
 	proxy, conns, entries := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":3`)))
@@ -112,8 +112,8 @@
 	testkit.Equal(t, "moved off the draining endpoint", "MOVE", client.ReadLine())
 }
 
-// TestWarmingEndpointChangesPool checks that an endpoint that changes pools during slow start belongs to neither pool until it is warm, so
-// that its slow-start budget counts only once.
+// TestWarmingEndpointChangesPool checks that an endpoint that changes pools during slow start belongs to neither pool until
+// it is warm, so that its slow-start budget counts only once.
 func TestWarmingEndpointChangesPool(t *testing.T) {
 	t.Parallel()
 	proxy, conns, entries := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":3`)))
@@ -195,7 +195,8 @@
 	}
 }
 
-// TestReloadWhileDrained checks the metrics of pools and routes, a reload of pools during a drain, and a change of the log level.
+// TestReloadWhileDrained checks the metrics of pools and routes, a reload of pools during a drain, and a change of the log
+// level.
 func TestReloadWhileDrained(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(twoPools(`"attempts":3`)), withAdminListener)
@@ -220,8 +221,8 @@
 	expectNoConn(t, conns["b"])
 }
 
-// TestReloadDuringHotRestart checks that during a hot restart with changed pools the successor starts with the new configuration file and
-// receives the connections of the old process.
+// TestReloadDuringHotRestart checks that during a hot restart with changed pools the successor starts with the new
+// configuration file and receives the connections of the old process.
 func TestReloadDuringHotRestart(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b", "c"}, withRouting(twoPools(`"attempts":3`)))
@@ -246,8 +247,8 @@
 	successor.connect(conns["a"], "alpha")
 }
 
-// TestProtocolUnderReloads checks that under repeated reloads, with many clients and two pools that are often full, every request gets
-// exactly one final answer and no two attempts of a request overlap.
+// TestProtocolUnderReloads checks that under repeated reloads, with many clients and two pools that are often full, every
+// request gets exactly one final answer and no two attempts of a request overlap.
 func TestProtocolUnderReloads(t *testing.T) {
 	t.Parallel()
 	checker := fakes.NewProtocolChecker()
--- a/cmd/micafront/pools_test.go
+++ b/cmd/micafront/pools_test.go
@@ -14,8 +14,8 @@
 	return func(proxy *proxyProcess) { proxy.routing = `"routing":` + text + `,` }
 }
 
-// twoPools returns pools "a" and "b", one for each zone, and routes by the first letter of the key. policy holds the members of the policy
-// of the route to pool "a".
+// twoPools returns pools "a" and "b", one for each zone, and routes by the first letter of the key. policy holds the members
+// of the policy of the route to pool "a".
 func twoPools(policy string) string {
 	return `{"pools":[{"name":"a","select":{"zones":["a"]}},{"name":"b","select":{"zones":["b"]}}],
 		"policies":[{"name":"p",` + policy + `}],
@@ -23,7 +23,8 @@
 		{"name":"toA","match":{"key":{"prefix":["a"]}},"to":[{"pool":"a","ppm":1000000}],"policy":"p"}]}`
 }
 
-// startWithZones starts the program with an endpoint in each zone, and returns the channels of their connections and the entries, by zone.
+// startWithZones starts the program with an endpoint in each zone, and returns the channels of their connections and the
+// entries, by zone.
 func startWithZones(t *testing.T, zones []string, options ...proxyOption) (*proxyProcess, map[string]chan *fakes.Peer, map[string]fakes.Entry) {
 	t.Helper()
 	conns, entries := map[string]chan *fakes.Peer{}, map[string]fakes.Entry{}
@@ -74,8 +75,8 @@
 	expectNoConn(t, conns["b"])
 }
 
-// TestFallback checks that a request that its pool rejects is attempted in the policy's next pool, that attempts do not overlap and stay
-// within the policy's limit, and that the client is answered when the last pool rejects the request.
+// TestFallback checks that a request that its pool rejects is attempted in the policy's next pool, that attempts do not
+// overlap and stay within the policy's limit, and that the client is answered when the last pool rejects the request.
 func TestFallback(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":2,"fallback":["b"]`)))
@@ -107,7 +108,8 @@
 	expectNoConn(t, conns["a"])
 }
 
-// TestFallbackWithinAttemptLimit checks that a request does not fall back to another pool if the policy allows no further attempt.
+// TestFallbackWithinAttemptLimit checks that a request does not fall back to another pool if the policy allows no further
+// attempt.
 func TestFallbackWithinAttemptLimit(t *testing.T) {
 	t.Parallel()
 	proxy, conns, _ := startWithZones(t, []string{"a", "b"}, withRouting(twoPools(`"attempts":1,"fallback":["b"],"come_back_from_us":700000,"come_back_to_us":700000`)))
--- a/cmd/micafront/process_test.go
+++ b/cmd/micafront/process_test.go
@@ -283,8 +283,8 @@
 	return client, upstream
 }
 
-// suspend stops the process by SIGSTOP until resume is called. The process then handles everything that happened meanwhile in one
-// iteration of its event loop.
+// suspend stops the process by SIGSTOP until resume is called. The process then handles everything that happened meanwhile
+// in one iteration of its event loop.
 func (p *proxyProcess) suspend() (resume func()) {
 	p.t.Helper()
 	pid := p.command.Process.Pid
@@ -299,8 +299,8 @@
 	return func() { syscall.Kill(pid, syscall.SIGCONT) }
 }
 
-// allThreadsStopped reports whether every thread of a process is stopped. The state of the first thread is not enough, because the
-// event loop may run on another one.
+// allThreadsStopped reports whether every thread of a process is stopped. The state of the first thread is not enough,
+// because the event loop may run on another one.
 func allThreadsStopped(pid int) bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, path := range threads {
--- a/cmd/micafront/protocol_test.go
+++ b/cmd/micafront/protocol_test.go
@@ -12,8 +12,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestIdleClientIsAnswered checks that the proxy answers an idle client before it closes the connection, because the client may be sending
-// a request at that moment.
+// TestIdleClientIsAnswered checks that the proxy answers an idle client before it closes the connection, because the client
+// may be sending a request at that moment.
 func TestIdleClientIsAnswered(t *testing.T) {
 	proxy, _ := startWithEndpoint(t)
 	silent, ready := proxy.dial(), proxy.dial()
@@ -44,7 +44,8 @@
 	testkit.Equal(t, "unknown endpoint", "ERR", client.ReadLine())
 }
 
-// TestRejectedImmediately checks that a request that cannot be placed is rejected immediately, with a retry delay, and not at its deadline.
+// TestRejectedImmediately checks that a request that cannot be placed is rejected immediately, with a retry delay, and not
+// at its deadline.
 func TestRejectedImmediately(t *testing.T) {
 	proxy := startProxy(t, fakes.List(1, true))
 	client := proxy.dial()
@@ -55,8 +56,8 @@
 	testkit.Equal(t, "end", "EOF", client.ReadLine())
 }
 
-// TestProtocolViolations checks that a client that violates the protocol gets exactly one answer immediately, that none of its data
-// reaches an endpoint, and that other clients are not affected.
+// TestProtocolViolations checks that a client that violates the protocol gets exactly one answer immediately, that none of
+// its data reaches an endpoint, and that other clients are not affected.
 func TestProtocolViolations(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client, upstream := proxy.connect(conns, "a")
@@ -94,8 +95,9 @@
 	testkit.Equal(t, "the other client", "M 1", upstream.ReadLine())
 }
 
-// TestAnswerReachesSendingClient checks that a client that is still sending receives its error answer. If the proxy closed the connection
-// with unread bytes, the kernel would reset it and the answer would be lost. Other clients are served meanwhile.
+// TestAnswerReachesSendingClient checks that a client that is still sending receives its error answer. If the proxy closed
+// the connection with unread bytes, the kernel would reset it and the answer would be lost. Other clients are served
+// meanwhile.
 func TestAnswerReachesSendingClient(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
--- a/cmd/micafront/relay_test.go
+++ b/cmd/micafront/relay_test.go
@@ -10,8 +10,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestAnswerAndCloseInOneSegment checks that everything that an endpoint sends up to its close reaches the client, whether it arrives
-// together or byte by byte.
+// TestAnswerAndCloseInOneSegment checks that everything that an endpoint sends up to its close reaches the client, whether
+// it arrives together or byte by byte.
 func TestAnswerAndCloseInOneSegment(t *testing.T) {
 	for _, c := range []struct {
 		sent string
@@ -70,7 +70,8 @@
 	proxy.waitForMetrics(map[string]string{"svc.pending": "0", "svc.downstream_requests.feed.completed": "1"})
 }
 
-// TestRequestAndRelay checks a complete connection: readiness check, request, answer, lines in both directions, half-close and EOF.
+// TestRequestAndRelay checks a complete connection: readiness check, request, answer, lines in both directions, half-close
+// and EOF.
 func TestRequestAndRelay(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
@@ -100,8 +101,8 @@
 	proxy.waitForCounter("open=0")
 }
 
-// TestResumedConnection checks that the proxy retries a client that resumes a connection at the connection's endpoint, and relays a reset
-// as a reset.
+// TestResumedConnection checks that the proxy retries a client that resumes a connection at the connection's endpoint, and
+// relays a reset as a reset.
 func TestResumedConnection(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client := proxy.dial()
@@ -118,8 +119,9 @@
 	testkit.Equal(t, "reset relayed", "RST", client.ReadLine())
 }
 
-// TestLoadReportIsLatency checks settings under which endpoints report latency instead of load: LOAD then carries the latency of a message
-// in milliseconds, and the proxy moves clients, between two lines, from an endpoint far above the latency objective.
+// TestLoadReportIsLatency checks settings under which endpoints report latency instead of load: LOAD then carries the
+// latency of a message in milliseconds, and the proxy moves clients, between two lines, from an endpoint far above the
+// latency objective.
 func TestLoadReportIsLatency(t *testing.T) {
 	proxy, conns := startWithEndpoints(t, 5, func(proxy *proxyProcess) { // with capacity for the moved clients
 		proxy.extraSettings = `"FamilyInfo":{"MessageAim":[0.05],"TellsDelay":true,"TellsLoad":false},`
@@ -139,8 +141,8 @@
 	proxy.waitForCounter("moves=1")
 }
 
-// TestUnresponsiveEndpoint checks that the proxy moves the client of an endpoint that does not answer a line, within 7 s. The balancer
-// decides by the age of the unanswered line, or the relay if no latency objective for messages is set.
+// TestUnresponsiveEndpoint checks that the proxy moves the client of an endpoint that does not answer a line, within 7 s.
+// The balancer decides by the age of the unanswered line, or the relay if no latency objective for messages is set.
 func TestUnresponsiveEndpoint(t *testing.T) {
 	for counter, extra := range map[string]string{
 		"moves":        `"FamilyInfo":{"MessageAim":[0.05]},`,
@@ -158,7 +160,8 @@
 	}
 }
 
-// TestSlowPeers checks that a peer that starts to read late receives everything in order, although the proxy buffers little of it.
+// TestSlowPeers checks that a peer that starts to read late receives everything in order, although the proxy buffers little
+// of it.
 func TestSlowPeers(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client, upstream := proxy.connect(conns, "key")
--- a/cmd/micafront/reload_test.go
+++ b/cmd/micafront/reload_test.go
@@ -12,8 +12,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestRemovedClassKeepsItsEffect checks that a class that a reload removed keeps its effect for clients that reconnect under it, even in a
-// pool that is created later.
+// TestRemovedClassKeepsItsEffect checks that a class that a reload removed keeps its effect for clients that reconnect under
+// it, even in a pool that is created later.
 func TestRemovedClassKeepsItsEffect(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startWithEndpoints(t, 2, withRouting(`{"pools":[{"name":"a"}],"routes":[{"name":"r","to":[{"pool":"a","ppm":1000000}]}]}`),
@@ -43,7 +43,8 @@
 	proxy.waitForCounter("attempts=1")
 }
 
-// TestReloadRejectsInvalidSettings checks that a reload of invalid settings changes nothing and that the log names the fault and the file.
+// TestReloadRejectsInvalidSettings checks that a reload of invalid settings changes nothing and that the log names the fault
+// and the file.
 func TestReloadRejectsInvalidSettings(t *testing.T) {
 	mint := classJSON("mint", "keyed", "zone", 5)
 	proxy, conns := startWithEndpoint(t, withClasses(mint))
@@ -97,8 +98,8 @@
 	}
 }
 
-// TestReload checks a reload by SIGHUP: an invalid file changes nothing; a new discovery service is called for its complete list, whose
-// generation may be lower, and the end of the watch at the previous service does not count as a failure.
+// TestReload checks a reload by SIGHUP: an invalid file changes nothing; a new discovery service is called for its complete
+// list, whose generation may be lower, and the end of the watch at the previous service does not count as a failure.
 func TestReload(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client, upstream := proxy.connect(conns, "a")
@@ -131,8 +132,8 @@
 	testkit.Equal(t, "connection established before the reload", "M 1", upstream.ReadLine())
 }
 
-// TestReloadSettings checks a reload of settings: an incomplete file is rejected as a whole, a new class and its effect apply immediately,
-// and a removed class remains for connections that were established under it.
+// TestReloadSettings checks a reload of settings: an incomplete file is rejected as a whole, a new class and its effect
+// apply immediately, and a removed class remains for connections that were established under it.
 func TestReloadSettings(t *testing.T) {
 	proxy, conns := startWithEndpoints(t, 6, withAdminListener)
 	for i, c := range []struct{ from, to string }{
--- a/cmd/micafront/shutdown_test.go
+++ b/cmd/micafront/shutdown_test.go
@@ -18,8 +18,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// setMaxTimeout reloads the settings with this timeout of requests, in seconds. The process is then expected to be killed 0.7 s after the
-// timeout, counted from the stop signal.
+// setMaxTimeout reloads the settings with this timeout of requests, in seconds. The process is then expected to be killed
+// 0.7 s after the timeout, counted from the stop signal.
 func (p *proxyProcess) setMaxTimeout(seconds float64) {
 	p.t.Helper()
 	p.reload(`"Aim":30,"GiveUp":60`, fmt.Sprintf(`"Aim":%g,"GiveUp":%g`, seconds/2, seconds))
@@ -43,8 +43,8 @@
 	return time.Now()
 }
 
-// expectExit checks that the process exits with code 0 before the kill, which is due the given time after stopAt. It tolerates 1.8 s more,
-// for a busy machine.
+// expectExit checks that the process exits with code 0 before the kill, which is due the given time after stopAt. It
+// tolerates 1.8 s more, for a busy machine.
 func (p *proxyProcess) expectExit(stopAt time.Time, kill time.Duration) {
 	p.t.Helper()
 	err := fakes.Await(p.t, p.exited)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestStopWaitsForPartialRequest checks that a stop waits for a client whose first line is incomplete even if nothing else is left, because
-// the client must get an answer.
+// TestStopWaitsForPartialRequest checks that a stop waits for a client whose first line is incomplete even if nothing else
+// is left, because the client must get an answer.
 func TestStopWaitsForPartialRequest(t *testing.T) {
 	proxy, _ := startWithEndpoint(t, withAdminListener)
 	client := proxy.dial()
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestStop checks that a stop moves all clients, including those that connect during the stop, and that the process then exits.
+// TestStop checks that a stop moves all clients, including those that connect during the stop, and that the process then
+// exits.
 func TestStop(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	client, _ := proxy.connect(conns, "a")
@@ -103,8 +104,8 @@
 	proxy.waitForLog("moves_stop=2")
 }
 
-// TestStopUnderLoad checks a stop with many connections just after a reload: every client, including those that connect during the stop, is
-// moved between two lines and loses none of them.
+// TestStopUnderLoad checks a stop with many connections just after a reload: every client, including those that connect
+// during the stop, is moved between two lines and loses none of them.
 func TestStopUnderLoad(t *testing.T) {
 	proxy, conns := startWithEndpoints(t, 3)
 	next := fakes.NewScriptedDiscovery(t)
@@ -139,8 +140,8 @@
 	proxy.waitForLog("moves_stop=155")
 }
 
-// TestStopWhileEndpointsHang checks that requests at endpoints that hang get exactly one final answer before the kill, which is due earlier
-// with shorter timeouts. The answer depends on whether the request may have run.
+// TestStopWhileEndpointsHang checks that requests at endpoints that hang get exactly one final answer before the kill, which
+// is due earlier with shorter timeouts. The answer depends on whether the request may have run.
 func TestStopWhileEndpointsHang(t *testing.T) {
 	for _, seconds := range []float64{0.3, 1} {
 		t.Run(fmt.Sprint(seconds), func(t *testing.T) {
@@ -169,7 +170,8 @@
 	}
 }
 
-// TestStopWhileDialing checks that a stop while an attempt is dialing answers BUSY: nothing has been sent, so a repeat is harmless.
+// TestStopWhileDialing checks that a stop while an attempt is dialing answers BUSY: nothing has been sent, so a repeat is
+// harmless.
 func TestStopWhileDialing(t *testing.T) {
 	proxy, _, _ := startWithDelayedEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -181,8 +183,8 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopWhileResuming checks that the retries of a resumed connection that its endpoint does not accept end before the kill, although they
-// would otherwise continue for long.
+// TestStopWhileResuming checks that the retries of a resumed connection that its endpoint does not accept end before the
+// kill, although they would otherwise continue for long.
 func TestStopWhileResuming(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -201,7 +203,8 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopBoundsNewRequests checks that a request that arrives during a stop is sent with a deadline within the time left of the stop.
+// TestStopBoundsNewRequests checks that a request that arrives during a stop is sent with a deadline within the time left of
+// the stop.
 func TestStopBoundsNewRequests(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -218,8 +221,8 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopInOneIterationWithRequests checks that requests, and a request whose answer arrives, in the same iteration of the event loop as
-// the stop signal are served.
+// TestStopInOneIterationWithRequests checks that requests, and a request whose answer arrives, in the same iteration of the
+// event loop as the stop signal are served.
 func TestStopInOneIterationWithRequests(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	idle := proxy.dial()
@@ -250,8 +253,8 @@
 	proxy.expectExit(stopAt, 3700*time.Millisecond)
 }
 
-// TestStopDuringPartialRequest checks that a stop answers a client whose first line is incomplete when final answers are due, and that the
-// rest of the line is no longer read.
+// TestStopDuringPartialRequest checks that a stop answers a client whose first line is incomplete when final answers are
+// due, and that the rest of the line is no longer read.
 func TestStopDuringPartialRequest(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -266,8 +269,8 @@
 	testkit.Equal(t, "requests sent", 0, len(conns))
 }
 
-// TestStopWithIdleClients checks that idle clients do not delay a stop and are answered, so that a request sent at that moment has its
-// answer.
+// TestStopWithIdleClients checks that idle clients do not delay a stop and are answered, so that a request sent at that
+// moment has its answer.
 func TestStopWithIdleClients(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	var clients []*fakes.Peer
@@ -292,8 +295,8 @@
 	testkit.Equal(t, "requests sent", 0, len(conns))
 }
 
-// TestRequestsDuringStop checks that a request at any time of a stop, on an idle connection or from the listener's queue, is either served
-// or rejected, never dropped.
+// TestRequestsDuringStop checks that a request at any time of a stop, on an idle connection or from the listener's queue, is
+// served or rejected, never dropped, and never sent after its rejection.
 func TestRequestsDuringStop(t *testing.T) {
 	for _, delay := range []time.Duration{0, 400, 600, 690, 740, 900} {
 		t.Run((delay * time.Millisecond).String(), func(t *testing.T) {
@@ -336,8 +339,8 @@
 	}
 }
 
-// TestStopAfterLongSuspension checks that clients in the listener's queue are still rejected if the process was suspended past all
-// deadlines of the stop.
+// TestStopAfterLongSuspension checks that clients in the listener's queue are still rejected if the process was suspended
+// past all deadlines of the stop.
 func TestStopAfterLongSuspension(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(0.3)
@@ -376,8 +379,8 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopDuringReload checks a stop that is followed immediately by a reload: the kill may be due by the settings before or after the
-// reload, and the process exits before the earlier one.
+// TestStopDuringReload checks a stop that is followed immediately by a reload: the kill may be due by the settings before or
+// after the reload, and the process exits before the earlier one.
 func TestStopDuringReload(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -389,8 +392,9 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopAndReloadPending checks a stop and a later reload that are signaled while the process is suspended. Both signals are pending when
-// the process resumes, and the kernel delivers the reload's first. The stop must still use the settings before the reload.
+// TestStopAndReloadPending checks a stop and a later reload that are signaled while the process is suspended. Both signals
+// are pending when the process resumes, and the kernel delivers the reload's first. The stop must still use the settings
+// before the reload.
 func TestStopAndReloadPending(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	proxy.setMaxTimeout(1)
@@ -425,8 +429,8 @@
 	proxy.expectExit(stopAt, 3700*time.Millisecond)
 }
 
-// TestStopDuringHotRestart checks a stop after a successor has connected but before it serves, and that the process does not remove a socket
-// with which another process has replaced its own.
+// TestStopDuringHotRestart checks a stop after a successor has connected but before it serves, and that the process does not
+// remove a socket with which another process has replaced its own.
 func TestStopDuringHotRestart(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	fakes.Await(t, proxy.discovery.Watches)
@@ -479,8 +483,8 @@
 	proxy.expectExit(stopAt, 3700*time.Millisecond)
 }
 
-// TestStopWithSuccessorWhileEndpointsHang checks that during a stop with a serving successor, requests at endpoints that hang are answered
-// in time and established connections continue at the successor.
+// TestStopWithSuccessorWhileEndpointsHang checks that during a stop with a serving successor, requests at endpoints that
+// hang are answered in time and established connections continue at the successor.
 func TestStopWithSuccessorWhileEndpointsHang(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	proxy.setMaxTimeout(1)
@@ -533,8 +537,8 @@
 	next.stop()
 }
 
-// TestAcceptedAfterClientLeft checks that if attempts may not be canceled, the proxy closes an attempt that is accepted after its client has
-// disconnected or got its final answer in a stop, and continues to serve or exits normally.
+// TestAcceptedAfterClientLeft checks that if attempts may not be canceled, the proxy closes an attempt that is accepted
+// after its client has disconnected or got its final answer in a stop, and continues to serve or exits normally.
 func TestAcceptedAfterClientLeft(t *testing.T) {
 	proxy, conns := startWithEndpoint(t, withAdminListener)
 	proxy.reload(`"MayCancel":true`, `"MayCancel":false`)
--- a/cmd/micafront/site_test.go
+++ b/cmd/micafront/site_test.go
@@ -59,8 +59,8 @@
 	return proxy, conns
 }
 
-// TestStartFromSite checks that the program runs from a configuration in the site language, and that a reload applies a changed
-// file completely or not at all.
+// TestStartFromSite checks that the program runs from a configuration in the site language, and that a reload applies a
+// changed file completely or not at all.
 func TestStartFromSite(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startFromSite(t, "../../internal/sitelang/testdata/base.cue")
--- a/cmd/micafront/soak_test.go
+++ b/cmd/micafront/soak_test.go
@@ -18,7 +18,8 @@
 // loggedLines is how many log lines of each process a failed run of TestSoak shows.
 const loggedLines = 12
 
-// TestSoak runs real processes under mixed faults, one run for each seed, and checks that none violates a rule of the protocol.
+// TestSoak runs real processes under mixed faults, one run for each seed, and checks that none violates a rule of the
+// protocol.
 func TestSoak(t *testing.T) {
 	var from, to uint64
 	if _, err := fmt.Sscanf(*soakSeeds, "%d-%d", &from, &to); err != nil || from > to {
@@ -52,8 +53,8 @@
 // costProcesses is how many processes TestCostBounds runs with each list size.
 var costProcesses = flag.Int("costs.processes", 6, "the processes of TestCostBounds with each size of the list")
 
-// TestCostBounds runs processes with lists of 200 and of 3,200 endpoints concurrently, and checks that the cost with the long list stays
-// within its bounds.
+// TestCostBounds runs processes with lists of 200 and of 3,200 endpoints concurrently, and checks that the cost with the
+// long list stays within its bounds.
 func TestCostBounds(t *testing.T) {
 	for _, loadReports := range []bool{false, true} {
 		t.Run(fmt.Sprintf("load reports %v", loadReports), func(t *testing.T) {
