--- a/features/world_test.go
+++ b/features/world_test.go
@@ -198,7 +198,7 @@
 func (w *world) rejectedWith(kind string) bool {
 	resolutions := apperror.Resolutions(w.request.Answer.Err)
 	return slices.ContainsFunc(apperror.Kinds(), func(k *apperror.Kind) bool {
-		return k.Name == kind && k.Of(w.request.Answer.Err) && slices.Contains(resolutions, k.Resolution)
+		return k.Name == kind && k.Matches(w.request.Answer.Err) && slices.Contains(resolutions, k.Resolution)
 	})
 }
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -102,13 +102,13 @@
 
 // Drained is part of evloop.Handler.
 func (c *client) Drained() {
-	if c.answered && c.conn.IsEnded() {
+	if c.answered && c.conn.AtEOF() {
 		c.close()
 	}
 }
 
-// Ended is part of evloop.Handler.
-func (c *client) Ended() {
+// EOF is part of evloop.Handler.
+func (c *client) EOF() {
 	if !c.answered {
 		c.respond(response{status: http.StatusBadRequest, body: []byte("the call is not whole\n")})
 	}
--- a/internal/apperror/apperror.go
+++ b/internal/apperror/apperror.go
@@ -54,8 +54,8 @@
 // Wrap returns an error of the kind that was caused by err.
 func (k *Kind) Wrap(place string, err error) *Error { return &Error{Kind: k, Place: place, Err: err} }
 
-// Typed returns the first Error in err's chain, of whatever kind; where there is none, err wrapped as one of this kind.
-func (k *Kind) Typed(place string, err error) *Error {
+// WrapUntyped returns the first Error in err's chain, of whatever kind; where there is none, err wrapped as one of this kind.
+func (k *Kind) WrapUntyped(place string, err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
 		return typed
@@ -92,9 +92,9 @@
 // Resolution says what an operator can do.
 func (e *Error) Resolution() string { return e.Kind.Resolution }
 
-// Of reports whether err, or an error that it wraps, is of this kind. Of joined errors it follows only the first that is or
+// Matches reports whether err, or an error that it wraps, is of this kind. Of joined errors it follows only the first that is or
 // wraps an Error.
-func (k *Kind) Of(err error) bool {
+func (k *Kind) Matches(err error) bool {
 	var typed *Error
 	for errors.As(err, &typed) {
 		if typed.Kind == k {
--- a/internal/apperror/apperror_test.go
+++ b/internal/apperror/apperror_test.go
@@ -14,13 +14,13 @@
 	if got := Resolutions(err); !slices.Equal(got, []string{"do a", "do b"}) {
 		t.Errorf("resolutions %q", got)
 	}
-	if !errors.Is(err, b.New("", "")) || !a.Of(err) || b.Of(errors.New("other")) || !b.Of(a.Wrap("file", inner)) {
+	if !errors.Is(err, b.New("", "")) || !a.Matches(err) || b.Matches(errors.New("other")) || !b.Matches(a.Wrap("file", inner)) {
 		t.Error("kinds are not told apart")
 	}
 	if got := a.Wrap("file", inner).Error(); got != `file: route r: no pool "p"` {
 		t.Errorf("error text %q", got)
 	}
-	if typed, plain := b.Typed("x", fmt.Errorf("in words: %w", inner)), a.Typed("x", errors.New("y")); typed != inner ||
+	if typed, plain := b.WrapUntyped("x", fmt.Errorf("in words: %w", inner)), a.WrapUntyped("x", errors.New("y")); typed != inner ||
 		plain.Kind != a || plain.Error() != "x: y" {
 		t.Errorf("typed as %v and %v", typed, plain)
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -566,7 +566,7 @@
 		t.Errorf("bound to %+v, %v", got.Pools, err)
 	}
 	set.Routes[0].To[0].Pool = "service:chat"
-	if _, err := sc.rules.BindFor(set, sc.state, "", "some"); !UnknownService.Of(err) {
+	if _, err := sc.rules.BindFor(set, sc.state, "", "some"); !UnknownService.Matches(err) {
 		t.Errorf("bound to a service that is not imported: %v", err)
 	}
 	if n := testing.AllocsPerRun(100, func() {
@@ -651,14 +651,14 @@
 		change(&bad)
 		_, err := sc.rules.Bind(bad, sc.state, "")
 		namesPlace := err != nil && (strings.Contains(err.Error(), "r1") || strings.Contains(err.Error(), "policy f"))
-		if !namesPlace || !UnknownService.Of(err) && !PoolNameConflict.Of(err) {
+		if !namesPlace || !UnknownService.Matches(err) && !PoolNameConflict.Matches(err) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	sc.inputs.Meshes = nil
 	sc.step(0)
 	sc.step(TombstoneDuration)
-	if _, err := sc.rules.Bind(set, sc.state, ""); !UnknownService.Of(err) || !strings.Contains(err.Error(), "quarantine") {
+	if _, err := sc.rules.Bind(set, sc.state, ""); !UnknownService.Matches(err) || !strings.Contains(err.Error(), "quarantine") {
 		t.Errorf("names in quarantine: %v", err)
 	}
 }
@@ -692,7 +692,7 @@
 	for _, text := range []string{`{"entries":[{"name":"b"},{"name":"a"}]}`, `{"entries":[{"name":"a"},{"name":"a"}]}`,
 		`{"meshes":[{"mesh":""}]}`, `{"entries":7}`} {
 		var s State
-		if err := json.Unmarshal([]byte(text), &s); !BadState.Of(err) {
+		if err := json.Unmarshal([]byte(text), &s); !BadState.Matches(err) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/configbundle/bundle.go
+++ b/internal/configbundle/bundle.go
@@ -68,7 +68,7 @@
 	if text := bytes.TrimSpace(body.Catalog); len(text) > 0 && string(text) != "null" {
 		bundle.Catalog = &catalog.State{}
 		if err := json.Unmarshal(text, bundle.Catalog); err != nil {
-			return Bundle{}, withSection(catalogSection, catalog.BadState.Typed("", err))
+			return Bundle{}, withSection(catalogSection, catalog.BadState.WrapUntyped("", err))
 		}
 	}
 	return bundle, nil
--- a/internal/configbundle/bundle_test.go
+++ b/internal/configbundle/bundle_test.go
@@ -84,7 +84,7 @@
 			mesh: "lagos", kind: catalog.UnknownService},
 	} {
 		_, err := Decode(test.body, Place{Mesh: test.mesh})
-		if err == nil || !strings.HasPrefix(err.Error(), prefix) || test.kind != nil && !test.kind.Of(err) {
+		if err == nil || !strings.HasPrefix(err.Error(), prefix) || test.kind != nil && !test.kind.Matches(err) {
 			t.Errorf("%v does not begin with %q", err, prefix)
 		}
 	}
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -251,7 +251,7 @@
 		_, isRead := r.pendingReads[failure.ProposalID]
 		_, isProposal := r.pendingProposals[failure.ProposalID]
 		kind := map[bool]*apperror.Kind{true: NotLeading, false: Uncertain}[isRead]
-		if isRead == isProposal || !kind.Of(failure.Err) {
+		if isRead == isProposal || !kind.Matches(failure.Err) {
 			c.t.Fatalf("proposal %v failed with %v", failure.ProposalID, failure.Err)
 		}
 		delete(r.pendingProposals, failure.ProposalID)
--- a/internal/consensus/lease_server_test.go
+++ b/internal/consensus/lease_server_test.go
@@ -136,14 +136,14 @@
 		t.Fatalf("%d replies and %d pending renewals, want 3 and 0", len(leader.replies), leader.leases.PendingRenewals())
 	}
 	for _, r := range leader.replies {
-		if !NotLeading.Of(r.Err) {
+		if !NotLeading.Matches(r.Err) {
 			t.Fatalf("%+v", r)
 		}
 	}
 	if service.stepDowns != 1 {
 		t.Fatalf("the LeaseService stepped down %d times, want once", service.stepDowns)
 	}
-	if err := leader.leases.Renew(0, 9, fleetconfig.Renewal{Node: "n"}); !NotLeading.Of(err) {
+	if err := leader.leases.Renew(0, 9, fleetconfig.Renewal{Node: "n"}); !NotLeading.Matches(err) {
 		t.Fatal(err)
 	}
 	clear(cluster.disconnected)
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -82,10 +82,10 @@
 	if ticks > 21 || proposals != 0 || reads != 0 {
 		t.Fatalf("after %d ticks %d proposals and %d confirmations are pending", ticks, proposals, reads)
 	}
-	if _, err := cluster.propose(leader, "rejected"); !NotLeading.Of(err) {
+	if _, err := cluster.propose(leader, "rejected"); !NotLeading.Matches(err) {
 		t.Fatalf("a replica without a majority accepted a proposal: %v", err)
 	}
-	if _, err := cluster.replicas[leader].node.Confirm(); !NotLeading.Of(err) {
+	if _, err := cluster.replicas[leader].node.Confirm(); !NotLeading.Matches(err) {
 		t.Fatalf("a replica without a majority accepted a confirmation: %v", err)
 	}
 	cluster.commit("meanwhile")
@@ -150,7 +150,7 @@
 			if _, err := n.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil || len(state.IDs) < 6 {
 				t.Fatalf("valid stored data resulted in %q, error %v", state.IDs, err)
 			}
-		} else if !c.kind.Of(err) || len(apperror.Resolutions(err)) == 0 {
+		} else if !c.kind.Matches(err) || len(apperror.Resolutions(err)) == 0 {
 			t.Errorf("%s: got %v, want %s", c.name, err, c.kind.Name)
 		}
 	}
@@ -196,7 +196,7 @@
 			m.Entries = entry(1, 1<<40, pb.EntryType_EntryNormal)
 		}),
 	} {
-		if err := node.Step(b); !BadMessage.Of(err) {
+		if err := node.Step(b); !BadMessage.Matches(err) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -205,7 +205,7 @@
 	}
 	// The raft library panics on a commit index beyond the log. The replica must stop with an error instead.
 	err := node.Step(heartbeat(func(m *pb.Message) { m.Commit = proto.Uint64(1 << 40) }))
-	if _, again := node.Work(); !LostData.Of(err) || !LostData.Of(again) || !LostData.Of(node.Tick()) {
+	if _, again := node.Work(); !LostData.Matches(err) || !LostData.Matches(again) || !LostData.Matches(node.Tick()) {
 		t.Fatalf("a commit index beyond the log resulted in %v, then %v", err, again)
 	}
 }
@@ -229,10 +229,10 @@
 					Data: rapid.SliceOfN(rapid.Byte(), 0, 8).Draw(r, "data")})
 			}
 			b, _ := proto.Marshal(m)
-			if err := node.Step(b); err != nil && !BadMessage.Of(err) && !Broken.Of(err) && !LostData.Of(err) {
+			if err := node.Step(b); err != nil && !BadMessage.Matches(err) && !Broken.Matches(err) && !LostData.Matches(err) {
 				r.Fatalf("%v has no expected kind", err)
 			}
-			if _, err := node.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil && !Broken.Of(err) && !LostData.Of(err) {
+			if _, err := node.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil && !Broken.Matches(err) && !LostData.Matches(err) {
 				r.Fatalf("%v has no expected kind", err)
 			}
 		}
@@ -243,7 +243,7 @@
 	cluster := newCluster(t, 1, 1, nil)
 	big := proposeCommand("big")
 	big.Propose.Body = &fleetconfig.Body{Settings: make([]byte, MaxCommandBytes)}
-	if _, err := cluster.replicas[cluster.leader()].node.Propose(big); !TooLarge.Of(err) {
+	if _, err := cluster.replicas[cluster.leader()].node.Propose(big); !TooLarge.Matches(err) {
 		t.Fatal(err)
 	}
 	cluster.commit("small")
@@ -259,7 +259,7 @@
 		t.Fatal(err)
 	}
 	_, err = node.ProcessWork(&MemoryStore{}, func(Message) {})
-	if !Broken.Of(err) || len(cluster.replicas[1].state.IDs) != 0 {
+	if !Broken.Matches(err) || len(cluster.replicas[1].state.IDs) != 0 {
 		t.Fatalf("applied %q, error %v", cluster.replicas[1].state.IDs, err)
 	}
 }
--- a/internal/consensus/rejoin_test.go
+++ b/internal/consensus/rejoin_test.go
@@ -108,7 +108,7 @@
 		cluster.require(cluster.replicas[leader].node.Tick())
 		cluster.processWork(leader)
 	}
-	if !LostData.Of(err) {
+	if !LostData.Matches(err) {
 		t.Fatalf("the data loss was not detected: %v", err)
 	}
 }
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -170,7 +170,7 @@
 	}
 	h.renew(9, 0, 50*time.Millisecond)
 	unanswered := fakes.Await(t, requests)
-	if out := fakes.Await(t, h.outcomes); !NoAnswer.Of(out.err) || !strings.Contains(out.err.Error(), addr) {
+	if out := fakes.Await(t, h.outcomes); !NoAnswer.Matches(out.err) || !strings.Contains(out.err.Error(), addr) {
 		t.Errorf("error %v", out.err)
 	}
 	if _, err := unanswered.conn.Read(make([]byte, 1)); err == nil {
@@ -202,7 +202,7 @@
 	h.renew(3, 0, testTimeout)
 	fakes.Await(t, requests).conn.Close()
 	fakes.Await(t, requests).conn.Close() // a new connection: that is the replica's failure
-	if out := fakes.Await(t, h.outcomes); !NoAnswer.Of(out.err) {
+	if out := fakes.Await(t, h.outcomes); !NoAnswer.Matches(out.err) {
 		t.Errorf("error %v", out.err)
 	}
 }
@@ -218,7 +218,7 @@
 	closedListener.Close()
 	h := newHarness(t, closedListener.Addr().String(), first, second)
 	h.renew(1, 0, testTimeout)
-	if out := fakes.Await(t, h.outcomes); !NoAnswer.Of(out.err) || len(apperror.Resolutions(out.err)) == 0 {
+	if out := fakes.Await(t, h.outcomes); !NoAnswer.Matches(out.err) || len(apperror.Resolutions(out.err)) == 0 {
 		t.Errorf("error %v", out.err)
 	}
 	h.renew(2, 2, testTimeout)
@@ -262,7 +262,7 @@
 			req.write(test.answer)
 			out := fakes.Await(t, h.outcomes)
 			var typed *apperror.Error
-			if !test.kind.Of(out.err) || !strings.Contains(out.err.Error(), test.contains) || !errors.As(out.err, &typed) ||
+			if !test.kind.Matches(out.err) || !strings.Contains(out.err.Error(), test.contains) || !errors.As(out.err, &typed) ||
 				!strings.Contains(typed.Place, addr) {
 				t.Errorf("error %v, want kind %s with %q", out.err, test.kind.Name, test.contains)
 			}
@@ -306,7 +306,7 @@
 		}
 		h.fetch(int64(len(body)) - 1)
 		answer(fakes.Await(t, requests))
-		if out := fakes.Await(t, h.outcomes); !TooLong.Of(out.err) {
+		if out := fakes.Await(t, h.outcomes); !TooLong.Matches(out.err) {
 			t.Errorf("%s: one byte too many: error %v", name, out.err)
 		}
 	}
@@ -320,7 +320,7 @@
 	req := fakes.Await(t, requests)
 	req.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 	req.conn.Close()
-	if out := fakes.Await(t, h.outcomes); !NoAnswer.Of(out.err) {
+	if out := fakes.Await(t, h.outcomes); !NoAnswer.Matches(out.err) {
 		t.Errorf("half of it: error %v", out.err)
 	}
 }
--- a/internal/controlclient/connection.go
+++ b/internal/controlclient/connection.go
@@ -184,8 +184,8 @@
 // Drained implements evloop.Handler. A connection waits for an answer after its request and needs no notice.
 func (c *connection) Drained() {}
 
-// Ended implements evloop.Handler.
-func (c *connection) Ended() { c.Closed(errors.New("the replica closed the connection")) }
+// EOF implements evloop.Handler.
+func (c *connection) EOF() { c.Closed(errors.New("the replica closed the connection")) }
 
 // Closed implements evloop.Handler. A persistent connection may have been closed by the replica just as a request was sent:
 // then the request is sent once more, over a new connection.
@@ -195,7 +195,7 @@
 	case c.closed:
 	case r == nil:
 		c.close()
-	case r.parser.UntilEnd() && r.parser.Status() == http.StatusOK:
+	case r.parser.CloseDelimited() && r.parser.Status() == http.StatusOK:
 		c.persistent = false
 		c.finishAnswer()
 	case c.answers > 0 && !r.received:
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -94,7 +94,7 @@
 	h := newHarness(t, addr)
 	h.fetch(1 << 10)
 	got := fakes.Await(t, h.outcomes)
-	if !Rejected.Of(got.err) {
+	if !Rejected.Matches(got.err) {
 		t.Fatalf("error %v", got.err)
 	}
 	for _, word := range []string{"/v1/version/3", "status 503, quorum/not-leading: keeper 1: no keeper leads (see that they run)"} {
--- a/internal/controlplane/discovery_client.go
+++ b/internal/controlplane/discovery_client.go
@@ -96,7 +96,7 @@
 			err = cause
 		}
 		if err != nil {
-			err = DiscoveryFailed.Typed(url, err)
+			err = DiscoveryFailed.WrapUntyped(url, err)
 		}
 	}()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/internal/controlplane/event_loop.go
+++ b/internal/controlplane/event_loop.go
@@ -184,7 +184,7 @@
 
 // recordFatal keeps the first error, which ends the event loop. It ignores nil and BadMessage, which rejects a peer's message.
 func (l *eventLoop) recordFatal(err error) {
-	if err != nil && !consensus.BadMessage.Of(err) && l.fatalErr == nil {
+	if err != nil && !consensus.BadMessage.Matches(err) && l.fatalErr == nil {
 		l.fatalErr = err
 	}
 }
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -218,7 +218,7 @@
 	for _, c := range cases {
 		pinned[c.kind] = true
 		w := httptest.NewRecorder()
-		writeError(w, c.kind.Typed("here", errors.New("broken")), 2)
+		writeError(w, c.kind.WrapUntyped("here", errors.New("broken")), 2)
 		got := ErrorResponse{}
 		if err := json.Unmarshal(w.Body.Bytes(), &got); err != nil {
 			t.Fatal(err)
@@ -266,7 +266,7 @@
 		if err := os.WriteFile(path, []byte(other), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ReadConfig(path); !BadConfig.Of(err) {
+		if _, err := ReadConfig(path); !BadConfig.Matches(err) {
 			t.Errorf("key %q: %v", key, err)
 		}
 	}
--- a/internal/controlplane/leader_call.go
+++ b/internal/controlplane/leader_call.go
@@ -70,7 +70,7 @@
 }
 
 func isAnyKind(err error, kinds []*apperror.Kind) bool {
-	return slices.ContainsFunc(kinds, func(kind *apperror.Kind) bool { return kind.Of(err) })
+	return slices.ContainsFunc(kinds, func(kind *apperror.Kind) bool { return kind.Matches(err) })
 }
 
 // callLeaderOnce makes one attempt. previousErr is the error of the previous attempt; nil on the first.
@@ -83,7 +83,7 @@
 		return leadership{loop.node.Leader(), loop.leaderChanged}
 	})
 	switch {
-	case TimedOut.Of(err) && previousErr != nil:
+	case TimedOut.Matches(err) && previousErr != nil:
 		return response{}, previousErr // it says more than the timeout of this attempt
 	case err != nil:
 		return response{}, err
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -51,7 +51,7 @@
 		loop.lastRenewalID++
 		id := loop.lastRenewalID
 		if err := loop.leaseServer.Renew(loop.now(), id, renewal); err != nil {
-			replies <- consensus.Reply{ID: id, Err: consensus.Broken.Typed("keeper", err)}
+			replies <- consensus.Reply{ID: id, Err: consensus.Broken.WrapUntyped("keeper", err)}
 			return
 		}
 		loop.pendingRenewals[id] = replies
--- a/internal/controlplane/replica_test.go
+++ b/internal/controlplane/replica_test.go
@@ -429,7 +429,7 @@
 	if err := errorAfterCancel(func(ctx context.Context) error {
 		_, err := replica.commit(ctx, fleetconfig.Command{Withdraw: &fleetconfig.Withdraw{Number: 1}})
 		return err
-	}); !consensus.Uncertain.Of(err) {
+	}); !consensus.Uncertain.Matches(err) {
 		t.Errorf("a command that the event loop may still propose: %v", err)
 	}
 	for _, test := range []struct {
@@ -439,7 +439,7 @@
 		if err := errorAfterCancel(func(ctx context.Context) error {
 			_, err := replica.callLeaderOnce(ctx, false, leaderCall{}, test.before)
 			return err
-		}); !test.want.Of(err) {
+		}); !test.want.Matches(err) {
 			t.Errorf("after %v: %v", test.before, err)
 		}
 	}
@@ -454,7 +454,7 @@
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	for i := range 1000 {
-		if _, err := query(ended, replica, func(*eventLoop) bool { return true }); !TimedOut.Of(err) {
+		if _, err := query(ended, replica, func(*eventLoop) bool { return true }); !TimedOut.Matches(err) {
 			t.Fatalf("query %d with %d of %d events queued: %v", i, len(replica.events), cap(replica.events), err)
 		}
 	}
@@ -465,7 +465,7 @@
 			full = true
 		}
 	}
-	if _, err := query(ended, replica, func(*eventLoop) bool { return true }); !Overloaded.Of(err) {
+	if _, err := query(ended, replica, func(*eventLoop) bool { return true }); !Overloaded.Matches(err) {
 		t.Errorf("a full event queue: %v", err)
 	}
 }
@@ -617,7 +617,7 @@
 			cluster.leader()
 			cluster.propose(cluster.replicas[0], newProposal("a", "one"), "?wait=active")
 			if test.kind == nil {
-				if _, err := New(cluster.configs[0], logging.New(io.Discard, logging.Plain, 0), nil); !DataLocked.Of(err) {
+				if _, err := New(cluster.configs[0], logging.New(io.Discard, logging.Plain, 0), nil); !DataLocked.Matches(err) {
 					t.Errorf("a second replica on one data directory: %v", err)
 				}
 			}
@@ -628,7 +628,7 @@
 				replica.Kill()
 				err = replica.Run()
 			}
-			if test.kind == nil && err != nil || test.kind != nil && !test.kind.Of(err) {
+			if test.kind == nil && err != nil || test.kind != nil && !test.kind.Matches(err) {
 				t.Errorf("a start on the data directory: %v", err)
 			}
 		})
@@ -646,7 +646,7 @@
 			resp.Body.Close()
 		}
 	}()
-	if err := <-cluster.ended[0]; !DataFailed.Of(err) {
+	if err := <-cluster.ended[0]; !DataFailed.Matches(err) {
 		t.Fatalf("the replica ended with %v", err)
 	}
 	cluster.replicas[0] = nil
@@ -725,14 +725,14 @@
 		}
 		if file == good && err == nil {
 			continue
-		} else if file == good || !BadConfig.Of(firstTypedError(err)) || !strings.Contains(err.Error(), test.text) {
+		} else if file == good || !BadConfig.Matches(firstTypedError(err)) || !strings.Contains(err.Error(), test.text) {
 			t.Errorf("%s: %v", file, err)
 		}
 	}
 	cluster := newCluster(t, 1)
 	cfg := cluster.configs[0]
 	cfg.Peers = map[string]string{"1": "127.0.0.1:7001", "2": "127.0.0.1:7002"}
-	if err := cluster.replicas[0].UpdateAddresses(cfg); !BadConfig.Of(err) {
+	if err := cluster.replicas[0].UpdateAddresses(cfg); !BadConfig.Matches(err) {
 		t.Errorf("another set of replicas: %v", err)
 	}
 }
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -106,7 +106,7 @@
 		}
 		if err != nil {
 			leader := uint64(0)
-			if consensus.NotLeading.Of(err) {
+			if consensus.NotLeading.Matches(err) {
 				leader = r.leader.Load()
 			}
 			writeError(w, err, leader)
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -131,7 +131,7 @@
 			err = DataCorrupted.New(s.path, "%v", p)
 		}
 	}()
-	if err = operation(); err != nil && !DataCorrupted.Of(err) && !DataLocked.Of(err) && !DataFailed.Of(err) {
+	if err = operation(); err != nil && !DataCorrupted.Matches(err) && !DataLocked.Matches(err) && !DataFailed.Matches(err) {
 		err = DataFailed.Wrap(s.path, err)
 	}
 	return err
--- a/internal/controlplane/transport.go
+++ b/internal/controlplane/transport.go
@@ -263,7 +263,7 @@
 	step := func(loop *eventLoop) {
 		for _, message := range f.Messages {
 			err := loop.node.Step(message)
-			if consensus.BadMessage.Of(err) {
+			if consensus.BadMessage.Matches(err) {
 				r.metrics.countMessageRejected(f.From)
 				r.log.Debug("micafront-controlplane: raft message rejected", zap.Uint64("from", f.From), zap.Error(err))
 			}
--- a/internal/controlplane/versions.go
+++ b/internal/controlplane/versions.go
@@ -137,7 +137,7 @@
 // timeoutAsUncertain converts a command's TimedOut to consensus.Uncertain, because the event loop may have proposed the command
 // or may still do so.
 func (r *Replica) timeoutAsUncertain(err error) error {
-	if TimedOut.Of(err) {
+	if TimedOut.Matches(err) {
 		return consensus.Uncertain.Wrap(r.place(), err)
 	}
 	return err
@@ -182,7 +182,7 @@
 	place := fmt.Sprintf("version %d", number)
 	outcome, err := await(ctx, r, outcomes)
 	switch {
-	case TimedOut.Of(err):
+	case TimedOut.Matches(err):
 		blocking := r.abandonVersionWait(number, outcomes)
 		return TimedOut.New(place, "it is proposed, but not active after %v; it is blocked by %q", timeout, blocking)
 	case err != nil:
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -99,7 +99,7 @@
 	switch {
 	case k.stage < streaming:
 		return k.missingSince
-	case timedOut.Of(err):
+	case timedOut.Matches(err):
 		return k.progressAt
 	case now-k.lastByteAt >= k.client.times().WatchProbeAfter:
 		return k.lastByteAt
@@ -127,7 +127,7 @@
 		return
 	case c.standby == k:
 		k.failWithStalledWatch()
-	case !k.watch && !k.retried && !k.internal && timedOut.Of(err):
+	case !k.watch && !k.retried && !k.internal && timedOut.Matches(err):
 		c.newFetch().retried = true
 		return
 	case c.watch == k && c.standbyServes(err):
@@ -159,7 +159,7 @@
 // standbyServes reports whether the standby takes the place of a watch that ended with err: it has been requested already, and
 // answers for both.
 func (c *Client) standbyServes(err error) bool {
-	return c.standby != nil && (c.standby.stage >= requested || !timedOut.Of(err)) && !invalidList.Of(err)
+	return c.standby != nil && (c.standby.stage >= requested || !timedOut.Matches(err)) && !invalidList.Matches(err)
 }
 
 // report passes a call's failure on.
@@ -177,7 +177,7 @@
 		Path:         k.path,
 		Object:       k.objects + 1,
 		PendingBytes: k.stream.Pending(),
-		Err:          unreachable.Typed("", err),
+		Err:          unreachable.WrapUntyped("", err),
 	}
 }
 
@@ -192,7 +192,7 @@
 func (k *call) Data(data []byte) {
 	k.lastByteAt = k.client.Loop.Now()
 	if err := k.parser.Feed(data); err != nil {
-		if !invalidList.Of(err) {
+		if !invalidList.Matches(err) {
 			err = notDiscovery.Wrap("", err)
 		}
 		k.fail(err)
@@ -205,16 +205,16 @@
 	if status != 0 && status != statusOK {
 		k.fail(rejected.New("", "status %d", status))
 	} else if k.parser.Done() {
-		k.Ended()
+		k.EOF()
 	}
 }
 
-// Ended is called when the response has ended: it finishes a fetch, and fails a watch.
-func (k *call) Ended() {
+// EOF is called when the response has ended: it finishes a fetch, and fails a watch.
+func (k *call) EOF() {
 	if k.stage == closed {
 		return
 	}
-	if k.watch || k.parser.Status() != statusOK || !k.parser.Done() && !k.parser.UntilEnd() {
+	if k.watch || k.parser.Status() != statusOK || !k.parser.Done() && !k.parser.CloseDelimited() {
 		k.fail(truncated.New("", "the response ended"))
 		return
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -380,7 +380,7 @@
 		}
 		a.expectReports("failed: discovery: ")
 		a.runOnLoop(func() {
-			if !kind.Of(got) || (kind == invalidList) != errors.Is(got, ErrInvalidList) {
+			if !kind.Matches(got) || (kind == invalidList) != errors.Is(got, ErrInvalidList) {
 				t.Errorf("%q: %v is not of %s", answer, got, kind.Name)
 			}
 			var failure *CallError
--- a/internal/discovery/incremental_decoder.go
+++ b/internal/discovery/incremental_decoder.go
@@ -52,7 +52,7 @@
 	n := copy(p, d.input)
 	d.input = d.input[n:]
 	d.bytes += n
-	if d.bytes > httpresponse.MaxBody {
+	if d.bytes > httpresponse.DefaultMaxBodyBytes {
 		return 0, httpresponse.ErrTooLong
 	}
 	return n, nil
--- a/internal/discovery/object_stream.go
+++ b/internal/discovery/object_stream.go
@@ -202,7 +202,7 @@
 
 // checkLength fails with httpresponse.ErrTooLong where an object is too long.
 func checkLength(text []byte) error {
-	if len(text) > httpresponse.MaxBody {
+	if len(text) > httpresponse.DefaultMaxBodyBytes {
 		return httpresponse.ErrTooLong
 	}
 	return nil
--- a/internal/discovery/object_stream_test.go
+++ b/internal/discovery/object_stream_test.go
@@ -129,12 +129,12 @@
 			huge := func(size int) []byte {
 				return fmt.Appendf(nil, form+"\n", strings.Repeat(fill, (size-len(form))/len(fill)))
 			}
-			for size, piece := range map[int]int{1 << 18: 1, httpresponse.MaxBody: 9999} {
+			for size, piece := range map[int]int{1 << 18: 1, httpresponse.DefaultMaxBodyBytes: 9999} {
 				if lists, _, err := readAll(huge(size), pieces(piece)); len(lists) != 1 || err != nil {
 					t.Errorf("%s of %q, %d bytes: %d lists, %v", form, fill, size, len(lists), err)
 				}
 			}
-			if _, _, err := readAll(huge(httpresponse.MaxBody+64), pieces(64<<10)); !errors.Is(err, httpresponse.ErrTooLong) {
+			if _, _, err := readAll(huge(httpresponse.DefaultMaxBodyBytes+64), pieces(64<<10)); !errors.Is(err, httpresponse.ErrTooLong) {
 				t.Errorf("%s of %q, too long: %v", form, fill, err)
 			}
 		}
--- a/internal/endpointlist/state_test.go
+++ b/internal/endpointlist/state_test.go
@@ -89,7 +89,7 @@
 			}
 			c, ok, err := s.NextChange(received, whole)
 			if whole && len(received) == 0 && len(want) > 0 {
-				if !BadList.Of(err) {
+				if !BadList.Matches(err) {
 					t.Fatalf("an empty whole list: %v", err)
 				}
 				continue
@@ -107,7 +107,7 @@
 			}
 			stale := c
 			stale.Base++
-			if err := s.Apply(stale); !StaleChange.Of(err) {
+			if err := s.Apply(stale); !StaleChange.Matches(err) {
 				t.Fatalf("a stale change: %v", err)
 			}
 			for _, state := range []*State{s, twin} {
@@ -205,10 +205,10 @@
 		"too many bytes":     {huge},
 	} {
 		before, _ := s.Snapshot()
-		if _, _, err := s.NextChange(list, true); !BadList.Of(err) || len(apperror.Resolutions(err)) == 0 {
+		if _, _, err := s.NextChange(list, true); !BadList.Matches(err) || len(apperror.Resolutions(err)) == 0 {
 			t.Errorf("%s is accepted by NextChange: %v", what, err)
 		}
-		if err := s.Apply(Change{s.Number(), list}); !BadChange.Of(err) {
+		if err := s.Apply(Change{s.Number(), list}); !BadChange.Matches(err) {
 			t.Errorf("%s is accepted by Apply: %v", what, err)
 		}
 		after, _ := s.Snapshot()
@@ -221,7 +221,7 @@
 		"a terminated endpoint":   `{"number":9,"entries":[{"instanceId":"a","lifecycle":"terminated"}]}`,
 		"empty change":            `{"number":9,"entries":[],"changes":[{"number":9,"entries":[]}]}`,
 	} {
-		if err := s.Restore([]byte(text)); !BrokenSnapshot.Of(err) {
+		if err := s.Restore([]byte(text)); !BrokenSnapshot.Matches(err) {
 			t.Errorf("a snapshot with %s: %v", what, err)
 		}
 	}
--- a/internal/evloop/conn.go
+++ b/internal/evloop/conn.go
@@ -14,17 +14,17 @@
 	Opened()
 	// Data passes bytes that came; they are valid during the call only.
 	Data(data []byte)
-	// Ended is called when the peer has ended its sending.
-	Ended()
+	// EOF is called when the peer has ended its sending.
+	EOF()
 	// Drained is called when the kernel has taken all output, after some had to wait.
 	Drained()
 	// Closed is called when the connection broke or could not be made. It is not called after Close, Drop,
-	// Abort or Yield.
+	// Abort or Detach.
 	Closed(err error)
 }
 
 // HangupObserver is a Handler that also wants to know that the peer has hung up behind bytes that are not read while the
-// connection is paused. Ended follows once they have been read.
+// connection is paused. EOF follows once they have been read.
 type HangupObserver interface {
 	HangupPending()
 }
@@ -86,8 +86,8 @@
 // ended the connection before anything was written, unless the event was of an earlier connection on the same descriptor.
 func (c *Conn) HungUp() bool { return c.hangup }
 
-// IsEnded reports whether the peer has ended its sending.
-func (c *Conn) IsEnded() bool { return c.peerEnded }
+// AtEOF reports whether the peer has ended its sending.
+func (c *Conn) AtEOF() bool { return c.peerEnded }
 
 // handleEvent is one turn of the connection.
 func (c *Conn) handleEvent(event netpoll.IOEvent) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// Yield ends the connection for this process alone: another process has a copy of its descriptor.
-func (c *Conn) Yield() {
+// Detach ends the connection for this process alone: another process has a copy of its descriptor.
+func (c *Conn) Detach() {
 	if !c.closed {
 		_ = c.loop.poller.Delete(c.fd) // the poller goes by the open file, which closing this descriptor leaves open
 		c.Close()
--- a/internal/evloop/conn_read.go
+++ b/internal/evloop/conn_read.go
@@ -96,7 +96,7 @@
 			c.closeWithError(c.writeErr)
 		case n == 0:
 			c.peerEnded = true
-			c.handler.Ended()
+			c.handler.EOF()
 		default:
 			// A short read does not say that the kernel has no more: a signal may have ended it. Only EAGAIN does.
 			c.handler.Data(buffer[:n])
@@ -146,7 +146,7 @@
 	case err != nil: // reading finds it
 	case n == 0:
 		c.peerEnded = true
-		c.handler.Ended()
+		c.handler.EOF()
 	case !c.hangupReported:
 		c.hangupReported = true
 		if observer, ok := c.handler.(HangupObserver); ok {
--- a/internal/evloop/conn_test.go
+++ b/internal/evloop/conn_test.go
@@ -40,7 +40,7 @@
 }
 
 func (h *recordingHandler) Opened()      { h.record("opened") }
-func (h *recordingHandler) Ended()       { h.record("ended") }
+func (h *recordingHandler) EOF()         { h.record("ended") }
 func (h *recordingHandler) Drained()     { h.record("drained") }
 func (h *recordingHandler) Closed(error) { h.record("closed") }
 func (h *hangupRecorder) HangupPending() { h.record("hangup pending") }
@@ -334,10 +334,10 @@
 }
 
 // generousBounds are never reached by a test that passes.
-var generousBounds = Bounds{Idle: testTimeout, Total: testTimeout, Bytes: 64 << 20}
+var generousBounds = LingerLimits{IdleTimeout: testTimeout, TotalTimeout: testTimeout, MaxBytes: 64 << 20}
 
 // lingerAfterX sends the last message to a peer that sends x, and lingers.
-func lingerAfterX(b Bounds, closed chan bool) func(*Conn, string) {
+func lingerAfterX(b LingerLimits, closed chan bool) func(*Conn, string) {
 	return func(c *Conn, event string) {
 		if event == "data x" {
 			c.Write([]byte("last"))
@@ -418,10 +418,10 @@
 
 // TestLingerBounds: each bound ends a connection whose peer does not.
 func TestLingerBounds(t *testing.T) {
-	for name, b := range map[string]Bounds{
-		"idle":  {Idle: time.Millisecond, Total: testTimeout, Bytes: 64 << 20},
-		"total": {Idle: 100 * time.Millisecond, Total: 300 * time.Millisecond, Bytes: 1 << 60},
-		"bytes": {Idle: testTimeout, Total: testTimeout, Bytes: 1 << 20},
+	for name, b := range map[string]LingerLimits{
+		"idle":  {IdleTimeout: time.Millisecond, TotalTimeout: testTimeout, MaxBytes: 64 << 20},
+		"total": {IdleTimeout: 100 * time.Millisecond, TotalTimeout: 300 * time.Millisecond, MaxBytes: 1 << 60},
+		"bytes": {IdleTimeout: testTimeout, TotalTimeout: testTimeout, MaxBytes: 1 << 20},
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan bool)
@@ -456,8 +456,8 @@
 		r.post(func() {
 			c.Write([]byte("last"))
 			l := c.Linger(generousBounds, func() { closed = true })
-			l.End()
-			l.End()
+			l.Close()
+			l.Close()
 		})
 	})
 	if b, err := io.ReadAll(p); string(b) != "last" || err != nil {
--- a/internal/evloop/conn_write_test.go
+++ b/internal/evloop/conn_write_test.go
@@ -13,7 +13,7 @@
 
 func (*countingHandler) Opened()        {}
 func (*countingHandler) Data([]byte)    {}
-func (*countingHandler) Ended()         {}
+func (*countingHandler) EOF()           {}
 func (n *countingHandler) Drained()     { n.drained++ }
 func (n *countingHandler) Closed(error) { n.closed++ }
 
--- a/internal/evloop/descriptors.go
+++ b/internal/evloop/descriptors.go
@@ -12,8 +12,8 @@
 
 const descriptorBytes = 4 // of one descriptor in a control message
 
-// ControlBytes is the size of a control message (SCM_RIGHTS) with so many descriptors.
-func ControlBytes(descriptors int) int { return unix.CmsgSpace(descriptors * descriptorBytes) }
+// ControlMessageBytes is the size of a control message (SCM_RIGHTS) with so many descriptors.
+func ControlMessageBytes(descriptors int) int { return unix.CmsgSpace(descriptors * descriptorBytes) }
 
 // WriteWithDescriptors sends data, which must not be empty, over a Unix socket, with copies of the descriptors at its first
 // byte. It fails, and has sent nothing, where earlier output waits or the kernel takes nothing now.
@@ -38,9 +38,9 @@
 // AcceptDescriptors makes the connection receive descriptors that come along with bytes.
 func (c *Conn) AcceptDescriptors() { c.acceptsDescriptors = true }
 
-// ReceivedDescriptors gives the first count descriptors that came and were not given out yet, nil where fewer did. Those of a
+// TakeDescriptors gives the first count descriptors that came and were not given out yet, nil where fewer did. Those of a
 // message have come when its first byte has.
-func (c *Conn) ReceivedDescriptors(count int) (descriptors []int) {
+func (c *Conn) TakeDescriptors(count int) (descriptors []int) {
 	if len(c.descriptors) >= count {
 		descriptors, c.descriptors = c.descriptors[:count:count], c.descriptors[count:]
 	}
@@ -52,7 +52,7 @@
 	if !c.acceptsDescriptors {
 		return c.loop.system.Read(c.fd, buffer)
 	}
-	control := make([]byte, ControlBytes(maxDescriptorsPerRead))
+	control := make([]byte, ControlMessageBytes(maxDescriptorsPerRead))
 	n, controlBytes, _, _, err := unix.Recvmsg(c.fd, buffer, control, unix.MSG_CMSG_CLOEXEC|unix.MSG_DONTWAIT)
 	if controlBytes > 0 {
 		c.descriptors = append(c.descriptors, ParseDescriptors(control[:controlBytes])...)
--- a/internal/evloop/dial.go
+++ b/internal/evloop/dial.go
@@ -15,8 +15,8 @@
 // Unwrap gives the error that connect returned.
 func (e refusedError) Unwrap() error { return e.error }
 
-// IsConnectionRefused reports whether a failed Dial met the network's own refusal, not a lack of descriptors here.
-func IsConnectionRefused(err error) bool {
+// IsRemoteConnectError reports whether a failed Dial met the network's own refusal, not a lack of descriptors here.
+func IsRemoteConnectError(err error) bool {
 	var refused refusedError
 	return errors.As(err, &refused)
 }
--- a/internal/evloop/holdup.go
+++ b/internal/evloop/holdup.go
@@ -10,7 +10,7 @@
 //
 // What came meanwhile is handled in the order of the poller, which says nothing of its meaning: the end of a client may come
 // behind the work that is done for it, an answer behind the timer that gives it up. The loop is then held up until all that was
-// ready has been handled once, and what depends on the order waits for that (OnceCaughtUp).
+// ready has been handled once, and what depends on the order waits for that (AfterCatchUp).
 
 const (
 	// holdUpThreshold is how late a timer is, or how long a turn takes, from which on the loop was held up. It lies above the
@@ -42,8 +42,8 @@
 // HeldUp reports whether the loop was held up and has not handled all that came meanwhile.
 func (l *Loop) HeldUp() bool { return l.holdUp.since != 0 || len(l.holdUp.deferred) > 0 }
 
-// OnceCaughtUp calls f now, or where the loop was held up as soon as all that came meanwhile has been handled.
-func (l *Loop) OnceCaughtUp(f func()) {
+// AfterCatchUp calls f now, or where the loop was held up as soon as all that came meanwhile has been handled.
+func (l *Loop) AfterCatchUp(f func()) {
 	if !l.HeldUp() {
 		f()
 		return
--- a/internal/evloop/holdup_test.go
+++ b/internal/evloop/holdup_test.go
@@ -18,7 +18,7 @@
 	endedAtCall := -1
 	listener, err := l.Listen("127.0.0.1:0", func(c *Conn) Handler {
 		return &endCounter{conn: c, ended: &ended, onData: func() {
-			l.OnceCaughtUp(func() {
+			l.AfterCatchUp(func() {
 				endedAtCall = ended
 				stopLoop(t, l)
 			})
@@ -66,7 +66,7 @@
 	postLoop(t, l, func() {
 		l.noteHoldUp(l.Now())
 		l.acceptsScheduled++ // as if a queue never ran dry
-		l.OnceCaughtUp(func() { stopLoop(t, l) })
+		l.AfterCatchUp(func() { stopLoop(t, l) })
 	})
 	done := make(chan error)
 	go func() { done <- l.Run() }()
@@ -115,7 +115,7 @@
 
 func (h *endCounter) Opened()      {}
 func (h *endCounter) Data([]byte)  { h.onData() }
-func (h *endCounter) Ended()       { *h.ended++; h.conn.Close() }
+func (h *endCounter) EOF()         { *h.ended++; h.conn.Close() }
 func (h *endCounter) Drained()     {}
 func (h *endCounter) Closed(error) { *h.ended++ }
 
--- a/internal/evloop/linger.go
+++ b/internal/evloop/linger.go
@@ -13,18 +13,18 @@
 	finalReadBytes = 16 << 10
 )
 
-// Bounds limit a lingering close.
-type Bounds struct {
-	Idle  time.Duration // without a byte either way; progress is checked this often
-	Total time.Duration
-	Bytes int // of the peer's, which are discarded
+// LingerLimits limit a lingering close.
+type LingerLimits struct {
+	IdleTimeout  time.Duration // without a byte either way; progress is checked this often
+	TotalTimeout time.Duration
+	MaxBytes     int // of the peer's, which are discarded
 }
 
 // Lingering is a connection that has had its last message and is read to its end (lingering close). It is its connection's
 // Handler.
 type Lingering struct {
 	conn         *Conn
-	bounds       Bounds
+	bounds       LingerLimits
 	startedAt    time.Duration
 	bytesRead    int
 	lastProgress int // bytes either way at the latest check
@@ -38,7 +38,7 @@
 // and its bytes discarded until it ends too or the bounds are reached. Closing over unread bytes would reset the connection
 // and take along what the peer has yet to read (RFC 2525, 2.17). The connection's handler is not called any more; onClosed is
 // called once the connection is closed. Linger returns nil, and onClosed is not called, where nothing was left to wait for.
-func (c *Conn) Linger(bounds Bounds, onClosed func()) *Lingering {
+func (c *Conn) Linger(bounds LingerLimits, onClosed func()) *Lingering {
 	if c.closed {
 		return nil
 	}
@@ -48,7 +48,7 @@
 	}
 	lingering := &Lingering{conn: c, bounds: bounds, startedAt: c.loop.now, lastProgress: c.bytesSent, onClosed: onClosed}
 	c.handler = lingering
-	lingering.timer = c.loop.After(bounds.Idle, lingering.checkProgress)
+	lingering.timer = c.loop.After(bounds.IdleTimeout, lingering.checkProgress)
 	c.Resume()
 	c.CloseWrite()
 	return lingering
@@ -60,13 +60,13 @@
 // Drained closes the connection if the peer has ended too.
 func (l *Lingering) Drained() { l.closeIfComplete() }
 
-// Ended closes the connection if all output has gone.
-func (l *Lingering) Ended() { l.closeIfComplete() }
+// EOF closes the connection if all output has gone.
+func (l *Lingering) EOF() { l.closeIfComplete() }
 
 // Data discards what the peer sends, up to the bound.
 func (l *Lingering) Data(data []byte) {
-	if l.bytesRead += len(data); l.bytesRead > l.bounds.Bytes {
-		l.End()
+	if l.bytesRead += len(data); l.bytesRead > l.bounds.MaxBytes {
+		l.Close()
 	}
 }
 
@@ -80,23 +80,23 @@
 
 func (l *Lingering) closeIfComplete() {
 	if l.conn.peerEnded && len(l.conn.unsent) == 0 {
-		l.End()
+		l.Close()
 	}
 }
 
 func (l *Lingering) checkProgress() {
 	progress := l.bytesRead + l.conn.bytesSent
-	if progress == l.lastProgress || l.conn.loop.now-l.startedAt >= l.bounds.Total {
-		l.End()
+	if progress == l.lastProgress || l.conn.loop.now-l.startedAt >= l.bounds.TotalTimeout {
+		l.Close()
 		return
 	}
 	l.lastProgress = progress
-	l.timer = l.conn.loop.After(l.bounds.Idle, l.checkProgress)
+	l.timer = l.conn.loop.After(l.bounds.IdleTimeout, l.checkProgress)
 }
 
-// End closes the connection before its bounds are reached. What has come by then is read first, so that only later bytes
+// Close closes the connection before its bounds are reached. What has come by then is read first, so that only later bytes
 // reset it.
-func (l *Lingering) End() {
+func (l *Lingering) Close() {
 	conn := l.conn
 	if conn.closed {
 		return
--- a/internal/evloop/listener.go
+++ b/internal/evloop/listener.go
@@ -96,8 +96,8 @@
 // FD is the listening descriptor, to be passed to a successor process.
 func (listener *Listener) FD() int { return listener.fd }
 
-// Pause leaves the queue to another process that has the same descriptor, or accepts from it again.
-func (listener *Listener) Pause(paused bool) {
+// SetPaused leaves the queue to another process that has the same descriptor, or accepts from it again.
+func (listener *Listener) SetPaused(paused bool) {
 	if listener.paused != paused && listener.listening() {
 		listener.paused = paused
 		listener.scheduleAccept(0)
--- a/internal/evloop/loop.go
+++ b/internal/evloop/loop.go
@@ -38,7 +38,7 @@
 
 	observer  Observer // nil: none
 	turnCause Cause
-	turnNamed bool // by NameTurn
+	turnNamed bool // by SetTurnCause
 
 	holdUp           holdUp
 	acceptsScheduled int // listeners whose queue may hold more and which accept in a later turn
--- a/internal/evloop/loop_test.go
+++ b/internal/evloop/loop_test.go
@@ -16,7 +16,7 @@
 
 func (h *funcHandler) Opened()      {}
 func (h *funcHandler) Data([]byte)  { h.onData(h.conn) }
-func (h *funcHandler) Ended()       {}
+func (h *funcHandler) EOF()         {}
 func (h *funcHandler) Drained()     {}
 func (h *funcHandler) Closed(error) {}
 
--- a/internal/evloop/system_test.go
+++ b/internal/evloop/system_test.go
@@ -145,8 +145,8 @@
 			t.Fatal(err)
 		}
 		l.system.Connect = func(int, unix.Sockaddr) error { return errno }
-		if _, err := l.Dial(server.Addr().String(), &funcHandler{}); !errors.Is(err, errno) || IsConnectionRefused(err) != refused {
-			t.Errorf("%v: the error is %v, and the network's own refusal: %v", errno, err, IsConnectionRefused(err))
+		if _, err := l.Dial(server.Addr().String(), &funcHandler{}); !errors.Is(err, errno) || IsRemoteConnectError(err) != refused {
+			t.Errorf("%v: the error is %v, and the network's own refusal: %v", errno, err, IsRemoteConnectError(err))
 		}
 	}
 	l, err := New()
@@ -219,6 +219,6 @@
 
 func (h *echoHandler) Opened()          {}
 func (h *echoHandler) Data(data []byte) { h.conn.Write(data) }
-func (h *echoHandler) Ended()           { h.conn.Close() }
+func (h *echoHandler) EOF()             { h.conn.Close() }
 func (h *echoHandler) Drained()         {}
 func (h *echoHandler) Closed(error)     {}
--- a/internal/evloop/turn.go
+++ b/internal/evloop/turn.go
@@ -7,7 +7,7 @@
 // Cause is what a turn is for.
 type Cause string
 
-// Causes of turns that the loop knows by itself. NameTurn replaces them by what the owner of a handler knows better.
+// Causes of turns that the loop knows by itself. SetTurnCause replaces them by what the owner of a handler knows better.
 const (
 	CauseConnection Cause = "connection"
 	CauseAccept     Cause = "accept"
@@ -17,9 +17,9 @@
 
 // Turn is a turn that has ended.
 type Turn struct {
-	Cause   Cause
-	EndedAt time.Duration // by the loop's clock
-	Length  time.Duration // on the monotonic clock, pauses by the host included
+	Cause    Cause
+	EndedAt  time.Duration // by the loop's clock
+	Duration time.Duration // on the monotonic clock, pauses by the host included
 }
 
 // Observer is told of the loop's turns, at the end of each. It must be quick.
@@ -30,11 +30,11 @@
 	CaughtUp(heldUp time.Duration)
 }
 
-// Observe sets the observer.
-func (l *Loop) Observe(observer Observer) { l.observer = observer }
+// SetObserver sets the observer.
+func (l *Loop) SetObserver(observer Observer) { l.observer = observer }
 
-// NameTurn says what the present turn is for, where that is more than the loop can know. The first name of a turn stays.
-func (l *Loop) NameTurn(cause Cause) {
+// SetTurnCause says what the present turn is for, where that is more than the loop can know. The first name of a turn stays.
+func (l *Loop) SetTurnCause(cause Cause) {
 	if !l.turnNamed {
 		l.turnNamed = true
 		l.turnCause = cause
@@ -57,6 +57,6 @@
 		l.noteHoldUp(l.now)
 	}
 	if l.observer != nil {
-		l.observer.TurnEnded(Turn{Cause: l.turnCause, EndedAt: endedAt, Length: length})
+		l.observer.TurnEnded(Turn{Cause: l.turnCause, EndedAt: endedAt, Duration: length})
 	}
 }
--- a/internal/federation/federation_test.go
+++ b/internal/federation/federation_test.go
@@ -172,7 +172,7 @@
 	} {
 		testkit.Equal(t, test.name, test.want, apply(test.change))
 	}
-	if err := s.Apply(Change{Publish: &huge}); !TooLarge.Of(err) {
+	if err := s.Apply(Change{Publish: &huge}); !TooLarge.Matches(err) {
 		t.Errorf("a too large publication: got %v", err)
 	}
 }
--- a/internal/fleetconfig/lease_manager_test.go
+++ b/internal/fleetconfig/lease_manager_test.go
@@ -242,7 +242,7 @@
 		t.Error("b gets a lease before it is added")
 	}
 	applyAll(t, fixture.state, join...)
-	if a := applyAll(t, fixture.state, removals[1]); !NotMember.Of(a.Err) {
+	if a := applyAll(t, fixture.state, removals[1]); !NotMember.Matches(a.Err) {
 		t.Errorf("the earlier removal ends the new membership: %v", a.Err)
 	}
 	if _, ok := fixture.requestLease(later, b); !ok {
--- a/internal/fleetconfig/state_machine_endpoints_test.go
+++ b/internal/fleetconfig/state_machine_endpoints_test.go
@@ -20,11 +20,11 @@
 	if a := applyAll(t, state, add); a.Number != 1 {
 		t.Fatalf("the first change is answered by %+v, want list number 1", a)
 	}
-	if a := state.Apply(state.lastIndex+1, add); !endpointlist.StaleChange.Of(a.Err) {
+	if a := state.Apply(state.lastIndex+1, add); !endpointlist.StaleChange.Matches(a.Err) {
 		t.Errorf("repeated change: %+v", a)
 	}
 	two := Command{EndpointChange: add.EndpointChange, RemoveMember: &RemoveMember{Node: "a", Incarnation: 1}}
-	if a := state.Apply(state.lastIndex+1, two); !BadCommand.Of(a.Err) {
+	if a := state.Apply(state.lastIndex+1, two); !BadCommand.Matches(a.Err) {
 		t.Errorf("two changes in one command: %+v", a)
 	}
 	grantedNumber := func(state *StateMachine) uint64 {
@@ -46,7 +46,7 @@
 	testkit.Equal(t, "list number without a list", uint64(0), grantedNumber(fresh))
 	broken := strings.Replace(string(snapshotOf(t, state)), `in_service`, `odd`, 1)
 	_, text, _ := strings.Cut(broken, "\n")
-	if err := fresh.Restore([]byte(snapshotHeader + checksum([]byte(text)) + "\n" + text)); !BrokenSnapshot.Of(err) {
+	if err := fresh.Restore([]byte(snapshotHeader + checksum([]byte(text)) + "\n" + text)); !BrokenSnapshot.Matches(err) {
 		t.Errorf("invalid endpoint list: %v", err)
 	}
 }
--- a/internal/fleetconfig/state_machine_federation_test.go
+++ b/internal/fleetconfig/state_machine_federation_test.go
@@ -24,10 +24,10 @@
 			Services: []catalog.Service{{Name: "mail", Owner: "post", Contract: "m"}}}}} {
 		testkit.Equal(t, "change", nil, state.Apply(uint64(i+1), Command{MeshChange: &c}).Err)
 	}
-	if a := state.Apply(3, Command{MeshChange: &federation.Change{MarkLost: "dakar"}}); !catalog.UnknownMesh.Of(a.Err) {
+	if a := state.Apply(3, Command{MeshChange: &federation.Change{MarkLost: "dakar"}}); !catalog.UnknownMesh.Matches(a.Err) {
 		t.Errorf("unknown mesh marked lost: %v", a.Err)
 	}
-	if a := state.Apply(4, Command{MeshChange: &federation.Change{Tick: true}, AddMember: &AddMember{Node: "n"}}); !BadCommand.Of(a.Err) {
+	if a := state.Apply(4, Command{MeshChange: &federation.Change{Tick: true}, AddMember: &AddMember{Node: "n"}}); !BadCommand.Matches(a.Err) {
 		t.Errorf("two changes in one command: %v", a.Err)
 	}
 	with, err := state.Snapshot()
--- a/internal/fleetconfig/state_machine_proposals.go
+++ b/internal/fleetconfig/state_machine_proposals.go
@@ -127,7 +127,7 @@
 	}
 	body, err := p.Body.Validated("proposal")
 	if err != nil {
-		return Body{}, "", BadBody.Typed("proposal", err)
+		return Body{}, "", BadBody.WrapUntyped("proposal", err)
 	}
 	return body, body.Digest(), nil
 }
--- a/internal/fleetconfig/state_machine_test.go
+++ b/internal/fleetconfig/state_machine_test.go
@@ -97,7 +97,7 @@
 			applyAll(t, state, c.first...)
 			before := *state
 			a := applyAll(t, state, c.command)
-			if !c.kind.Of(a.Err) || !strings.Contains(a.Err.Error(), c.message) {
+			if !c.kind.Matches(a.Err) || !strings.Contains(a.Err.Error(), c.message) {
 				t.Errorf("answer is %v, want kind %s with %q", a.Err, c.kind.Name, c.message)
 			}
 			before.lastIndex, before.history = state.lastIndex, state.history
@@ -108,7 +108,7 @@
 	}
 	state := stateMachineAtVersion2(t)
 	applyAll(t, state, Command{AddMember: &AddMember{strings.Repeat("n", MaxNodeNameBytes), 4}})
-	if a := state.Apply(state.lastIndex, proposal); !OldCommand.Of(a.Err) || state.proposed != 0 {
+	if a := state.Apply(state.lastIndex, proposal); !OldCommand.Matches(a.Err) || state.proposed != 0 {
 		t.Errorf("a repeated index is answered by %v, want kind %s", a.Err, OldCommand.Name)
 	}
 }
@@ -194,7 +194,7 @@
 		}
 	}
 	for _, bad := range []string{`{"within_us":-1}`, `{"know_us":9223372036854775807}`, `{"within_us":1.5}`, `[]`} {
-		if err := json.Unmarshal([]byte(bad), &Terms{}); !BadTerms.Of(err) {
+		if err := json.Unmarshal([]byte(bad), &Terms{}); !BadTerms.Matches(err) {
 			t.Errorf("%s is accepted: %v", bad, err)
 		}
 	}
@@ -313,7 +313,7 @@
 		bad[fmt.Sprint("bit flipped at ", i)] = flipped
 	}
 	for what, s := range bad {
-		if err := state.Restore(s); !BrokenSnapshot.Of(err) {
+		if err := state.Restore(s); !BrokenSnapshot.Matches(err) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
--- a/internal/fleetsim/replica.go
+++ b/internal/fleetsim/replica.go
@@ -111,7 +111,7 @@
 
 // failOn reports an error of the node as a violation, but for BadMessage: a late message of an earlier process may be one.
 func (r *Replica) failOn(err error) {
-	if err != nil && !consensus.BadMessage.Of(err) {
+	if err != nil && !consensus.BadMessage.Matches(err) {
 		r.fleet.violate("%s: %v", r.Name, err)
 	}
 }
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -110,7 +110,7 @@
 	}
 	if err != nil {
 		h.close()
-		return errUnanswered.Typed(path, err)
+		return errUnanswered.WrapUntyped(path, err)
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 // running process sends right away, stays in the socket for the link.
 func (h *Handover) receive(path string, deadline time.Time) error {
 	buf := make([]byte, readBufferBytes)
-	control := make([]byte, evloop.ControlBytes(maxListeners))
+	control := make([]byte, evloop.ControlMessageBytes(maxListeners))
 	for !bytes.HasSuffix(h.State, []byte("\n")) {
 		remaining := time.Until(deadline)
 		if remaining <= 0 {
--- a/internal/httpresponse/parser.go
+++ b/internal/httpresponse/parser.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// MaxBody is the default limit on a body, or on one chunk of it, in bytes.
-	MaxBody = 8 << 20
+	// DefaultMaxBodyBytes is the default limit on a body, or on one chunk of it, in bytes.
+	DefaultMaxBodyBytes = 8 << 20
 	// maxHeadBytes bounds the head, and the line of a chunk's size.
 	maxHeadBytes = 16 << 10
 
@@ -50,8 +50,8 @@
 type state func(*Parser) (more bool, err error)
 
 // New returns a parser that passes the body's bytes to onBody, which must not retain them and whose error ends the parsing. The
-// limit is MaxBody.
-func New(onBody func([]byte) error) *Parser { return NewWithLimit(MaxBody, onBody) }
+// limit is DefaultMaxBodyBytes.
+func New(onBody func([]byte) error) *Parser { return NewWithLimit(DefaultMaxBodyBytes, onBody) }
 
 // NewWithLimit is New with another limit on the body, or on each chunk, in bytes. Neither the sum of all chunks nor a body that
 // ends with the connection is limited here; whoever takes the bytes limits them.
@@ -68,8 +68,8 @@
 // Done reports whether the whole body has come. A body that ends with the connection is never done.
 func (p *Parser) Done() bool { return p.done }
 
-// UntilEnd reports whether the body ends with the connection.
-func (p *Parser) UntilEnd() bool { return p.remaining < 0 && !p.chunked }
+// CloseDelimited reports whether the body ends with the connection.
+func (p *Parser) CloseDelimited() bool { return p.remaining < 0 && !p.chunked }
 
 // Feed takes the next bytes of the connection. Bytes after the response are ignored. An error is final: the response is not
 // valid, exceeds a bound (ErrTooLong), or onBody returned it.
--- a/internal/lineprotocol/lineprotocol.go
+++ b/internal/lineprotocol/lineprotocol.go
@@ -80,8 +80,8 @@
 	Tenant           string        // field t
 	Group            string        // field g: the client, or the group that it belongs to
 	PreviousEndpoint string        // field at: the endpoint at which the connection was open before; "": it is new
-	Wait             time.Duration // field d: how long the client waits for its answer, maxWait at most
-	HasWait          bool          // the line has field d
+	Timeout          time.Duration // field d: how long the client waits for its answer, maxWait at most
+	HasTimeout       bool          // the line has field d
 	LoadHint         float64       // field h: the expected load of the connection; 0: not known
 	Retry            bool          // field r: the client has sent the request before
 	Returning        bool          // field again: the client's connection was broken or migrated
@@ -95,7 +95,7 @@
 // ErrSyntax means that a line is not a valid first line.
 var ErrSyntax = errors.New("not a first line")
 
-// maxWait bounds Open.Wait.
+// maxWait bounds Open.Timeout.
 const maxWait = time.Hour
 
 // IsPing reports whether a line is a readiness check.
@@ -187,11 +187,11 @@
 // setWait sets the client's wait, which a line may have once.
 func (o *Open) setWait(value []byte, valueOffset int) error {
 	milliseconds, err := strconv.ParseInt(string(value), 10, 64)
-	if err != nil || milliseconds < 0 || o.HasWait {
+	if err != nil || milliseconds < 0 || o.HasTimeout {
 		return ErrSyntax
 	}
-	o.HasWait = true
-	o.Wait = time.Duration(min(milliseconds, maxWait.Milliseconds())) * time.Millisecond
+	o.HasTimeout = true
+	o.Timeout = time.Duration(min(milliseconds, maxWait.Milliseconds())) * time.Millisecond
 	o.waitStart = valueOffset
 	o.waitEnd = valueOffset + len(value)
 	return nil
@@ -215,7 +215,7 @@
 // AppendForwarded appends the line as it is forwarded to an endpoint: field d, if the line has it, states how long the proxy will
 // wait, in whole milliseconds and 1 at least; every other byte is as it came.
 func (o *Open) AppendForwarded(b []byte, wait time.Duration) []byte {
-	if !o.HasWait {
+	if !o.HasTimeout {
 		return append(b, o.Raw...)
 	}
 	b = append(b, o.Raw[:o.waitStart]...)
@@ -272,9 +272,9 @@
 	return field
 }
 
-// ParseReport parses an endpoint's answer to STATS: PONG or ERR, followed by its load report if it has one. The values are by
+// ParseLoadReport parses an endpoint's answer to STATS: PONG or ERR, followed by its load report if it has one. The values are by
 // field name. A report with an invalid figure is rejected whole: part of a report must not pass for all of it.
-func ParseReport(b []byte) (values map[string]float64, ok bool) {
+func ParseLoadReport(b []byte) (values map[string]float64, ok bool) {
 	verb, list := splitWord(trimLineEnd(b))
 	if string(verb) != "PONG" && string(verb) != "ERR" {
 		return nil, false
--- a/internal/lineprotocol/lineprotocol_test.go
+++ b/internal/lineprotocol/lineprotocol_test.go
@@ -38,7 +38,7 @@
 		if err != nil || forwarded.ID != o.ID || forwarded.Key != o.Key || forwarded.Class != o.Class || forwarded.Group != o.Group {
 			t.Fatalf("%q became %q: %v", text, forwarded.Raw, err)
 		}
-		if !o.HasWait && !bytes.Equal(forwarded.Raw, text) {
+		if !o.HasTimeout && !bytes.Equal(forwarded.Raw, text) {
 			t.Fatalf("%q became %q", text, forwarded.Raw)
 		}
 	})
@@ -61,7 +61,7 @@
 		{"PONG =1\r\n", nil, false},
 		{"UP r\r\n", nil, false},
 	} {
-		got, ok := ParseReport([]byte(c.line))
+		got, ok := ParseLoadReport([]byte(c.line))
 		testkit.Equal(t, c.line, []any{c.want, c.ok}, []any{got, ok})
 	}
 }
@@ -72,7 +72,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		values, ok := ParseReport(text)
+		values, ok := ParseLoadReport(text)
 		for name, x := range values {
 			if !ok || name == "" || !(x >= 0) || x > 1e308*1.7 {
 				t.Fatalf("%q gave %q=%v, %v", text, name, x, ok)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -16,14 +16,14 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Form is the format of log lines.
-type Form int
+// Format is the format of log lines.
+type Format int
 
 // The forms.
 const (
-	Plain   Form = iota // the message, then the fields as JSON; no time and no level, which the platform adds
-	Console             // time, level, message, fields
-	JSON                // one JSON object a line
+	Plain   Format = iota // the message, then the fields as JSON; no time and no level, which the platform adds
+	Console               // time, level, message, fields
+	JSON                  // one JSON object a line
 )
 
 // Bounds of the queue, for a reader of standard error that is slow.
@@ -38,14 +38,14 @@
 // Logger writes log lines. It may be used from any goroutine. Its queue's goroutine runs until Close.
 type Logger struct {
 	*zap.Logger
-	form  Form
+	form  Format
 	level zap.AtomicLevel // the least severe level that is written
 	queue *queue
 }
 
 // Parse reads form and level from a specification such as "json,debug", with commas or blanks between its words, of which the
 // last of a kind counts. The defaults are Plain and info.
-func Parse(spec string) (Form, zapcore.Level, error) {
+func Parse(spec string) (Format, zapcore.Level, error) {
 	form, level := Plain, zapcore.InfoLevel
 	for _, word := range strings.FieldsFunc(spec, func(r rune) bool { return r == ',' || r == ' ' }) {
 		switch word {
@@ -66,7 +66,7 @@
 }
 
 // New returns a logger that writes to writer until Close. Errors of the writer are ignored: there is nowhere to report them.
-func New(writer io.Writer, form Form, level zapcore.Level) *Logger {
+func New(writer io.Writer, form Format, level zapcore.Level) *Logger {
 	logger := &Logger{form: form, level: zap.NewAtomicLevelAt(level), queue: newQueue(writer)}
 	logger.Logger = zap.New(zapcore.NewCore(newEncoder(form), logger.queue, logger.level))
 	logger.queue.reportDropped = func(lines int64) {
@@ -75,7 +75,7 @@
 	return logger
 }
 
-func newEncoder(form Form) zapcore.Encoder {
+func newEncoder(form Format) zapcore.Encoder {
 	config := zapcore.EncoderConfig{MessageKey: "msg", NameKey: "logger", EncodeDuration: zapcore.StringDurationEncoder}
 	if form != Plain {
 		config.TimeKey = "time"
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// Lost is how many lines have been dropped because the queue was full.
-func (l *Logger) Lost() int64 { return l.queue.dropped.Load() }
+// DroppedLines is how many lines have been dropped because the queue was full.
+func (l *Logger) DroppedLines() int64 { return l.queue.dropped.Load() }
 
 // Close writes the queued lines and ends the writing goroutine. It fails if that takes longer than closeTimeout.
 func (l *Logger) Close() error { return l.queue.close() }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestForms(t *testing.T) {
-	for form, want := range map[Form]string{Plain: "it happened\t{\"n\": 3, \"in\": \"2s\"}\n", Console: "\tinfo\tit happened\t{\"n\": 3, \"in\": \"2s\"}\n"} {
+	for form, want := range map[Format]string{Plain: "it happened\t{\"n\": 3, \"in\": \"2s\"}\n", Console: "\tinfo\tit happened\t{\"n\": 3, \"in\": \"2s\"}\n"} {
 		var b bytes.Buffer
 		l := New(&b, form, zap.InfoLevel)
 		l.Debug("not this")
@@ -83,11 +83,11 @@
 			t.Error(err)
 		}
 	}
-	testkit.Equal(t, "dropped for their bytes", int64(2), l.Lost())
+	testkit.Equal(t, "dropped for their bytes", int64(2), l.DroppedLines())
 	for range maxQueuedLines - 1 + 500 { // the big line takes one place
 		l.Info("line")
 	}
-	testkit.Equal(t, "dropped for their number too", int64(502), l.Lost())
+	testkit.Equal(t, "dropped for their number too", int64(502), l.DroppedLines())
 	if err := l.Close(); err == nil {
 		t.Error("Close succeeded though nothing was read")
 	}
--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// Ended implements evloop.Handler.
-func (h downstreamHandler) Ended() {
+// EOF implements evloop.Handler.
+func (h downstreamHandler) EOF() {
 	s := h.session
 	switch s.downstreamState() {
 	case stateAwaitingRequest:
--- a/internal/proxy/admin_api.go
+++ b/internal/proxy/admin_api.go
@@ -9,7 +9,7 @@
 
 // Telemetry returns all metrics, one name=value line per metric.
 func (p *Proxy) Telemetry() []byte {
-	p.loop.NameTurn(turnTelemetry)
+	p.loop.SetTurnCause(turnTelemetry)
 	out := p.counters.AppendMetrics(nil, metrics.Gauges{
 		Pending:              len(p.sessions.byID),
 		Endpoints:            len(p.endpoints),
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -78,7 +78,7 @@
 		a.dial()
 		return
 	}
-	p.loop.OnceCaughtUp(a.dialAfterHoldUp)
+	p.loop.AfterCatchUp(a.dialAfterHoldUp)
 }
 
 // dialAfterHoldUp connects to the endpoint after a hold-up of the loop. By then the client disconnects and deadlines of
@@ -142,7 +142,7 @@
 // onDialTimeout ends an attempt whose connection was not set up in time. After a hold-up of the loop the connection may
 // already be set up or refused, so the loop handles pending events first.
 func (a *attempt) onDialTimeout(status balancer.Status) {
-	a.session.proxy.loop.OnceCaughtUp(func() {
+	a.session.proxy.loop.AfterCatchUp(func() {
 		if a.stage == stageDialing {
 			a.end(status)
 		}
@@ -151,7 +151,7 @@
 
 // dialStatus distinguishes an endpoint that refuses connections from a failure of this host.
 func dialStatus(err error) balancer.Status {
-	if evloop.IsConnectionRefused(err) {
+	if evloop.IsRemoteConnectError(err) {
 		return balancer.ConnectFailed
 	}
 	return balancer.NotSent
@@ -233,7 +233,7 @@
 // onTimeout ends an attempt that got no answer in time. After a hold-up of the loop the answer may be waiting to be
 // read. The loop handles pending events first, so that the endpoint is not blamed.
 func (a *attempt) onTimeout() {
-	a.session.proxy.loop.OnceCaughtUp(func() {
+	a.session.proxy.loop.AfterCatchUp(func() {
 		if a.stage == stageWriting || a.stage == stageSent {
 			a.endUnanswered(balancer.Timeout)
 		}
@@ -243,8 +243,8 @@
 // Drained implements evloop.Handler.
 func (a *attempt) Drained() { a.checkWritten() }
 
-// Ended implements evloop.Handler.
-func (a *attempt) Ended() { a.endUnanswered(balancer.Reset) }
+// EOF implements evloop.Handler.
+func (a *attempt) EOF() { a.endUnanswered(balancer.Reset) }
 
 // Closed implements evloop.Handler.
 func (a *attempt) Closed(error) { a.endUnanswered(balancer.Reset) }
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -38,7 +38,7 @@
 
 // onList applies a whole endpoint list or a delta.
 func (p *Proxy) onList(list discovery.List, kind balancer.ListKind) {
-	p.loop.NameTurn(turnEndpointList)
+	p.loop.SetTurnCause(turnEndpointList)
 	p.log.Info("endpoint list", zap.Int64("generation", list.Generation), zap.Bool("whole", kind != balancer.DeltaList),
 		zap.Int("entries", len(list.Instances)))
 	p.updateEndpoints(&list, kind)
--- a/internal/proxy/hotrestart_link.go
+++ b/internal/proxy/hotrestart_link.go
@@ -145,7 +145,7 @@
 		conn.Close()
 		return &successor.link
 	}
-	r.loop.NameTurn(turnHandover)
+	r.loop.SetTurnCause(turnHandover)
 	state := r.host.captureState()
 	go func() { // ends after encoding; the captured state shares nothing with the loop
 		text, err := state.encode()
--- a/internal/proxy/hotrestart_peer.go
+++ b/internal/proxy/hotrestart_peer.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Ended is part of evloop.Handler.
-func (l *peerLink) Ended() { l.fail(nil) }
+// EOF is part of evloop.Handler.
+func (l *peerLink) EOF() { l.fail(nil) }
 
 // Closed is part of evloop.Handler.
 func (l *peerLink) Closed(err error) { l.process.onLinkClosed(err) }
--- a/internal/proxy/hotrestart_predecessor.go
+++ b/internal/proxy/hotrestart_predecessor.go
@@ -23,7 +23,7 @@
 
 // receiveConnection takes over a connection. A connection whose descriptors did not arrive is lost.
 func (proc *predecessorProcess) receiveConnection(conn *transferredConn) {
-	fds := proc.link.conn.ReceivedDescriptors(descriptorsPerTransfer)
+	fds := proc.link.conn.TakeDescriptors(descriptorsPerTransfer)
 	if fds == nil {
 		return
 	}
--- a/internal/proxy/hotrestart_transfer.go
+++ b/internal/proxy/hotrestart_transfer.go
@@ -42,8 +42,8 @@
 		}
 		p.counters.ConnectionsHandedOver++
 		s.downstream = nil
-		downstream.Yield()
-		upstream.Yield()
+		downstream.Detach()
+		upstream.Detach()
 		s.close(balancer.Canceled, nil)
 	}
 	return true
--- a/internal/proxy/idle_conns.go
+++ b/internal/proxy/idle_conns.go
@@ -22,7 +22,7 @@
 
 // lingerBounds limit how long and how much a peer may send after its last message was sent to it. Tens of megabytes may
 // be in transit.
-var lingerBounds = evloop.Bounds{Idle: time.Second, Total: 5 * time.Second, Bytes: 64 << 20}
+var lingerBounds = evloop.LingerLimits{IdleTimeout: time.Second, TotalTimeout: 5 * time.Second, MaxBytes: 64 << 20}
 
 // idleConns holds the client connections without a request: those that have not sent one yet, and those that linger
 // after their last message. Both kinds come in floods and must leave descriptors for requests. Beyond a limit the
@@ -87,7 +87,7 @@
 			oldest.evict()
 		}
 		if c.lingering.Len() > allowance {
-			c.lingering.Front().Value.(*evloop.Lingering).End()
+			c.lingering.Front().Value.(*evloop.Lingering).Close()
 		}
 	}
 }
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -79,11 +79,11 @@
 // sweep checks all established connections and schedules itself again after sweepInterval.
 func (p *Proxy) sweep() {
 	p.loop.After(sweepInterval, p.sweep)
-	p.loop.OnceCaughtUp(p.checkConnections) // unread answers must not make an endpoint look unresponsive
+	p.loop.AfterCatchUp(p.checkConnections) // unread answers must not make an endpoint look unresponsive
 }
 
 func (p *Proxy) checkConnections() {
-	p.loop.NameTurn(turnSweep)
+	p.loop.SetTurnCause(turnSweep)
 	now := p.loop.Now()
 	for _, s := range slices.Clone(p.sessions.established) {
 		if s.downstreamState() == stateRelaying { // otherwise it was closed while an earlier one was checked
--- a/internal/proxy/line_protocol.go
+++ b/internal/proxy/line_protocol.go
@@ -34,8 +34,8 @@
 		Group:            open.Group,
 		Tenant:           open.Tenant,
 		PreviousEndpoint: open.PreviousEndpoint,
-		Wait:             open.Wait,
-		HasWait:          open.HasWait,
+		Wait:             open.Timeout,
+		HasWait:          open.HasTimeout,
 		LoadHint:         open.LoadHint,
 		ClientRetry:      open.Retry,
 		Returning:        open.Returning,
@@ -87,7 +87,7 @@
 
 // ParseLoadReport implements Protocol.
 func (LineProtocol) ParseLoadReport(message []byte) (balancer.LoadReport, bool) {
-	load, ok := lineprotocol.ParseReport(message)
+	load, ok := lineprotocol.ParseLoadReport(message)
 	return load, ok
 }
 
--- a/internal/proxy/listeners.go
+++ b/internal/proxy/listeners.go
@@ -107,7 +107,7 @@
 // pause stops accepting, so that another process serves the accept queues, or resumes it.
 func (l *listenerSet) pause(paused bool) {
 	for _, listener := range l.all() {
-		listener.Pause(paused)
+		listener.SetPaused(paused)
 	}
 }
 
--- a/internal/proxy/load_query.go
+++ b/internal/proxy/load_query.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// Ended implements evloop.Handler.
-func (c *loadQueryConn) Ended() { c.close(balancer.Reset) }
+// EOF implements evloop.Handler.
+func (c *loadQueryConn) EOF() { c.close(balancer.Reset) }
 
 // Drained implements evloop.Handler.
 func (c *loadQueryConn) Drained() {}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -118,7 +118,7 @@
 		startTimes:     newStartTimes(loop.WallClock),
 	}
 	p.turns = turnObserver{log: log, endpoints: p.endpoints}
-	loop.Observe(&p.turns)
+	loop.SetObserver(&p.turns)
 	p.restart = hotRestart{host: p, loop: loop, log: log}
 	p.drainer = drainer{host: p, loop: loop}
 	p.limits = descriptorLimit{max: c.MaxDescriptors, loop: loop, peers: &p.restart}
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Ended implements evloop.Handler.
-func (h relayHandler) Ended() { h.session.onUpstreamEnded() }
+// EOF implements evloop.Handler.
+func (h relayHandler) EOF() { h.session.onUpstreamEnded() }
 
 // Closed implements evloop.Handler.
 func (h relayHandler) Closed(error) { h.session.onUpstreamBroken() }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -16,7 +16,7 @@
 // goroutine while the proxy runs; its error is that of evloop.Loop.Post.
 func (p *Proxy) Reload(c *config.Config) error {
 	return p.loop.Post(func() {
-		p.loop.NameTurn(turnReload)
+		p.loop.SetTurnCause(turnReload)
 		if err := c.Settings.Validate(); err != nil { // unexpected, since the caller has checked the file
 			p.rejectReload(err)
 			return
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -38,7 +38,7 @@
 }
 
 func (d *drainer) step() {
-	d.loop.NameTurn(turnDrain)
+	d.loop.SetTurnCause(turnDrain)
 	now := d.loop.Now()
 	if !d.stopping() || !d.host.transferConnections() {
 		d.host.migrateClients(now)
--- a/internal/proxy/turns.go
+++ b/internal/proxy/turns.go
@@ -35,14 +35,14 @@
 
 // TurnEnded implements evloop.Observer.
 func (o *turnObserver) TurnEnded(turn evloop.Turn) {
-	if !o.loopMetrics.RecordTurn(string(turn.Cause), turn.Length) {
+	if !o.loopMetrics.RecordTurn(string(turn.Cause), turn.Duration) {
 		return
 	}
 	if turn.EndedAt-o.lastLogAt < turnLogInterval {
 		o.unloggedTurns++
 		return
 	}
-	o.log.Warn("event loop: long turn", zap.String("cause", string(turn.Cause)), zap.Duration("length", turn.Length),
+	o.log.Warn("event loop: long turn", zap.String("cause", string(turn.Cause)), zap.Duration("length", turn.Duration),
 		zap.Int("endpoints", len(o.endpoints)), zap.Int("unlogged", o.unloggedTurns))
 	o.lastLogAt = turn.EndedAt
 	o.unloggedTurns = 0
--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -153,7 +153,7 @@
 func (l *versionLoader) onFetchFailure(version fleetconfig.PrepareVersion, err error) {
 	l.counters.FetchFailures++
 	l.host.warn("fleet: version cannot be fetched yet", zap.Uint64("version", version.Number), zap.Error(err))
-	if controlclient.TooLong.Of(err) {
+	if controlclient.TooLong.Matches(err) {
 		l.tooLongAnswers++
 		if l.tooLongAnswers >= min(tooLongQuorum, l.controlPlane.ReplicaCount()) {
 			maxBytes := l.maxTextBytes()
--- a/internal/sitereport/explain.go
+++ b/internal/sitereport/explain.go
@@ -57,8 +57,8 @@
 		out.Conclusion = "no route matches and there is no default: the connection fails"
 		return out, nil
 	}
-	timeout := open.Wait
-	if !open.HasWait {
+	timeout := open.Timeout
+	if !open.HasTimeout {
 		timeout = site.Settings.Classes[class].Timeout
 	}
 	progress, _ := site.Table.BeginRequest(decision, routing.Usage{}, noUsage) // nothing is in use, so no limit is reached
--- a/internal/testing/faultinject/net_test.go
+++ b/internal/testing/faultinject/net_test.go
@@ -302,14 +302,14 @@
 	for _, f := range []Fault{{}, {Kind: "quake"}, {Kind: Delay}, {Kind: Rate}, {Kind: Garble}, {Kind: Reset, Offset: -1},
 		{Kind: Mute, Direction: "sideways"}, {Kind: Refuse, Connection: 1}, {Kind: Refuse, Direction: Up}} {
 		err := r.Set("p/k", f)
-		if !invalidFault.Of(err) || !invalidFault.Of(r.Play([]Step{{Links: "p/k", Set: &f}})) {
+		if !invalidFault.Matches(err) || !invalidFault.Matches(r.Play([]Step{{Links: "p/k", Set: &f}})) {
 			t.Errorf("%+v: %v", f, err)
 		}
 	}
 	_, taken := r.Link("p/k", "127.0.0.1:1")
 	for what, err := range map[string]error{"taken": taken, "no such": r.Clear("q/*", ""), "across": r.Clear("*", ""),
 		"pattern": r.Set("[", Fault{Kind: Mute}), "wait": r.Play([]Step{{Connections: 1, Links: "q"}})} {
-		if !invalidLinks.Of(err) {
+		if !invalidLinks.Matches(err) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -322,7 +322,7 @@
 		t.Errorf("no listener at the target: %v", err)
 	}
 	r.Close()
-	if _, err := r.Link("late", "127.0.0.1:1"); !invalidLinks.Of(err) {
+	if _, err := r.Link("late", "127.0.0.1:1"); !invalidLinks.Matches(err) {
 		t.Errorf("closed: %v", err)
 	}
 	if err := r.Play([]Step{{After: time.Hour, Links: "p/k"}}); !errors.Is(err, context.Canceled) {
