--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -41,9 +41,9 @@
 type Client struct {
 	loop       *evloop.Loop
 	replicas   []string    // addresses
-	lastGood   int         // index of the replica that answered last
-	renewals   *connection // nil before the first renewal
-	versionGet *connection // nil before the first fetch
+	lastResponsive   int         // index of the replica that answered last
+	renewalConn   *connection // nil before the first renewal
+	versionConn *connection // nil before the first fetch
 }
 
 // New makes a client of the replicas at numeric addresses, of which there is at least one. The first replica to be asked
@@ -51,7 +51,7 @@
 func New(loop *evloop.Loop, replicas []string, node string) *Client {
 	client := &Client{loop: loop}
 	client.SetReplicas(replicas)
-	client.lastGood = int(xxhash.Sum64String(node) % uint64(len(replicas)))
+	client.lastResponsive = int(xxhash.Sum64String(node) % uint64(len(replicas)))
 	return client
 }
 
@@ -59,7 +59,7 @@
 func (c *Client) SetReplicas(replicas []string) {
 	if !slices.Equal(c.replicas, replicas) {
 		c.replicas = slices.Clone(replicas)
-		c.lastGood = 0
+		c.lastResponsive = 0
 	}
 }
 
@@ -87,15 +87,15 @@
 			lease, err = decodeLease(body, renewal, addr)
 		}
 		if err != nil {
-			c.renewals.close()
+			c.renewalConn.close()
 			done(fleetconfig.Lease{}, 0, err)
 			return
 		}
-		c.lastGood = replica
+		c.lastResponsive = replica
 		done(lease, sent, nil)
 	}
-	c.prepareRenewals(addr)
-	c.renewals.send(&request{
+	c.prepareRenewalConn(addr)
+	c.renewalConn.send(&request{
 		path:     renewPath,
 		text:     text,
 		maxBytes: maxLeaseBytes,
@@ -105,18 +105,18 @@
 }
 
 // replicaAfter is the index of the replica to ask after a number of failures in a row.
-func (c *Client) replicaAfter(failures int) int { return (c.lastGood + failures) % len(c.replicas) }
+func (c *Client) replicaAfter(failures int) int { return (c.lastResponsive + failures) % len(c.replicas) }
 
-// prepareRenewals makes c.renewals a connection to a replica without a request in flight. One that cannot be used is closed.
-func (c *Client) prepareRenewals(addr string) {
-	current := c.renewals
+// prepareRenewalConn makes c.renewals a connection to a replica without a request in flight. One that cannot be used is closed.
+func (c *Client) prepareRenewalConn(addr string) {
+	current := c.renewalConn
 	if current != nil && current.addr == addr && current.request == nil && !current.closed {
 		return
 	}
 	if current != nil {
 		current.close()
 	}
-	c.renewals = &connection{client: c, addr: addr, persistent: true}
+	c.renewalConn = &connection{client: c, addr: addr, persistent: true}
 }
 
 // renewRequestText is the whole HTTP request of a renewal.
@@ -148,11 +148,11 @@
 func (c *Client) FetchVersion(number uint64, failures int, maxBytes int64, done func(text []byte, err error)) {
 	addr := c.replicas[c.replicaAfter(failures)]
 	path := versionPath + strconv.FormatUint(number, 10)
-	if c.versionGet != nil {
-		c.versionGet.close()
+	if c.versionConn != nil {
+		c.versionConn.close()
 	}
-	c.versionGet = &connection{client: c, addr: addr}
-	c.versionGet.send(&request{
+	c.versionConn = &connection{client: c, addr: addr}
+	c.versionConn.send(&request{
 		path:        path,
 		maxBytes:    maxBytes,
 		deadline:    c.loop.Now() + fetchTimeout,
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -30,8 +30,8 @@
 
 func (r receivedRequest) write(text string) { _, _ = io.WriteString(r.conn, text) }
 
-// answer sends a complete answer of status 200.
-func (r receivedRequest) answer(body string) {
+// respond sends a complete respond of status 200.
+func (r receivedRequest) respond(body string) {
 	r.write(fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
@@ -70,8 +70,8 @@
 	return l.Addr().String(), requests
 }
 
-// outcome is what a callback was given.
-type outcome struct {
+// result is what a callback was given.
+type result struct {
 	lease     fleetconfig.Lease
 	text      []byte
 	sent, now time.Duration
@@ -83,7 +83,7 @@
 	t        *testing.T
 	loop     *evloop.Loop
 	client   *Client
-	outcomes chan outcome
+	results chan result
 }
 
 func newHarness(t *testing.T, replicas ...string) *harness {
@@ -93,8 +93,8 @@
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	h := &harness{t: t, loop: loop, client: New(loop, replicas, "n0"), outcomes: make(chan outcome, 64)}
-	h.client.lastGood = 0
+	h := &harness{t: t, loop: loop, client: New(loop, replicas, "n0"), results: make(chan result, 64)}
+	h.client.lastResponsive = 0
 	go func() { ended <- loop.Run() }()
 	t.Cleanup(func() {
 		_ = loop.Stop()
@@ -120,7 +120,7 @@
 	renewal := fleetconfig.Renewal{Node: "n0", Incarnation: 7, Seq: seq}
 	h.onLoop(func() {
 		h.client.Renew(renewal, failures, timeout, func(lease fleetconfig.Lease, sent time.Duration, err error) {
-			h.outcomes <- outcome{lease: lease, sent: sent, now: h.loop.Now(), err: err}
+			h.results <- result{lease: lease, sent: sent, now: h.loop.Now(), err: err}
 		})
 	})
 }
@@ -128,7 +128,7 @@
 func (h *harness) fetch(maxBytes int64) {
 	h.t.Helper()
 	h.onLoop(func() {
-		h.client.FetchVersion(3, 0, maxBytes, func(text []byte, err error) { h.outcomes <- outcome{text: text, err: err} })
+		h.client.FetchVersion(3, 0, maxBytes, func(text []byte, err error) { h.results <- result{text: text, err: err} })
 	})
 }
 
@@ -155,8 +155,8 @@
 		arrived := make(chan time.Duration, 1)
 		h.onLoop(func() { arrived <- h.loop.Now() }) // after the request was received
 		end := fakes.Await(t, arrived)
-		req.answer(leaseJSON(seq))
-		out := fakes.Await(t, h.outcomes)
+		req.respond(leaseJSON(seq))
+		out := fakes.Await(t, h.results)
 		if out.err != nil || out.lease.ActiveVersion != 5 || out.sent < fakes.Await(t, before) || out.sent > end {
 			t.Errorf("%+v, arrived by %v", out, end)
 		}
@@ -170,7 +170,7 @@
 	}
 	h.renew(9, 0, 50*time.Millisecond)
 	unanswered := fakes.Await(t, requests)
-	if out := fakes.Await(t, h.outcomes); !NoResponse.Of(out.err) || !strings.Contains(out.err.Error(), addr) {
+	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) || !strings.Contains(out.err.Error(), addr) {
 		t.Errorf("error %v", out.err)
 	}
 	if _, err := unanswered.conn.Read(make([]byte, 1)); err == nil {
@@ -178,9 +178,9 @@
 	}
 	h.renew(10, 0, testTimeout)
 	req := fakes.Await(t, requests)
-	unanswered.answer(leaseJSON(9)) // too late: it is ignored
-	req.answer(leaseJSON(10))
-	testkit.Equal(t, "answered", uint64(10), fakes.Await(t, h.outcomes).lease.Seq)
+	unanswered.respond(leaseJSON(9)) // too late: it is ignored
+	req.respond(leaseJSON(10))
+	testkit.Equal(t, "answered", uint64(10), fakes.Await(t, h.results).lease.Seq)
 }
 
 // A renewal on a connection that was just closed is sent once more, and the time that counts is that of the second sending.
@@ -188,21 +188,21 @@
 	addr, requests := startReplica(t)
 	h := newHarness(t, addr)
 	h.renew(1, 0, testTimeout)
-	fakes.Await(t, requests).answer(leaseJSON(1))
-	fakes.Await(t, h.outcomes)
+	fakes.Await(t, requests).respond(leaseJSON(1))
+	fakes.Await(t, h.results)
 	h.renew(2, 0, testTimeout)
 	fakes.Await(t, requests).conn.Close()
 	req := fakes.Await(t, requests)
 	after := make(chan time.Duration, 1)
 	h.onLoop(func() { after <- h.loop.Now() })
-	req.answer(leaseJSON(2))
-	if out := fakes.Await(t, h.outcomes); out.err != nil || out.sent > fakes.Await(t, after) {
+	req.respond(leaseJSON(2))
+	if out := fakes.Await(t, h.results); out.err != nil || out.sent > fakes.Await(t, after) {
 		t.Errorf("%+v", out)
 	}
 	h.renew(3, 0, testTimeout)
 	fakes.Await(t, requests).conn.Close()
 	fakes.Await(t, requests).conn.Close() // a new connection: that is the replica's failure
-	if out := fakes.Await(t, h.outcomes); !NoResponse.Of(out.err) {
+	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) {
 		t.Errorf("error %v", out.err)
 	}
 }
@@ -218,22 +218,22 @@
 	closedListener.Close()
 	h := newHarness(t, closedListener.Addr().String(), first, second)
 	h.renew(1, 0, testTimeout)
-	if out := fakes.Await(t, h.outcomes); !NoResponse.Of(out.err) || len(apperror.Resolutions(out.err)) == 0 {
+	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) || len(apperror.Resolutions(out.err)) == 0 {
 		t.Errorf("error %v", out.err)
 	}
 	h.renew(2, 2, testTimeout)
-	fakes.Await(t, others).answer(leaseJSON(2))
-	testkit.Equal(t, "second", error(nil), fakes.Await(t, h.outcomes).err)
+	fakes.Await(t, others).respond(leaseJSON(2))
+	testkit.Equal(t, "second", error(nil), fakes.Await(t, h.results).err)
 	h.renew(3, 0, testTimeout)
-	fakes.Await(t, others).answer(leaseJSON(3))
-	fakes.Await(t, h.outcomes)
+	fakes.Await(t, others).respond(leaseJSON(3))
+	fakes.Await(t, h.results)
 	h.renew(4, 2, testTimeout)
-	fakes.Await(t, requests).answer(leaseJSON(4))
-	fakes.Await(t, h.outcomes)
+	fakes.Await(t, requests).respond(leaseJSON(4))
+	fakes.Await(t, h.results)
 	h.onLoop(func() { h.client.SetReplicas([]string{second}) })
 	h.renew(5, 7, testTimeout)
-	fakes.Await(t, others).answer(leaseJSON(5))
-	testkit.Equal(t, "moved", uint64(5), fakes.Await(t, h.outcomes).lease.Seq)
+	fakes.Await(t, others).respond(leaseJSON(5))
+	testkit.Equal(t, "moved", uint64(5), fakes.Await(t, h.results).lease.Seq)
 }
 
 // Every invalid answer is one error of its kind, with the place, and closes the connection.
@@ -260,7 +260,7 @@
 			h.renew(1, 0, testTimeout)
 			req := fakes.Await(t, requests)
 			req.write(test.answer)
-			out := fakes.Await(t, h.outcomes)
+			out := fakes.Await(t, h.results)
 			var typed *apperror.Error
 			if !test.kind.Of(out.err) || !strings.Contains(out.err.Error(), test.contains) || !errors.As(out.err, &typed) ||
 				!strings.Contains(typed.Place, addr) {
@@ -279,7 +279,7 @@
 	addr, requests := startReplica(t)
 	h := newHarness(t, addr)
 	for name, answer := range map[string]func(receivedRequest){
-		"by length": func(req receivedRequest) { req.answer(body) },
+		"by length": func(req receivedRequest) { req.respond(body) },
 		"in chunks": func(req receivedRequest) {
 			req.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for at := 0; at < len(body); at += 1 << 17 {
@@ -296,23 +296,23 @@
 		req := fakes.Await(t, requests)
 		testkit.Equal(t, name, "/v1/version/3", req.URL.Path)
 		h.renew(1, 0, testTimeout)
-		fakes.Await(t, requests).answer(leaseJSON(1))
-		if out := fakes.Await(t, h.outcomes); out.err != nil || out.lease.Seq != 1 {
+		fakes.Await(t, requests).respond(leaseJSON(1))
+		if out := fakes.Await(t, h.results); out.err != nil || out.lease.Seq != 1 {
 			t.Errorf("%s: a renewal beside it: %+v", name, out)
 		}
 		answer(req)
-		if out := fakes.Await(t, h.outcomes); out.err != nil || string(out.text) != body {
+		if out := fakes.Await(t, h.results); out.err != nil || string(out.text) != body {
 			t.Errorf("%s: %d bytes, error %v", name, len(out.text), out.err)
 		}
 		h.fetch(int64(len(body)) - 1)
 		answer(fakes.Await(t, requests))
-		if out := fakes.Await(t, h.outcomes); !ResponseTooLarge.Of(out.err) {
+		if out := fakes.Await(t, h.results); !ResponseTooLarge.Of(out.err) {
 			t.Errorf("%s: one byte too many: error %v", name, out.err)
 		}
 	}
 	h.fetch(1 << 10)
-	fakes.Await(t, requests).answer(body[:1<<10])
-	text := func() weak.Pointer[byte] { return weak.Make(&fakes.Await(t, h.outcomes).text[0]) }()
+	fakes.Await(t, requests).respond(body[:1<<10])
+	text := func() weak.Pointer[byte] { return weak.Make(&fakes.Await(t, h.results).text[0]) }()
 	if runtime.GC(); text.Value() != nil {
 		t.Error("the client keeps a version's text")
 	}
@@ -320,7 +320,7 @@
 	req := fakes.Await(t, requests)
 	req.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 	req.conn.Close()
-	if out := fakes.Await(t, h.outcomes); !NoResponse.Of(out.err) {
+	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) {
 		t.Errorf("half of it: error %v", out.err)
 	}
 }
--- a/internal/controlclient/connection.go
+++ b/internal/controlclient/connection.go
@@ -37,7 +37,7 @@
 	conn       *evloop.Conn
 	connected  bool
 	closed     bool
-	answers    int      // complete answers that came over it
+	responses    int      // complete answers that came over it
 	request    *request // nil: none is in flight
 	timer      *evloop.Timer
 }
@@ -130,7 +130,7 @@
 		return
 	}
 	if r.parser.Done() {
-		c.finishAnswer()
+		c.finishResponse()
 	} else if r.idleTimeout > 0 {
 		c.startTimer()
 	}
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// finishAnswer ends the request in flight with its complete answer.
-func (c *connection) finishAnswer() {
+// finishResponse ends the request in flight with its complete answer.
+func (c *connection) finishResponse() {
 	r := c.request
 	if r.parser.Status() != http.StatusOK {
 		c.fail(r.rejection(c.addr))
@@ -162,7 +162,7 @@
 	}
 	if c.persistent {
 		c.finishRequest()
-		c.answers++
+		c.responses++
 	} else {
 		c.close()
 	}
@@ -197,12 +197,12 @@
 		c.close()
 	case r.parser.UntilEnd() && r.parser.Status() == http.StatusOK:
 		c.persistent = false
-		c.finishAnswer()
-	case c.answers > 0 && !r.received:
+		c.finishResponse()
+	case c.responses > 0 && !r.received:
 		c.close()
-		if c.client.renewals == c {
-			c.client.renewals = &connection{client: c.client, addr: c.addr, persistent: true}
-			c.client.renewals.send(r)
+		if c.client.renewalConn == c {
+			c.client.renewalConn = &connection{client: c.client, addr: c.addr, persistent: true}
+			c.client.renewalConn.send(r)
 		}
 	default:
 		c.fail(NoResponse.Wrap(place(c.addr, r.path), err))
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -19,9 +19,9 @@
 // The tests in this file pin the calls of a proxy to the control plane, byte for byte, and the answers that it takes.
 // The files below testdata/golden were written by the program before its names changed; they are never written again.
 
-// rawReplica accepts one connection, reads as many bytes from it as a golden request has, and answers. It returns the
+// startRawReplica accepts one connection, reads as many bytes from it as a golden request has, and answers. It returns the
 // request that it expects and the one that came. HOST in a golden request stands for the address that is called.
-func rawReplica(t *testing.T, golden, answer string) (addr, want string, got <-chan string) {
+func startRawReplica(t *testing.T, golden, answer string) (addr, want string, got <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,8 +46,8 @@
 	return l.Addr().String(), want, requests
 }
 
-// httpAnswer is a complete answer with a body.
-func httpAnswer(status int, body string) string {
+// httpResponseText is a complete answer with a body.
+func httpResponseText(status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status,
 		http.StatusText(status), len(body), body)
 }
@@ -63,15 +63,15 @@
 		Forced: true, Excluded: true, ListNumber: 9,
 		Terms: fleetconfig.Terms{AgreementTimeout: 2 * time.Second, MemberTimeout: 10 * time.Second, OnLeaseExpiry: fleetconfig.ServeOnExpiry, ClockDriftPPM: 500}}
 	testkit.CheckAllSet(t, "lease", reflect.ValueOf(want))
-	addr, request, requests := rawReplica(t, "renew.request", httpAnswer(200, string(testkit.GoldenFile(t, "grant.json"))))
+	addr, request, requests := startRawReplica(t, "renew.request", httpResponseText(200, string(testkit.GoldenFile(t, "grant.json"))))
 	h := newHarness(t, addr)
 	h.onLoop(func() {
 		h.client.Renew(goldenRenewal, 0, testTimeout, func(lease fleetconfig.Lease, _ time.Duration, err error) {
-			h.outcomes <- outcome{lease: lease, err: err}
+			h.results <- result{lease: lease, err: err}
 		})
 	})
 	testkit.Equal(t, "request", request, fakes.Await(t, requests))
-	got := fakes.Await(t, h.outcomes)
+	got := fakes.Await(t, h.results)
 	testkit.Equal(t, "error", nil, got.err)
 	testkit.Equal(t, "lease", want, got.lease)
 }
@@ -79,21 +79,21 @@
 // TestGoldenFetch pins the request for a version; its answer is passed on as received.
 func TestGoldenFetch(t *testing.T) {
 	const body = `{"number":3,"digest":"d3","body":{"settings":{}}}` + "\n"
-	addr, request, requests := rawReplica(t, "fetch.request", httpAnswer(200, body))
+	addr, request, requests := startRawReplica(t, "fetch.request", httpResponseText(200, body))
 	h := newHarness(t, addr)
 	h.fetch(1 << 10)
 	testkit.Equal(t, "request", request, fakes.Await(t, requests))
-	got := fakes.Await(t, h.outcomes)
+	got := fakes.Await(t, h.results)
 	testkit.Equal(t, "error", nil, got.err)
 	testkit.Equal(t, "body", body, string(got.text))
 }
 
 // TestGoldenFault pins what is read of an error response: each of its members is in the error.
 func TestGoldenFault(t *testing.T) {
-	addr, _, _ := rawReplica(t, "fetch.request", httpAnswer(503, string(testkit.GoldenFile(t, "fault.json"))))
+	addr, _, _ := startRawReplica(t, "fetch.request", httpResponseText(503, string(testkit.GoldenFile(t, "fault.json"))))
 	h := newHarness(t, addr)
 	h.fetch(1 << 10)
-	got := fakes.Await(t, h.outcomes)
+	got := fakes.Await(t, h.results)
 	if !Rejected.Of(got.err) {
 		t.Fatalf("error %v", got.err)
 	}
--- a/internal/endpointlist/errors.go
+++ b/internal/endpointlist/errors.go
@@ -2,18 +2,18 @@
 
 import "example.org/micafront/internal/apperror"
 
-// Kinds of errors of this package.
+// Kinds of errors. The names are logged and sent to clients.
 var (
-	// BadList: discovery's answer cannot be used as a list.
+	// BadList means that discovery sent entries that cannot be used as an endpoint list.
 	BadList = apperror.NewKind("roster/bad-list",
-		"the agreed list stays: look at what GET /registry/instances of discovery answers, and repair there what the line names")
-	// StaleChange: the change is based on another list than the current one.
+		"the committed list stays in use: compare GET /registry/instances of discovery, and correct there what this error names")
+	// StaleChange means that a change is based on a list that is no longer current.
 	StaleChange = apperror.NewKind("roster/stale-change",
 		"nothing to do: another list was agreed on meanwhile, and the leader asks discovery for the whole list")
-	// BadChange: this release cannot apply the change.
+	// BadChange means that this release cannot apply a committed change.
 	BadChange = apperror.NewKind("roster/bad-change",
-		"run replicas of one release: another one has committed what no list of this release can take")
-	// BrokenSnapshot: a snapshot cannot be encoded or decoded.
+		"run all replicas on the same release: one of another release committed a change that this release cannot apply")
+	// BrokenSnapshot means that a snapshot cannot be encoded or decoded.
 	BrokenSnapshot = apperror.NewKind("roster/broken-snapshot",
 		"keep this replica's data folder for a report and start it on an empty one with --rejoin, while all others are up")
 )
--- a/internal/endpointlist/golden_test.go
+++ b/internal/endpointlist/golden_test.go
@@ -9,7 +9,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// goldenEntry is the text of an entry with every member that is read, and one that this release does not know.
+// goldenEntry returns an entry with every member that decodeEndpoint reads, and the unknown member rack.
 func goldenEntry(id, lifecycle string) json.RawMessage {
 	return fmt.Appendf(nil, `{"instanceId":%q,"hostPort":"127.0.0.1:8081","zone":"thies","machineType":"m2","cell":7,`+
 		`"lifecycle":%q,"weight":1.5,"startedAtMs":1798761600123,"rack":"r7"}`, id, lifecycle)
@@ -19,7 +19,7 @@
 	return Change{Base: 2, Entries: []json.RawMessage{goldenEntry("s-1", Draining), goldenEntry("s-2", Terminated)}}
 }
 
-// Each JSON form of the package keeps its bytes.
+// TestGoldenEncodings pins the bytes of each JSON form of the package.
 func TestGoldenEncodings(t *testing.T) {
 	for file, check := range map[string]func(t *testing.T, file string){
 		"change.json": testkit.PinnedEncoding(goldenChange()),
@@ -31,19 +31,20 @@
 	}
 }
 
-// A State that is restored from a snapshot writes the same bytes, and serves the entries as they were committed.
-func TestGoldenSnapshotThroughAState(t *testing.T) {
+// TestGoldenSnapshotRestored checks that a State restored from a snapshot encodes to the same bytes, and returns the entries
+// as they were committed.
+func TestGoldenSnapshotRestored(t *testing.T) {
 	state := NewState()
 	if err := state.Restore(testkit.GoldenFile(t, "snapshot.json")); err != nil {
 		t.Fatal(err)
 	}
-	again, err := state.Snapshot()
+	reencoded, err := state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.Equal(t, "restored", string(testkit.GoldenFile(t, "snapshot.json")), string(again))
-	for file, served := range map[string]any{"whole.json": state.FullUpdate(), "since.json": state.UpdatesSince(2)} {
-		text, err := json.Marshal(served)
+	testkit.Equal(t, "snapshot of the restored state", string(testkit.GoldenFile(t, "snapshot.json")), string(reencoded))
+	for file, updates := range map[string]any{"whole.json": state.FullUpdate(), "since.json": state.UpdatesSince(2)} {
+		text, err := json.Marshal(updates)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +52,8 @@
 	}
 }
 
-// States that take the same changes write the same snapshot; an entry that is no longer listed is committed as terminated.
+// TestGoldenSnapshotOfAppliedChanges pins the snapshot of a State after two changes. An entry that the second full list no
+// longer contains is committed as terminated.
 func TestGoldenSnapshotOfAppliedChanges(t *testing.T) {
 	state := NewState()
 	for _, received := range [][]json.RawMessage{
@@ -73,7 +75,7 @@
 	testkit.Equal(t, "snapshot", string(testkit.GoldenFile(t, "applied.json")), string(text))
 }
 
-// Every member of an entry is read by its name: one that is of another type is refused.
+// TestGoldenEntryMembers pins the member names of an entry: decodeEndpoint rejects a member with a value of the wrong type.
 func TestGoldenEntryMembers(t *testing.T) {
 	entry, err := decodeEndpoint(goldenEntry("s-1", Ready))
 	if err != nil {
@@ -85,24 +87,24 @@
 		if err := json.Unmarshal(goldenEntry("s-1", Ready), &members); err != nil {
 			t.Fatal(err)
 		}
-		members[member] = []string{"of another type"}
+		members[member] = []string{"of the wrong type"}
 		text, err := json.Marshal(members)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := decodeEndpoint(text); err == nil {
-			t.Errorf("%s is accepted as a list", member)
+			t.Errorf("decodeEndpoint accepts an array as %s", member)
 		}
 	}
 }
 
-// Lifecycles as discovery names them, and error kinds as they are sent.
+// TestGoldenNames pins the lifecycles in discovery's protocol, and the names of error kinds, which are sent to clients.
 func TestGoldenNames(t *testing.T) {
 	testkit.Equal(t, "lifecycles", []string{"in_service", "terminating", "terminated"}, []string{Ready, Draining, Terminated})
 	for name, kind := range map[string]*apperror.Kind{
 		"roster/bad-list": BadList, "roster/stale-change": StaleChange, "roster/bad-change": BadChange,
 		"roster/broken-snapshot": BrokenSnapshot,
 	} {
-		testkit.Equal(t, "kind", name, kind.Name)
+		testkit.Equal(t, "error kind", name, kind.Name)
 	}
 }
--- a/internal/endpointlist/object.go
+++ b/internal/endpointlist/object.go
@@ -2,24 +2,24 @@
 
 import "encoding/json"
 
-// Lifecycles of an endpoint, as discovery's protocol names them. Proxies act on Draining and Terminated at once, before the
-// change is committed (State.EarlyRemovals).
+// Lifecycles of an endpoint, as discovery's protocol names them. Proxies act on Draining and Terminated immediately, before
+// the change is committed (State.EarlyRemovals).
 const (
 	Ready      = "in_service"
 	Draining   = "terminating"
-	Terminated = "terminated" // removed from the list; appears in changes only
+	Terminated = "terminated" // removed from the list; occurs in changes only
 )
 
-// Update is one update that is sent to a reader of the list. It has the form of discovery's own answers, so that a proxy
-// reads a control-plane replica as it reads discovery.
+// Update is one JSON object of a watch. It has the same JSON form as the responses of discovery, so that a proxy decodes
+// both a control-plane replica and discovery with the same code.
 type Update struct {
-	Generation uint64            `json:"generation"` // number of the list that the update leads to
-	Reset      bool              `json:"reset"`      // Instances are the whole list; false: those that have changed
+	Generation uint64            `json:"generation"` // number of the list after the update
+	Reset      bool              `json:"reset"`      // true: Instances is the full list; false: the changed endpoints
 	Instances  []json.RawMessage `json:"instances"`
 }
 
-// Change is a replicated command that makes the list of number Base the next one. It is rejected with StaleChange where the
-// current list has another number, so that a change computed from an older list is never applied.
+// Change is a replicated command that turns list number Base into list number Base+1. State.Apply returns StaleChange if the
+// current list has another number, so a change computed from an older list is never applied.
 type Change struct {
 	Base    uint64            `json:"base"`
 	Entries []json.RawMessage `json:"entries"` // added, changed or (Terminated) removed endpoints, by id
--- a/internal/endpointlist/selector.go
+++ b/internal/endpointlist/selector.go
@@ -2,63 +2,65 @@
 
 import "time"
 
-// Discovery stands for discovery itself where SourceSelector names a replica.
+// Discovery is the result of SourceSelector.Current while discovery is selected, not a replica.
 const Discovery = -1
 
-// Times of a SourceSelector.
+// Durations of a SourceSelector.
 const (
-	// FailoverTimeout is how long no replica may serve the list before discovery is asked.
+	// FailoverTimeout is the time without a serving replica after which a proxy fails over to discovery.
 	FailoverTimeout = 2 * time.Second
-	// InitialBackoff is how long a proxy stays with discovery before it first tries the replicas again.
+	// InitialBackoff is the first backoff, without jitter. During a backoff a proxy uses discovery and does not try the replicas.
 	InitialBackoff = 2 * time.Second
-	// MaxBackoff is the longest backoff, jitter included.
+	// MaxBackoff is the longest backoff, including jitter.
 	MaxBackoff = 30 * time.Second
 
-	// The pause between two rounds of all replicas doubles from initialRoundPause to maxRoundPause, without the jitter.
+	// The pause between two rounds of all replicas doubles from initialRoundPause to maxRoundPause, without jitter.
 	initialRoundPause = 50 * time.Millisecond
 	maxRoundPause     = 300 * time.Millisecond
-	// maxBaseBackoff is the longest backoff before jitter, which at most doubles it.
+	// maxBaseBackoff is the longest backoff without jitter, which at most doubles a backoff.
 	maxBaseBackoff = MaxBackoff / 2
-	// maxPauseDoublings is past the number of doublings that reaches maxRoundPause; it keeps the shift from overflowing.
+	// maxPauseDoublings bounds the shift that computes the pause, so that it cannot overflow. Fewer doublings reach maxRoundPause.
 	maxPauseDoublings = 8
 )
 
-// SourceSelector decides whether a proxy fetches its list from a control-plane replica, from which one, or from discovery.
+// SourceSelector selects the source from which a proxy fetches its list: one of the control-plane replicas, or discovery.
 //
-// It starts with the replicas, before any lease. When a call fails, it goes on to the next replica. A replica that does not
-// lead refuses at once, so rounds of all replicas are repeated, with a pause in between in which nothing is asked. When no
-// replica has served for FailoverTimeout, counted from the first failure or from the first call of a method that gets the time,
-// it fails over to discovery. It returns to the replicas where a lease has said that they have a list, after a backoff that
-// doubles with each failed return and starts anew once a return has lasted for MaxBackoff.
+// It starts with a replica, before any lease is granted. After a failed call it selects the next replica. Only the leader
+// serves the list and the others refuse immediately, so it repeats rounds of all replicas, with a pause between rounds in
+// which the proxy sends no request. If no replica serves for FailoverTimeout, counted from the first failure or from the
+// first call of a method that takes the time, it fails over to discovery. It returns to the replicas after a backoff, once a
+// lease has reported that they have a list. The backoff doubles with each failed return, and is reset to InitialBackoff after
+// the replicas have served for MaxBackoff.
 //
-// Times are on the proxy's own monotonic clock, and above 0.
+// Times are readings of the proxy's monotonic clock, above 0.
 type SourceSelector struct {
 	replicas    int
 	jitter      float64 // in [0, 1), differs between proxies
-	current     int     // replica, or Discovery
-	lastReplica int     // asked before failing over to discovery
+	current     int     // index of a replica, or Discovery
+	lastReplica int     // selected before the failover to discovery
 
 	started        bool
-	failingSince   time.Duration // first failure without a success since; 0: a replica serves
+	failingSince   time.Duration // time since which no replica has served; 0: a replica serves
 	servedSince    time.Duration // first success since the last return to the replicas; 0: none
-	roundFailures  int           // replicas that have failed in this round
-	failedRounds   int           // rounds in which all replicas have failed
-	roundPauseEnds time.Duration // 0: no pause between rounds
+	roundFailures  int           // failed calls in this round
+	failedRounds   int           // successive rounds in which all replicas failed
+	roundPauseEnds time.Duration // end of the pause between rounds; 0: no pause
 
-	listAvailable bool          // a lease since the last failure has said that the replicas have a list
-	backoff       time.Duration // the next one, before jitter
-	returnAt      time.Duration // when the replicas may be tried again
+	listAvailable bool          // a lease since the last failure reported that the replicas have a list
+	backoff       time.Duration // the next backoff, without jitter
+	returnAt      time.Duration // earliest time of a return to the replicas
 }
 
-// floatBits is how many bits of an integer a float64 represents exactly.
-const floatBits = 53
+// float64SignificandBits is the largest number of bits of an integer that a float64 always represents exactly.
+const float64SignificandBits = 53
 
-// NewSourceSelector makes a selector for a number of replicas; with none it stays with discovery. The seed selects the first
-// replica and the jitter, so that a fleet does not move at one instant; its bits should be as uniform as a hash's.
+// NewSourceSelector returns a selector for a number of replicas. Without replicas it always selects discovery. The seed, such
+// as a hash of the node name, determines the first replica and the jitter, so that the proxies of a fleet do not switch sources
+// at the same instant. Its bits must be uniformly distributed.
 func NewSourceSelector(replicas int, seed uint64) *SourceSelector {
 	s := &SourceSelector{
 		replicas: max(replicas, 0),
-		jitter:   float64(seed>>(64-floatBits)) / (1 << floatBits),
+		jitter:   float64(seed>>(64-float64SignificandBits)) / (1 << float64SignificandBits),
 		current:  Discovery,
 		backoff:  InitialBackoff,
 	}
@@ -68,7 +70,7 @@
 	return s
 }
 
-// start begins the failover timeout with the first call.
+// start starts the failover timeout on the first call.
 func (s *SourceSelector) start(now time.Duration) {
 	if !s.started {
 		s.started = true
@@ -76,8 +78,8 @@
 	}
 }
 
-// LeaseGranted notes a lease and the number of the agreed list that it names. 0 says that the control plane does not watch
-// discovery: there is no list to wait for.
+// LeaseGranted records a lease and the number of the committed list that it carries. The number 0 means that the control plane
+// has no list, because it does not watch discovery; then LeaseGranted fails over to discovery immediately.
 func (s *SourceSelector) LeaseGranted(now time.Duration, listNumber uint64) {
 	s.start(now)
 	s.listAvailable = listNumber > 0
@@ -87,13 +89,13 @@
 	s.Tick(now)
 }
 
-// LeaseExpired notes that no lease was granted for as long as one lasts. A replica that still serves the list is kept.
+// LeaseExpired records that the lease expired without a renewal. A replica that still serves the list stays selected.
 func (s *SourceSelector) LeaseExpired(now time.Duration) {
 	s.start(now)
 	s.listAvailable = false
 }
 
-// UpdateReceived notes that the current source sent an Update.
+// UpdateReceived records that the current source sent an Update.
 func (s *SourceSelector) UpdateReceived(now time.Duration) {
 	s.start(now)
 	if s.current == Discovery {
@@ -105,8 +107,8 @@
 	s.clearFailures()
 }
 
-// CallFailed notes that a call to the current source failed or a watch broke. At discovery it changes nothing: the caller
-// retries there.
+// CallFailed records that a call to the current source failed or its watch ended. While discovery is selected it changes
+// nothing, because the caller retries there.
 func (s *SourceSelector) CallFailed(now time.Duration) {
 	s.start(now)
 	if s.current == Discovery {
@@ -126,20 +128,19 @@
 	s.Tick(now)
 }
 
-// jitterOf returns this proxy's own part of a span of time.
+// jitterOf returns this proxy's jitter for a duration, in [0, span).
 func (s *SourceSelector) jitterOf(span time.Duration) time.Duration {
 	return time.Duration(s.jitter * float64(span))
 }
 
-// roundPause returns how long nothing is asked after a round: it doubles with each failed one, and the jitter makes it up to a
-// half longer.
+// roundPause returns the pause after a failed round. It doubles with each failed round; jitter adds up to half of it.
 func (s *SourceSelector) roundPause() time.Duration {
 	pause := min(initialRoundPause<<min(s.failedRounds, maxPauseDoublings), maxRoundPause)
 	return pause + s.jitterOf(pause/2)
 }
 
-// failoverTimeout returns this proxy's own FailoverTimeout, which the jitter shortens by up to a quarter, so that a fleet does
-// not call discovery at one instant.
+// failoverTimeout returns FailoverTimeout less a jitter of up to a quarter, so that the proxies of a fleet do not call discovery
+// at the same instant.
 func (s *SourceSelector) failoverTimeout() time.Duration {
 	return FailoverTimeout - s.jitterOf(FailoverTimeout/4)
 }
@@ -147,7 +148,7 @@
 // advance selects the next replica.
 func (s *SourceSelector) advance() { s.current = (s.current + 1) % s.replicas }
 
-// clearFailures forgets the failures since the last success.
+// clearFailures resets the failure state after a success or a failover.
 func (s *SourceSelector) clearFailures() {
 	s.failingSince = 0
 	s.roundFailures = 0
@@ -155,7 +156,7 @@
 	s.roundPauseEnds = 0
 }
 
-// SetReplicaCount changes the number of replicas. With none discovery is selected.
+// SetReplicaCount changes the number of replicas. With 0 it selects discovery.
 func (s *SourceSelector) SetReplicaCount(n int) {
 	s.replicas = max(n, 0)
 	switch {
@@ -169,13 +170,14 @@
 	}
 }
 
-// Current returns the source to ask: the index of a replica, or Discovery.
+// Current returns the selected source: the index of a replica, or Discovery.
 func (s *SourceSelector) Current() int { return s.current }
 
-// Paused reports whether nothing is to be asked until NextTick: all replicas have failed in a round.
+// Paused reports whether the caller must send no request until NextTick, because all replicas failed in the last round.
 func (s *SourceSelector) Paused() bool { return s.roundPauseEnds != 0 }
 
-// NextTick returns when the decision may change by time alone; 0: it does not. The caller calls Tick then, or later.
+// NextTick returns the time at or after which the caller must call Tick, because the selection may change by then without any
+// other event. 0 means that no call is needed.
 func (s *SourceSelector) NextTick() time.Duration {
 	switch {
 	case s.current == Discovery && s.listAvailable && s.replicas > 0:
@@ -188,7 +190,7 @@
 	return s.failingSince + s.failoverTimeout()
 }
 
-// Tick makes the decisions that are due by time.
+// Tick applies the timeouts that have elapsed: the failover, the return to the replicas, and the end of a pause.
 func (s *SourceSelector) Tick(now time.Duration) {
 	s.start(now)
 	switch {
@@ -207,7 +209,7 @@
 	}
 }
 
-// failOver selects discovery and sets the backoff, which starts anew where the replicas have served for long enough.
+// failOver selects discovery and sets the time of the next return. It resets the backoff if the replicas served for MaxBackoff.
 func (s *SourceSelector) failOver(now time.Duration) {
 	if s.servedSince != 0 && now-s.servedSince >= MaxBackoff {
 		s.backoff = InitialBackoff
--- a/internal/endpointlist/selector_test.go
+++ b/internal/endpointlist/selector_test.go
@@ -14,7 +14,7 @@
 	startTime = time.Hour
 )
 
-// describe is a selector's state as its caller sees it. Times are since startTime.
+// describe formats the visible state of a selector. Times count from startTime.
 func describe(s *SourceSelector) string {
 	due := time.Duration(0)
 	if s.NextTick() != 0 {
@@ -36,30 +36,30 @@
 	received := (*SourceSelector).UpdateReceived
 	failed := (*SourceSelector).CallFailed
 	for name, steps := range map[string][]step{
-		"a replica serves, is lost, and the next one serves": {
+		"a replica serves and fails, the next one fails, and the third one serves": {
 			{0, tick, "0 paused=false due=2s"}, {100 * ms, received, "0 paused=false due=0s"},
 			{time.Minute, failed, "1 paused=false due=1m2s"}, {time.Minute, failed, "2 paused=false due=1m2s"},
 			{time.Minute + ms, received, "2 paused=false due=0s"}},
-		"rounds with growing pauses, then discovery": {
+		"rounds with growing pauses, then failover": {
 			{0, failed, "1 paused=false due=2s"}, {0, failed, "2 paused=false due=2s"}, {0, failed, "2 paused=true due=50ms"},
 			{40 * ms, tick, "2 paused=true due=50ms"}, {50 * ms, tick, "0 paused=false due=2s"},
 			{50 * ms, failed, "1 paused=false due=2s"}, {50 * ms, failed, "2 paused=false due=2s"},
 			{50 * ms, failed, "2 paused=true due=150ms"},
 			{2 * time.Second, tick, "-1 paused=false due=0s"}},
-		"replicas do not answer, and a return where a lease names a list": {
+		"unresponsive replicas, and returns once a lease carries a list number": {
 			{0, tick, "0 paused=false due=2s"}, {time.Second, failed, "1 paused=false due=2s"},
 			{2 * time.Second, failed, "-1 paused=false due=0s"},
 			{2500 * ms, granted(3), "-1 paused=false due=4s"}, {2600 * ms, (*SourceSelector).LeaseExpired, "-1 paused=false due=0s"},
 			{4100 * ms, tick, "-1 paused=false due=0s"}, {4200 * ms, granted(3), "2 paused=false due=6.2s"},
-			{6200 * ms, tick, "-1 paused=false due=0s"}, {6300 * ms, granted(3), "-1 paused=false due=10.2s"}, // twice as long
+			{6200 * ms, tick, "-1 paused=false due=0s"}, {6300 * ms, granted(3), "-1 paused=false due=10.2s"}, // the backoff has doubled
 			{10200 * ms, tick, "2 paused=false due=12.2s"}, {10300 * ms, received, "2 paused=false due=0s"},
 			{50 * time.Second, failed, "0 paused=false due=52s"}, {52 * time.Second, failed, "-1 paused=false due=0s"},
-			{53 * time.Second, granted(3), "-1 paused=false due=54s"}}, // that stay has lasted
+			{53 * time.Second, granted(3), "-1 paused=false due=54s"}}, // the replicas served for over MaxBackoff, so the backoff was reset
 		"replicas without a list": {
 			{0, granted(0), "-1 paused=false due=0s"}, {ms, received, "-1 paused=false due=0s"},
 			{2 * ms, failed, "-1 paused=false due=0s"},
 			{time.Hour, granted(0), "-1 paused=false due=0s"}, {2 * time.Hour, granted(1), "0 paused=false due=2h0m2s"}},
-		"fewer replicas": {
+		"the number of replicas decreases": {
 			{0, failed, "1 paused=false due=2s"}, {0, failed, "2 paused=false due=2s"},
 			{ms, func(s *SourceSelector, _ time.Duration) { s.SetReplicaCount(2) }, "0 paused=false due=2s"},
 			{2 * ms, func(s *SourceSelector, _ time.Duration) { s.SetReplicaCount(0) }, "-1 paused=false due=0s"},
@@ -75,7 +75,8 @@
 	}
 }
 
-// Proxies that lose the replicas at one instant fail over to discovery, and return, at different times.
+// TestSourceSelectorJitter checks that proxies that lose the replicas at the same instant fail over to discovery, and return to
+// the replicas, at different times.
 func TestSourceSelectorJitter(t *testing.T) {
 	failovers := map[time.Duration]bool{}
 	returns := map[time.Duration]bool{}
@@ -88,10 +89,10 @@
 		s.LeaseGranted(startTime+FailoverTimeout, 1)
 		returns[s.NextTick().Truncate(100*ms)] = true
 		if d := s.NextTick() - startTime - FailoverTimeout; d < InitialBackoff || d >= 2*InitialBackoff {
-			t.Errorf("the return is due %v later", d)
+			t.Errorf("the return is due %v after the failover, want at least %v and less than %v", d, InitialBackoff, 2*InitialBackoff)
 		}
 	}
-	testkit.Equal(t, "intervals of 50 ms with failovers", 11, len(failovers)) // a jitter of 0 uses the whole timeout
+	testkit.Equal(t, "intervals of 50 ms with failovers", 11, len(failovers)) // 10 intervals of jitter, and the full timeout for a jitter of 0
 	testkit.Equal(t, "intervals of 100 ms with returns", 20, len(returns))
 }
 
@@ -102,19 +103,19 @@
 	serving
 )
 
-// simulation drives a selector as a proxy does, against replicas whose behavior changes.
+// simulation calls a selector as a proxy does. The behavior of its replicas changes between runs.
 type simulation struct {
 	t        *rapid.T
 	selector *SourceSelector
-	replicas []int // behaviors
-	granting bool  // leases are granted
+	replicas []int // behavior of each replica
+	granting bool  // whether leases are granted
 
 	now           time.Duration
 	nextLease     time.Duration
 	callEnds      time.Duration // 0: no call is in flight
-	current       int           // the selector's source as of the last step
+	current       int           // source that was selected after the last step
 	failedOverAt  time.Duration
-	unservedSince time.Duration // 0: a replica serves
+	unservedSince time.Duration // time since which no replica has served; 0: a replica serves
 }
 
 const (
@@ -122,13 +123,13 @@
 	simulatedLeaseInterval = 500 * ms
 )
 
-// run lets time pass.
+// run advances the simulated time.
 func (s *simulation) run(until time.Duration) {
 	s.t.Helper()
 	const maxSteps = 200_000
 	for steps := 0; s.now < until; steps++ {
 		if steps > maxSteps {
-			s.t.Fatalf("it loops without time passing: %s", describe(s.selector))
+			s.t.Fatalf("more than %d steps before the time %v: the selector is %s", maxSteps, until, describe(s.selector))
 		}
 		s.startCall()
 		s.now = s.nextEvent(until)
@@ -139,7 +140,8 @@
 	}
 }
 
-// startCall starts a call where there is none. Of a replica that serves there is a watch, which ends when it stops to serve.
+// startCall starts a call unless one is in flight. A call to a serving replica continues as a watch, which ends when the replica
+// stops serving.
 func (s *simulation) startCall() {
 	if s.callEnds != 0 || s.selector.Current() == Discovery || s.selector.Paused() {
 		return
@@ -190,13 +192,14 @@
 	}
 }
 
-// checkSource checks the backoff and the failover timeout where the source has changed or does not serve.
+// checkSource checks the minimum backoff before a return, and that no replica stays selected without serving for longer than
+// the failover timeout and one call.
 func (s *simulation) checkSource() {
 	s.t.Helper()
 	selected := s.selector.Current()
 	if selected != s.current && s.current == Discovery {
 		if s.now-s.failedOverAt < InitialBackoff {
-			s.t.Fatalf("it returns after %v", s.now-s.failedOverAt)
+			s.t.Fatalf("return to the replicas %v after the failover, want at least %v", s.now-s.failedOverAt, InitialBackoff)
 		}
 		s.unservedSince = s.now
 	}
@@ -208,12 +211,13 @@
 	}
 	s.current = selected
 	if unserved := s.now - s.unservedSince; selected != Discovery && s.unservedSince != 0 && unserved > FailoverTimeout+simulatedCallTimeout {
-		s.t.Fatalf("no list for %v", unserved)
+		s.t.Fatalf("replica %d is still selected after %v without a serving replica", selected, unserved)
 	}
 }
 
-// Whatever the replicas do, the selector makes progress: in the end it selects the replica that serves, or else discovery,
-// within the failover timeout and one call's time; and it stays with discovery for the backoff.
+// TestSourceSelectorMakesProgress checks for random behavior of the replicas that the selector finally selects the serving
+// replica, or discovery if none serves. It fails over within the failover timeout and one call, and uses discovery for at least
+// the initial backoff.
 func TestSourceSelectorMakesProgress(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(rt, "replicas")
@@ -227,7 +231,7 @@
 			s.granting = rapid.Bool().Draw(rt, "granting")
 			s.run(s.now + time.Duration(rapid.IntRange(1, 20_000).Draw(rt, "ms"))*ms)
 		}
-		last := rapid.IntRange(Discovery, n-1).Draw(rt, "the one that serves in the end")
+		last := rapid.IntRange(Discovery, n-1).Draw(rt, "last serving replica")
 		for i := range s.replicas {
 			s.replicas[i] = refusing
 		}
@@ -237,7 +241,7 @@
 		}
 		s.run(s.now + 2*MaxBackoff)
 		if selector.Current() != last {
-			rt.Fatalf("in the end it selects %s, not %d", describe(selector), last)
+			rt.Fatalf("the final state is %s, want source %d", describe(selector), last)
 		}
 	})
 }
--- a/internal/endpointlist/snapshot.go
+++ b/internal/endpointlist/snapshot.go
@@ -12,16 +12,16 @@
 	Changes []appliedChange      `json:"changes"`
 }
 
-// Snapshot encodes the state. It has no checksum of its own: that of fleetconfig.StateMachine's snapshot covers it.
+// Snapshot encodes the state. It adds no checksum, because that of fleetconfig.StateMachine's snapshot covers it.
 func (s *State) Snapshot() ([]byte, error) {
-	text, err := stdjson.Marshal(snapshot{Number: s.number, Entries: textsOf(s.endpoints), Changes: s.changes})
+	text, err := stdjson.Marshal(snapshot{Number: s.number, Entries: entryTexts(s.endpoints), Changes: s.changes})
 	if err != nil {
-		return nil, BrokenSnapshot.Wrap("writing it", err)
+		return nil, BrokenSnapshot.Wrap("encoding the list", err)
 	}
 	return text, nil
 }
 
-// Restore replaces the state by that of a snapshot. It fails with BrokenSnapshot and leaves the state as it was.
+// Restore replaces the state with that of a snapshot. On a BrokenSnapshot error it leaves the state unchanged.
 func (s *State) Restore(text []byte) error {
 	var decoded snapshot
 	if err := stdjson.Unmarshal(text, &decoded); err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// restoreEndpoints sets the list of a decoded snapshot.
+// restoreEndpoints sets the list from the entries of a decoded snapshot.
 func (s *State) restoreEndpoints(texts []stdjson.RawMessage) error {
 	endpoints, err := decodeEndpoints(BrokenSnapshot, "list", texts, rejectDuplicates, nil)
 	if err != nil {
@@ -46,19 +46,19 @@
 	}
 	s.endpoints, s.bytes = s.withChanged(endpoints)
 	if terminated := len(endpoints) - len(s.endpoints); terminated > 0 {
-		return BrokenSnapshot.New("list", "%d of its %d entries are terminated", terminated, len(endpoints))
+		return BrokenSnapshot.New("list", "%d of %d entries are terminated", terminated, len(endpoints))
 	}
 	if len(endpoints) > maxEndpoints || s.bytes > maxBytes {
-		return BrokenSnapshot.New("list", "it has %d entries of %d bytes, %d of %d at most", len(endpoints), s.bytes, maxEndpoints,
-			maxBytes)
+		return BrokenSnapshot.New("list", "it has %d entries in %d bytes; the limits are %d entries and %d bytes", len(endpoints),
+			s.bytes, maxEndpoints, maxBytes)
 	}
 	if len(endpoints) > 0 && s.number == 0 {
-		return BrokenSnapshot.New("list", "it has %d entries and no number", len(endpoints))
+		return BrokenSnapshot.New("list", "it has %d entries, but its number is 0", len(endpoints))
 	}
 	return nil
 }
 
-// restoreChanges sets the retained changes of a decoded snapshot, which end with the one that made the list.
+// restoreChanges sets the retained changes of a decoded snapshot. The last of them led to the current list.
 func (s *State) restoreChanges(changes []appliedChange) error {
 	for i, c := range changes {
 		changed, err := decodeEndpoints(BrokenSnapshot, fmt.Sprintf("change %d", c.Number), c.Entries, rejectDuplicates, nil)
@@ -66,17 +66,17 @@
 			return err
 		}
 		if c.Number == 0 || c.Number != s.number+uint64(i+1)-uint64(len(changes)) {
-			return BrokenSnapshot.New("changes", "change %d is out of order before list %d", c.Number, s.number)
+			return BrokenSnapshot.New("changes", "change %d is out of sequence; the current list is number %d", c.Number, s.number)
 		}
 		if len(changed) == 0 {
 			return BrokenSnapshot.New("changes", "change %d has no entries", c.Number)
 		}
-		s.changes = append(s.changes, appliedChange{Number: c.Number, Entries: textsOf(changed)})
+		s.changes = append(s.changes, appliedChange{Number: c.Number, Entries: entryTexts(changed)})
 		s.retainedBytes += s.changes[i].size()
 	}
 	if len(s.changes) > maxRetainedChanges || s.retainedBytes > maxRetainedBytes {
-		return BrokenSnapshot.New("changes", "there are %d of %d bytes, %d of %d at most", len(s.changes), s.retainedBytes,
-			maxRetainedChanges, maxRetainedBytes)
+		return BrokenSnapshot.New("changes", "%d changes in %d bytes are retained; the limits are %d changes and %d bytes",
+			len(s.changes), s.retainedBytes, maxRetainedChanges, maxRetainedBytes)
 	}
 	return nil
 }
--- a/internal/endpointlist/state.go
+++ b/internal/endpointlist/state.go
@@ -8,35 +8,36 @@
 	"slices"
 )
 
-// Limits of a State, so that its memory is bounded and a change of all endpoints fits into one command.
+// Limits of a State. They bound its memory, and a change of all endpoints fits into one command.
 const (
 	maxEndpoints       = 1 << 14
-	maxBytes           = 8 << 20 // of the texts of all endpoints
+	maxBytes           = 8 << 20 // the texts of all endpoints in a list
 	maxRetainedChanges = 256
-	maxRetainedBytes   = 1 << 20 // bytes of the retained changes
+	maxRetainedBytes   = 1 << 20 // the texts of all retained changes
 )
 
-// State is the agreed list and its latest changes. Slices that it holds are never changed in place, so a View is a shallow
-// copy.
+// State holds the committed list and the latest changes to it. Its slices are never modified in place, so View can return a
+// shallow copy.
 type State struct {
-	number        uint64          // of the list; 0: there is none yet
-	endpoints     []endpoint      // by id
-	bytes         int             // of their texts
-	changes       []appliedChange // the retained ones, oldest first
-	retainedBytes int             // of their texts
+	number        uint64          // number of the list; 0: no list yet
+	endpoints     []endpoint      // sorted by id
+	bytes         int             // total size of the endpoints' texts
+	changes       []appliedChange // retained changes, oldest first
+	retainedBytes int             // total size of the retained changes' texts
 
-	// decoded are the texts of what NextChange has decoded last, and of the list. Only the State's own methods use it, not Views.
-	decoded decodedTexts
+	// cache contains the committed list and the entries that NextChange decoded last. It is nil in a View, because NextChange
+	// modifies it and any goroutine may read a View.
+	cache decodeCache
 }
 
-// appliedChange is a change that made the list of a number from the one before. The retained ones have successive numbers;
-// the last one made the current list. Its JSON form is part of a snapshot.
+// appliedChange is a change after it was applied. Retained changes have consecutive numbers; the last one led to the current
+// list. Its JSON form is part of a snapshot.
 type appliedChange struct {
-	Number  uint64               `json:"number"`
+	Number  uint64               `json:"number"` // number of the list after the change
 	Entries []stdjson.RawMessage `json:"entries"`
 }
 
-// size returns the size of the change's texts in bytes.
+// size returns the total size of the change's entries in bytes.
 func (c appliedChange) size() (bytes int) {
 	for _, text := range c.Entries {
 		bytes += len(text)
@@ -44,26 +45,26 @@
 	return bytes
 }
 
-// NewState makes a State that has no list yet.
+// NewState returns a State without a list.
 func NewState() *State { return &State{} }
 
-// View returns an unchanging copy of the State, which any goroutine may read.
+// View returns an immutable copy of the State, which any goroutine may read.
 func (s *State) View() *State {
 	view := *s
-	view.decoded = nil
+	view.cache = nil
 	return &view
 }
 
-// Number returns the number of the agreed list, which each applied change increments; 0: there is none yet.
+// Number returns the number of the committed list, which each applied change increments. It is 0 before the first list.
 func (s *State) Number() uint64 { return s.number }
 
-// Apply applies a committed change. It fails with StaleChange or BadChange and then changes nothing.
+// Apply applies a committed change. On an error, StaleChange or BadChange, it leaves the state unchanged.
 func (s *State) Apply(c Change) error {
 	place := fmt.Sprintf("list %d", s.number+1)
 	if c.Base != s.number {
-		return StaleChange.New(place, "the change is based on list %d, and the current one is list %d", c.Base, s.number)
+		return StaleChange.New(place, "the change is based on list %d, but the current list is %d", c.Base, s.number)
 	}
-	changed, err := decodeEndpoints(BadChange, place, c.Entries, rejectDuplicates, s.decoded)
+	changed, err := decodeEndpoints(BadChange, place, c.Entries, rejectDuplicates, s.cache)
 	if err != nil {
 		return err
 	}
@@ -72,14 +73,14 @@
 	}
 	list, size := s.withChanged(changed)
 	if len(list) > maxEndpoints || size > maxBytes {
-		return BadChange.New(place, "the list has %d entries of %d bytes with the change, %d of %d at most", len(list), size,
-			maxEndpoints, maxBytes)
+		return BadChange.New(place, "the change leads to %d entries in %d bytes; the limits are %d entries and %d bytes",
+			len(list), size, maxEndpoints, maxBytes)
 	}
 	s.number++
 	s.endpoints = list
 	s.bytes = size
-	applied := appliedChange{Number: s.number, Entries: textsOf(changed)}
-	s.changes = append(slices.Clip(s.changes), applied) // in a new array: a View may have the old one
+	applied := appliedChange{Number: s.number, Entries: entryTexts(changed)}
+	s.changes = append(slices.Clip(s.changes), applied) // Clip forces a new array, because a View may share the old one
 	s.retainedBytes += applied.size()
 	for len(s.changes) > maxRetainedChanges || s.retainedBytes > maxRetainedBytes {
 		s.retainedBytes -= s.changes[0].size()
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// withChanged returns the list with changed endpoints, without those that are Terminated, and the size of its texts in bytes.
-// Both lists are sorted by id.
+// withChanged returns the list after the changed endpoints are inserted, replaced or (Terminated) removed, and the total size
+// of its texts in bytes. The given and the returned list are sorted by id.
 func (s *State) withChanged(changed []endpoint) (list []endpoint, size int) {
 	size = s.bytes
 	list = make([]endpoint, 0, len(s.endpoints)+len(changed))
@@ -110,33 +111,33 @@
 	return append(list, s.endpoints[i:]...), size
 }
 
-// NextChange returns the change that brings the agreed list up to date with what discovery sent: its whole list, or updates of
-// some endpoints, of which one may occur several times. ok is false where nothing changes. It fails with BadList where an
-// entry cannot be decoded, where the whole list has an id twice, and where it is empty and the agreed list is not, since
-// that is more likely a fault of discovery than a fleet without endpoints.
-func (s *State) NextChange(received []stdjson.RawMessage, whole bool) (c Change, ok bool, err error) {
+// NextChange returns the change from the committed list to what discovery sent: its full list, or updates of some endpoints,
+// in which an endpoint may occur several times. ok is false if nothing changes. NextChange returns BadList if an entry cannot
+// be decoded, a full list contains an id twice, or the list would exceed its limits. It also returns BadList if the full list
+// is empty and the committed list is not, because that is more likely a fault of discovery than a fleet without endpoints.
+func (s *State) NextChange(received []stdjson.RawMessage, full bool) (c Change, ok bool, err error) {
 	const place = "discovery's list"
 	duplicates := keepLastDuplicate
-	if whole {
+	if full {
 		duplicates = rejectDuplicates
 	}
-	if s.decoded == nil {
-		s.decoded = newDecodedTexts(s.endpoints)
+	if s.cache == nil {
+		s.cache = newDecodeCache(s.endpoints)
 	}
-	endpoints, err := decodeEndpoints(BadList, place, received, duplicates, s.decoded)
+	endpoints, err := decodeEndpoints(BadList, place, received, duplicates, s.cache)
 	if err != nil {
 		return c, false, err
 	}
-	if whole || len(s.decoded)+len(endpoints) > maxDecoded {
-		s.decoded = newDecodedTexts(slices.Concat(s.endpoints, endpoints))
+	if full || len(s.cache)+len(endpoints) > maxDecoded {
+		s.cache = newDecodeCache(slices.Concat(s.endpoints, endpoints))
 	} else {
-		maps.Copy(s.decoded, newDecodedTexts(endpoints))
+		maps.Copy(s.cache, newDecodeCache(endpoints))
 	}
 	changed := s.differing(endpoints)
-	if whole {
+	if full {
 		hasEndpoint := slices.ContainsFunc(endpoints, func(e endpoint) bool { return e.Lifecycle != Terminated })
 		if len(s.endpoints) > 0 && !hasEndpoint {
-			return c, false, BadList.New(place, "it has no endpoints, and the agreed list has %d", len(s.endpoints))
+			return c, false, BadList.New(place, "it is empty, but the committed list has %d endpoints", len(s.endpoints))
 		}
 		changed = append(changed, s.missing(endpoints)...)
 		slices.SortFunc(changed, byID)
@@ -145,13 +146,13 @@
 		return c, false, nil
 	}
 	if list, size := s.withChanged(changed); len(list) > maxEndpoints || size > maxBytes {
-		return c, false, BadList.New(place, "it makes a list of %d entries of %d bytes, %d of %d at most", len(list), size,
-			maxEndpoints, maxBytes)
+		return c, false, BadList.New(place, "it leads to %d entries in %d bytes; the limits are %d entries and %d bytes", len(list),
+			size, maxEndpoints, maxBytes)
 	}
-	return Change{Base: s.number, Entries: textsOf(changed)}, true, nil
+	return Change{Base: s.number, Entries: entryTexts(changed)}, true, nil
 }
 
-// differing returns those of received endpoints, sorted by id, that are new or differ from the agreed ones.
+// differing returns the received endpoints, sorted by id, that are new or differ from the committed list.
 func (s *State) differing(received []endpoint) (changed []endpoint) {
 	for _, e := range received {
 		i, known := findByID(s.endpoints, e.ID)
@@ -163,25 +164,25 @@
 	return changed
 }
 
-// missing returns the agreed endpoints that a whole list, sorted by id, does not have, as terminated.
-func (s *State) missing(whole []endpoint) (removed []endpoint) {
+// missing returns the committed endpoints that are not in a full list, sorted by id, with the lifecycle Terminated.
+func (s *State) missing(full []endpoint) (removed []endpoint) {
 	for _, e := range s.endpoints {
-		if _, listed := findByID(whole, e.ID); !listed {
+		if _, listed := findByID(full, e.ID); !listed {
 			removed = append(removed, e.asTerminated())
 		}
 	}
 	return removed
 }
 
-// AddCommittedEntries extends a change by the agreed texts of further ids, and bases it on the current list. It is for removals that
-// were sent to readers early (EarlyRemovals) and that discovery took back before they were committed: readers must receive the
-// agreed state again. A change that cannot be decoded is returned as it is; Apply rejects it.
+// AddCommittedEntries extends a change with the committed entries of the given ids, and bases it on the current list. It undoes
+// removals that were sent to watchers early (EarlyRemovals) but that discovery reverted before they were committed: those
+// watchers must receive the committed entries again. A change that cannot be decoded is returned unchanged; Apply rejects it.
 func (s *State) AddCommittedEntries(c Change, ids []string) Change {
-	changed, err := decodeEndpoints(BadChange, "change", c.Entries, rejectDuplicates, s.decoded)
+	changed, err := decodeEndpoints(BadChange, "change", c.Entries, rejectDuplicates, s.cache)
 	if err != nil {
 		return c
 	}
-	decoded := changed // by id
+	decoded := changed // sorted by id
 	for _, id := range ids {
 		_, included := findByID(decoded, id)
 		if i, ok := findByID(s.endpoints, id); ok && !included {
@@ -189,5 +190,5 @@
 		}
 	}
 	slices.SortFunc(changed, byID)
-	return Change{Base: s.number, Entries: textsOf(changed)}
+	return Change{Base: s.number, Entries: entryTexts(changed)}
 }
--- a/internal/endpointlist/updates.go
+++ b/internal/endpointlist/updates.go
@@ -2,18 +2,18 @@
 
 import stdjson "encoding/json"
 
-// EarlyRemovals returns the part of a change that proxies act on before it is committed: its drains and removals, as an update
-// that keeps the agreed list's number. Additions take effect with the committed list only. ok is false where there are
-// none.
-func (s *State) EarlyRemovals(c Change) (o Update, ok bool) {
-	o = Update{Generation: s.number}
+// EarlyRemovals returns the drains and removals of a change, on which proxies act before the change is committed, as an
+// update with the number of the committed list. Additions take effect only when they are committed. ok is false if the
+// change contains no drain or removal.
+func (s *State) EarlyRemovals(c Change) (update Update, ok bool) {
+	update = Update{Generation: s.number}
 	for _, e := range s.earlyRemovals(c) {
-		o.Instances = append(o.Instances, e.Text)
+		update.Instances = append(update.Instances, e.Text)
 	}
-	return o, len(o.Instances) > 0
+	return update, len(update.Instances) > 0
 }
 
-// EarlyEntries returns the texts of the endpoints in EarlyRemovals, by id.
+// EarlyEntries returns the entries of EarlyRemovals, by id.
 func (s *State) EarlyEntries(c Change) map[string]stdjson.RawMessage {
 	texts := map[string]stdjson.RawMessage{}
 	for _, e := range s.earlyRemovals(c) {
@@ -22,10 +22,10 @@
 	return texts
 }
 
-// earlyRemovals returns the endpoints of EarlyRemovals. A change that Apply would reject has none: neither one that cannot be
-// decoded nor one that is based on another list.
+// earlyRemovals returns the endpoints of EarlyRemovals. It returns none for a change that cannot be decoded or is based on
+// another list, because Apply would reject that change.
 func (s *State) earlyRemovals(c Change) (removals []endpoint) {
-	changed, err := decodeEndpoints(BadChange, "change", c.Entries, rejectDuplicates, s.decoded)
+	changed, err := decodeEndpoints(BadChange, "change", c.Entries, rejectDuplicates, s.cache)
 	if err != nil || c.Base != s.number {
 		return nil
 	}
@@ -38,14 +38,15 @@
 	return removals
 }
 
-// UpdatesSince brings a reader of the list of that number up to date: the changes since, in order, or the whole list where
-// those are not retained any more or the number is not one of this State's. There are none where the reader is up to date.
+// UpdatesSince returns the updates that a watcher needs after the list with the given number: the later changes in order, or
+// the full list if those changes are no longer retained or this State never had that list. It returns none if the number is
+// the current one.
 func (s *State) UpdatesSince(number uint64) (updates []Update) {
 	if number == s.number {
 		return nil
 	}
-	isOfThisState := number > 0 && number < s.number
-	if !isOfThisState || len(s.changes) == 0 || number+1 < s.changes[0].Number {
+	isEarlierList := number > 0 && number < s.number
+	if !isEarlierList || len(s.changes) == 0 || number+1 < s.changes[0].Number {
 		return []Update{s.FullUpdate()}
 	}
 	next := number + 1 - s.changes[0].Number
@@ -55,7 +56,7 @@
 	return updates
 }
 
-// FullUpdate returns the whole list as one update.
+// FullUpdate returns the full list as one update.
 func (s *State) FullUpdate() Update {
-	return Update{Generation: s.number, Reset: true, Instances: textsOf(s.endpoints)}
+	return Update{Generation: s.number, Reset: true, Instances: entryTexts(s.endpoints)}
 }
