--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,9 +1,9 @@
-// Package controlclient is a proxy's client of the control plane: it renews the proxy's lease and fetches versions of the
-// configuration, over HTTP/1.1 on the proxy's event loop. It makes no decisions: fleetconfig.LeaseClient says which request
-// is due and what an answer means.
+// Package controlclient is a proxy's client of the control plane. It renews the proxy's lease and fetches versions of the
+// configuration, over HTTP/1.1 on the proxy's event loop. It makes no decisions: fleetconfig.LeaseClient determines which
+// request is due and how to handle its response.
 //
-// Each request is sent to one replica and ends in exactly one callback, unless a later request of its kind replaces it.
-// Retries are the caller's.
+// Each request is sent to one replica and ends in exactly one callback, unless a later request of its kind replaces it. The
+// caller is responsible for retries.
 package controlclient
 
 import (
@@ -24,30 +24,29 @@
 )
 
 const (
-	maxLeaseBytes = 64 << 10 // of the answer to a renewal
-	maxErrorBytes = 8 << 10  // of an error's body
+	maxLeaseBytes = 64 << 10 // limit on the body of a lease
+	maxErrorBytes = 8 << 10  // limit on the body of an error response
 
-	// A version may take long to arrive: up to fetchTimeout in all, but not fetchIdleTimeout without a byte.
-	fetchIdleTimeout = 2 * time.Second
-	fetchTimeout     = time.Minute
+	fetchIdleTimeout = 2 * time.Second // the longest time without a byte of the response
+	fetchTimeout     = time.Minute     // for the complete response, which may be large
 )
 
-// Client sends requests to the replicas of the control plane. Its methods are for the event loop's goroutine, and so are
-// the callbacks, which come in a later turn.
+// Client sends requests to the replicas of the control plane. Its methods must be called on the event loop's goroutine, which
+// also calls the callbacks, in a later turn of the loop.
 //
-// Renewals share a persistent connection: a fleet of 300 proxies renews 600 times a second, and setting up a connection costs
-// a replica more than the answer does. The connection is closed with the first renewal that has no valid answer in time.
-// A version comes over a connection of its own, so that it delays no renewal.
+// Renewals share a persistent connection: a fleet of 300 proxies sends 600 renewals a second, and a connection setup costs a
+// replica more than the response does. Client closes the connection after the first renewal without a valid response in time.
+// It fetches a version over a separate connection, so that a fetch delays no renewal.
 type Client struct {
-	loop       *evloop.Loop
-	replicas   []string    // addresses
-	lastResponsive   int         // index of the replica that answered last
-	renewalConn   *connection // nil before the first renewal
-	versionConn *connection // nil before the first fetch
+	loop           *evloop.Loop
+	replicas       []string    // addresses of the replicas
+	lastResponsive int         // index of the replica that last granted a lease
+	renewalConn    *connection // nil before the first renewal
+	versionConn    *connection // nil before the first fetch
 }
 
-// New makes a client of the replicas at numeric addresses, of which there is at least one. The first replica to be asked
-// is chosen by the node's name, so that a fleet spreads over them.
+// New returns a client of the replicas at the given numeric addresses, of which there must be at least one. A hash of the
+// node's name selects the first replica, so that the proxies of a fleet are spread over the replicas.
 func New(loop *evloop.Loop, replicas []string, node string) *Client {
 	client := &Client{loop: loop}
 	client.SetReplicas(replicas)
@@ -55,7 +54,7 @@
 	return client
 }
 
-// SetReplicas changes the replicas' addresses for the requests that follow.
+// SetReplicas changes the replicas' addresses for subsequent requests.
 func (c *Client) SetReplicas(replicas []string) {
 	if !slices.Equal(c.replicas, replicas) {
 		c.replicas = slices.Clone(replicas)
@@ -63,13 +62,12 @@
 	}
 }
 
-// ReplicaCount returns the number of replicas.
 func (c *Client) ReplicaCount() int { return len(c.replicas) }
 
-// Renew requests a lease from the replica that answered last, or after a number of failures in a row from the one that many
-// places further. It replaces a renewal in progress, whose callback is not called. The callback gets a time of the loop's
-// clock that is not later than the sending, from which the lease counts. An answer that does not arrive within the timeout,
-// or is not for this renewal, is an error.
+// Renew requests a lease from the replica that last granted one. After successive failures it skips as many replicas, in the
+// order of their addresses. It replaces a renewal in flight, whose callback is not called. The callback receives the lease and
+// the time on the loop's clock from which the lease counts, which is not later than the sending of the request. The callback
+// receives an error if no response arrives within the timeout or the response is for another renewal.
 func (c *Client) Renew(
 	renewal fleetconfig.Renewal, failures int, timeout time.Duration,
 	done func(lease fleetconfig.Lease, sent time.Duration, err error),
@@ -81,7 +79,7 @@
 		c.loop.After(0, func() { done(fleetconfig.Lease{}, 0, InvalidResponse.Wrap(place(addr, renewPath), err)) })
 		return
 	}
-	handleAnswer := func(body []byte, sent time.Duration, err error) {
+	handleResponse := func(body []byte, sent time.Duration, err error) {
 		var lease fleetconfig.Lease
 		if err == nil {
 			lease, err = decodeLease(body, renewal, addr)
@@ -100,14 +98,17 @@
 		text:     text,
 		maxBytes: maxLeaseBytes,
 		deadline: c.loop.Now() + timeout,
-		done:     handleAnswer,
+		done:     handleResponse,
 	})
 }
 
-// replicaAfter is the index of the replica to ask after a number of failures in a row.
-func (c *Client) replicaAfter(failures int) int { return (c.lastResponsive + failures) % len(c.replicas) }
+// replicaAfter returns the index of the replica for the next request after a number of successive failures.
+func (c *Client) replicaAfter(failures int) int {
+	return (c.lastResponsive + failures) % len(c.replicas)
+}
 
-// prepareRenewalConn makes c.renewals a connection to a replica without a request in flight. One that cannot be used is closed.
+// prepareRenewalConn sets c.renewalConn to a connection to the replica at addr that has no request in flight. It closes the
+// current connection if that cannot be used.
 func (c *Client) prepareRenewalConn(addr string) {
 	current := c.renewalConn
 	if current != nil && current.addr == addr && current.request == nil && !current.closed {
@@ -119,7 +120,7 @@
 	c.renewalConn = &connection{client: c, addr: addr, persistent: true}
 }
 
-// renewRequestText is the whole HTTP request of a renewal.
+// renewRequestText returns the complete HTTP request of a renewal.
 func renewRequestText(addr string, renewal fleetconfig.Renewal) ([]byte, error) {
 	body, err := json.Marshal(renewal)
 	if err != nil {
@@ -129,7 +130,7 @@
 	return append(fmt.Appendf(nil, head, renewPath, addr, len(body)), body...), nil
 }
 
-// decodeLease decodes the answer to a renewal. A lease for another renewal is an error.
+// decodeLease decodes the response to a renewal. It returns InvalidResponse for a lease of another renewal.
 func decodeLease(body []byte, renewal fleetconfig.Renewal, addr string) (fleetconfig.Lease, error) {
 	var lease fleetconfig.Lease
 	if err := json.Unmarshal(body, &lease); err != nil {
@@ -137,14 +138,14 @@
 	}
 	if lease.Node != renewal.Node || lease.Incarnation != renewal.Incarnation || lease.Seq != renewal.Seq {
 		return lease, InvalidResponse.New(place(addr, renewPath),
-			"the answer is for renewal %d of node %q, incarnation %d, and not for renewal %d of node %q, incarnation %d",
+			"the response is for renewal %d of node %q, incarnation %d; the request was renewal %d of node %q, incarnation %d",
 			lease.Seq, lease.Node, lease.Incarnation, renewal.Seq, renewal.Node, renewal.Incarnation)
 	}
 	return lease, nil
 }
 
-// FetchVersion requests a version, of at most maxBytes, from the replica that Renew would choose after as many failures. It replaces
-// a fetch in progress, whose callback is not called. The callback gets the version's JSON text.
+// FetchVersion requests a version, of at most maxBytes, from the replica that Renew would select after as many failures. It
+// replaces a fetch in flight, whose callback is not called. The callback receives the version's JSON text.
 func (c *Client) FetchVersion(number uint64, failures int, maxBytes int64, done func(text []byte, err error)) {
 	addr := c.replicas[c.replicaAfter(failures)]
 	path := versionPath + strconv.FormatUint(number, 10)
@@ -162,6 +163,6 @@
 	})
 }
 
-// place names a replica and a path in errors. A proxy logs it and may report it in a renewal, where replicas are known by
-// this older name.
+// place returns the place of an error: a replica and a path. A proxy logs it and may report it in a renewal, so it keeps
+// the older name of a replica, keeper.
 func place(addr, path string) string { return "keeper " + addr + " " + path }
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -21,7 +21,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// receivedRequest is a request as a scripted replica receives it, and its connection.
+// receivedRequest is a request that a scripted replica received, with its connection.
 type receivedRequest struct {
 	*http.Request
 	body []byte
@@ -30,12 +30,12 @@
 
 func (r receivedRequest) write(text string) { _, _ = io.WriteString(r.conn, text) }
 
-// respond sends a complete respond of status 200.
+// respond sends a complete response with status 200.
 func (r receivedRequest) respond(body string) {
 	r.write(fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
-// startReplica listens as a scripted replica, and sends the requests of all its connections on the channel.
+// startReplica starts a scripted replica. It sends the requests of all its connections on the channel.
 func startReplica(t *testing.T) (addr string, requests chan receivedRequest) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +70,7 @@
 	return l.Addr().String(), requests
 }
 
-// result is what a callback was given.
+// result holds the arguments of a callback.
 type result struct {
 	lease     fleetconfig.Lease
 	text      []byte
@@ -80,9 +80,9 @@
 
 // harness runs a client on an event loop.
 type harness struct {
-	t        *testing.T
-	loop     *evloop.Loop
-	client   *Client
+	t       *testing.T
+	loop    *evloop.Loop
+	client  *Client
 	results chan result
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// testTimeout is for what is expected to happen; nothing waits for its end.
+// testTimeout bounds the waiting for expected events. No passing test waits this long.
 const testTimeout = time.Minute
 
 func (h *harness) renew(seq uint64, failures int, timeout time.Duration) {
@@ -132,12 +132,13 @@
 	})
 }
 
-// leaseJSON is the answer to a renewal.
+// leaseJSON returns the body of the response to a renewal.
 func leaseJSON(seq uint64) string {
 	return fmt.Sprintf(`{"node":"n0","incarnation":7,"seq":%d,"active":5}`, seq)
 }
 
-// Renewals share a connection. That the replica closes it in between is no failure; without an answer in time it is closed.
+// TestRenewalsShareAConnection checks that renewals share a connection, that a renewal after the replica has closed it succeeds
+// over a new one, and that the client closes a connection after a renewal without a response in time.
 func TestRenewalsShareAConnection(t *testing.T) {
 	addr, requests := startReplica(t)
 	h := newHarness(t, addr)
@@ -151,14 +152,14 @@
 		if err := json.Unmarshal(req.body, &got); err != nil || req.Method != "POST" || req.URL.Path != "/v1/renew" {
 			t.Errorf("%s %s %s: %v", req.Method, req.URL, req.body, err)
 		}
-		testkit.Equal(t, "asked", fleetconfig.Renewal{Node: "n0", Incarnation: 7, Seq: seq}, got)
+		testkit.Equal(t, "renewal", fleetconfig.Renewal{Node: "n0", Incarnation: 7, Seq: seq}, got)
 		arrived := make(chan time.Duration, 1)
-		h.onLoop(func() { arrived <- h.loop.Now() }) // after the request was received
+		h.onLoop(func() { arrived <- h.loop.Now() }) // a loop time after the request was received
 		end := fakes.Await(t, arrived)
 		req.respond(leaseJSON(seq))
 		out := fakes.Await(t, h.results)
 		if out.err != nil || out.lease.ActiveVersion != 5 || out.sent < fakes.Await(t, before) || out.sent > end {
-			t.Errorf("%+v, arrived by %v", out, end)
+			t.Errorf("result %+v; the request arrived before %v", out, end)
 		}
 		addrs = append(addrs, req.conn.RemoteAddr().String())
 		if seq == 1 {
@@ -166,7 +167,7 @@
 		}
 	}
 	if addrs[0] != addrs[1] || addrs[1] == addrs[2] {
-		t.Errorf("connections %v", addrs)
+		t.Errorf("client addresses of the renewals: %v, want two equal ones and another one", addrs)
 	}
 	h.renew(9, 0, 50*time.Millisecond)
 	unanswered := fakes.Await(t, requests)
@@ -174,17 +175,18 @@
 		t.Errorf("error %v", out.err)
 	}
 	if _, err := unanswered.conn.Read(make([]byte, 1)); err == nil {
-		t.Error("the connection without an answer is still open")
+		t.Error("the connection without a response is still open")
 	}
 	h.renew(10, 0, testTimeout)
 	req := fakes.Await(t, requests)
-	unanswered.respond(leaseJSON(9)) // too late: it is ignored
+	unanswered.respond(leaseJSON(9)) // ignored, because it is late
 	req.respond(leaseJSON(10))
-	testkit.Equal(t, "answered", uint64(10), fakes.Await(t, h.results).lease.Seq)
+	testkit.Equal(t, "sequence number", uint64(10), fakes.Await(t, h.results).lease.Seq)
 }
 
-// A renewal on a connection that was just closed is sent once more, and the time that counts is that of the second sending.
-func TestRenewalMeetsClosedConnection(t *testing.T) {
+// TestRenewalIsResentOnceAfterConnectionClose checks that a renewal on a connection that the replica closes is sent again over a
+// new connection, that the callback receives the time of the second sending, and that a second close is an error.
+func TestRenewalIsResentOnceAfterConnectionClose(t *testing.T) {
 	addr, requests := startReplica(t)
 	h := newHarness(t, addr)
 	h.renew(1, 0, testTimeout)
@@ -197,18 +199,19 @@
 	h.onLoop(func() { after <- h.loop.Now() })
 	req.respond(leaseJSON(2))
 	if out := fakes.Await(t, h.results); out.err != nil || out.sent > fakes.Await(t, after) {
-		t.Errorf("%+v", out)
+		t.Errorf("result %+v", out)
 	}
 	h.renew(3, 0, testTimeout)
 	fakes.Await(t, requests).conn.Close()
-	fakes.Await(t, requests).conn.Close() // a new connection: that is the replica's failure
+	fakes.Await(t, requests).conn.Close() // the new connection, so the renewal fails
 	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) {
 		t.Errorf("error %v", out.err)
 	}
 }
 
-// Retries go round the replicas, from the one that answered last. A replica that cannot be reached is an error at once.
-func TestReplicasInTurn(t *testing.T) {
+// TestRetriesRotateReplicas checks that retries try the replicas in turn, starting from the last one that granted a lease, and
+// that a replica that cannot be reached is an error immediately.
+func TestRetriesRotateReplicas(t *testing.T) {
 	first, requests := startReplica(t)
 	second, others := startReplica(t)
 	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -223,7 +226,7 @@
 	}
 	h.renew(2, 2, testTimeout)
 	fakes.Await(t, others).respond(leaseJSON(2))
-	testkit.Equal(t, "second", error(nil), fakes.Await(t, h.results).err)
+	testkit.Equal(t, "error of the renewal at the third replica", error(nil), fakes.Await(t, h.results).err)
 	h.renew(3, 0, testTimeout)
 	fakes.Await(t, others).respond(leaseJSON(3))
 	fakes.Await(t, h.results)
@@ -233,33 +236,34 @@
 	h.onLoop(func() { h.client.SetReplicas([]string{second}) })
 	h.renew(5, 7, testTimeout)
 	fakes.Await(t, others).respond(leaseJSON(5))
-	testkit.Equal(t, "moved", uint64(5), fakes.Await(t, h.results).lease.Seq)
+	testkit.Equal(t, "sequence number after SetReplicas", uint64(5), fakes.Await(t, h.results).lease.Seq)
 }
 
-// Every invalid answer is one error of its kind, with the place, and closes the connection.
-func TestInvalidAnswers(t *testing.T) {
+// TestInvalidResponses checks the kind, the place and the cause of the error for each invalid response, and that the client
+// closes the connection.
+func TestInvalidResponses(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: "
 	for name, test := range map[string]struct {
-		answer   string
+		response string
 		kind     *apperror.Kind
 		contains string
 	}{
-		"no HTTP":           {"SSH-2.0\r\n\r\n", InvalidResponse, "status line"},
-		"no JSON":           {head + "3\r\n\r\n{{{", InvalidResponse, "invalid"},
-		"another renewal":   {head + fmt.Sprint(len(leaseJSON(8))) + "\r\n\r\n" + leaseJSON(8), InvalidResponse, "renewal 8"},
-		"another node":      {head + "29\r\n\r\n" + `{"node":"n1","incarnation":7}`, InvalidResponse, `"n1"`},
-		"too long":          {head + "70000\r\n\r\n", ResponseTooLarge, "70000"},
-		"too long a chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n", InvalidResponse, "chunk"},
-		"an error":          {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", Rejected, "503"},
-		"an error response": {"HTTP/1.1 503 x\r\nContent-Length: 63\r\n\r\n" + `{"kind":"q/none","place":"k2","cause":"nobody","remedy":"wait"}`, Rejected, "q/none: k2: nobody (wait)"},
-		"a long error":      {"HTTP/1.1 500 x\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000), ResponseTooLarge, "too long"},
+		"not HTTP":        {"SSH-2.0\r\n\r\n", InvalidResponse, "status line"},
+		"invalid JSON":    {head + "3\r\n\r\n{{{", InvalidResponse, "invalid"},
+		"another renewal": {head + fmt.Sprint(len(leaseJSON(8))) + "\r\n\r\n" + leaseJSON(8), InvalidResponse, "renewal 8"},
+		"another node":    {head + "29\r\n\r\n" + `{"node":"n1","incarnation":7}`, InvalidResponse, `"n1"`},
+		"too long":        {head + "70000\r\n\r\n", ResponseTooLarge, "70000"},
+		"chunk too long":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n", InvalidResponse, "chunk"},
+		"error status":    {"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", Rejected, "503"},
+		"error response":  {"HTTP/1.1 503 x\r\nContent-Length: 63\r\n\r\n" + `{"kind":"q/none","place":"k2","cause":"nobody","remedy":"wait"}`, Rejected, "q/none: k2: nobody (wait)"},
+		"long error":      {"HTTP/1.1 500 x\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000), ResponseTooLarge, "too long"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, requests := startReplica(t)
 			h := newHarness(t, addr)
 			h.renew(1, 0, testTimeout)
 			req := fakes.Await(t, requests)
-			req.write(test.answer)
+			req.write(test.response)
 			out := fakes.Await(t, h.results)
 			var typed *apperror.Error
 			if !test.kind.Of(out.err) || !strings.Contains(out.err.Error(), test.contains) || !errors.As(out.err, &typed) ||
@@ -273,21 +277,22 @@
 	}
 }
 
-// A version arrives complete, with any of the framings of HTTP, and beside renewals; a longer one is refused.
-func TestFetch(t *testing.T) {
+// TestFetchVersion checks that a version arrives complete with each framing of HTTP bodies, that a renewal succeeds during the
+// fetch, that the client does not retain the version's text, and that a version above the limit or cut short is an error.
+func TestFetchVersion(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 1<<16)
 	addr, requests := startReplica(t)
 	h := newHarness(t, addr)
-	for name, answer := range map[string]func(receivedRequest){
-		"by length": func(req receivedRequest) { req.respond(body) },
-		"in chunks": func(req receivedRequest) {
+	for name, respond := range map[string]func(receivedRequest){
+		"content length": func(req receivedRequest) { req.respond(body) },
+		"chunked": func(req receivedRequest) {
 			req.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for at := 0; at < len(body); at += 1 << 17 {
 				req.write(fmt.Sprintf("%x\r\n%s\r\n", 1<<17, body[at:at+1<<17]))
 			}
 			req.write("0\r\n\r\n")
 		},
-		"until the end": func(req receivedRequest) {
+		"until the connection ends": func(req receivedRequest) {
 			req.write("HTTP/1.0 200 OK\r\n\r\n" + body)
 			req.conn.Close()
 		},
@@ -298,29 +303,29 @@
 		h.renew(1, 0, testTimeout)
 		fakes.Await(t, requests).respond(leaseJSON(1))
 		if out := fakes.Await(t, h.results); out.err != nil || out.lease.Seq != 1 {
-			t.Errorf("%s: a renewal beside it: %+v", name, out)
+			t.Errorf("%s: renewal during the fetch: %+v", name, out)
 		}
-		answer(req)
+		respond(req)
 		if out := fakes.Await(t, h.results); out.err != nil || string(out.text) != body {
 			t.Errorf("%s: %d bytes, error %v", name, len(out.text), out.err)
 		}
 		h.fetch(int64(len(body)) - 1)
-		answer(fakes.Await(t, requests))
+		respond(fakes.Await(t, requests))
 		if out := fakes.Await(t, h.results); !ResponseTooLarge.Of(out.err) {
-			t.Errorf("%s: one byte too many: error %v", name, out.err)
+			t.Errorf("%s: version one byte above the limit: error %v, want ResponseTooLarge", name, out.err)
 		}
 	}
 	h.fetch(1 << 10)
 	fakes.Await(t, requests).respond(body[:1<<10])
 	text := func() weak.Pointer[byte] { return weak.Make(&fakes.Await(t, h.results).text[0]) }()
 	if runtime.GC(); text.Value() != nil {
-		t.Error("the client keeps a version's text")
+		t.Error("the client retains a version's text")
 	}
 	h.fetch(1 << 10)
 	req := fakes.Await(t, requests)
 	req.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 	req.conn.Close()
 	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) {
-		t.Errorf("half of it: error %v", out.err)
+		t.Errorf("connection closed during the body: error %v, want NoResponse", out.err)
 	}
 }
--- a/internal/controlclient/connection.go
+++ b/internal/controlclient/connection.go
@@ -13,36 +13,36 @@
 // request is a request in flight.
 type request struct {
 	path        string
-	text        []byte        // the whole HTTP request
-	maxBytes    int64         // of the answer's body
+	text        []byte        // the complete HTTP request
+	maxBytes    int64         // limit on the response body
 	deadline    time.Duration // on the loop's clock
-	idleTimeout time.Duration // the longest time without a byte of the answer; 0: the deadline alone counts
+	idleTimeout time.Duration // the longest time without a byte of the response; 0: only the deadline applies
 	done        func(body []byte, sent time.Duration, err error)
 
 	sent     time.Duration // on the loop's clock
-	received bool          // a byte of the answer
+	received bool          // whether a byte of the response has arrived
 	parser   *httpresponse.Parser
-	body     []byte // of the answer, as far as it has arrived
+	body     []byte // the part of the response body that has arrived
 }
 
-// connection is a connection to a replica, with at most one request in flight. It implements evloop.Handler. Its life:
+// connection is a connection to a replica, with at most one request in flight. It implements evloop.Handler. Its life cycle:
 //
-//   - send dials, or writes over the connection that is up.
-//   - finishAnswer ends a request with its answer: a persistent connection then waits for the next request.
-//   - fail ends a request with an error, and the connection with it; close ends both without a callback.
+//   - send dials, or writes the request if the connection is established.
+//   - finishResponse completes a request. A persistent connection then waits for the next request; others are closed.
+//   - fail ends the request with an error and closes the connection; close ends both without a callback.
 type connection struct {
 	client     *Client
 	addr       string
-	persistent bool // stays open after an answer
+	persistent bool // stays open after a response
 	conn       *evloop.Conn
 	connected  bool
 	closed     bool
-	responses    int      // complete answers that came over it
-	request    *request // nil: none is in flight
+	responses  int      // number of complete responses received
+	request    *request // nil: no request is in flight
 	timer      *evloop.Timer
 }
 
-// send sends a request over the connection, which it opens first if needed.
+// send sends a request. It dials first if there is no connection yet.
 func (c *connection) send(r *request) {
 	c.request = r
 	r.parser = httpresponse.NewWithLimit(r.maxBytes, c.appendBody)
@@ -55,14 +55,14 @@
 	}
 	conn, err := c.client.loop.Dial(c.addr, c)
 	if err != nil {
-		// In a later turn, because the caller has not returned yet.
+		// fail calls the callback, which must not happen before send returns.
 		c.client.loop.After(0, func() { c.fail(NoResponse.Wrap(place(c.addr, r.path), err)) })
 		return
 	}
 	c.conn = conn
 }
 
-// startTimer sets the time by which the next byte has to arrive.
+// startTimer restarts the timer that ends the request at its deadline or idle timeout, whichever is first.
 func (c *connection) startTimer() {
 	loop := c.client.loop
 	r := c.request
@@ -72,23 +72,23 @@
 		remaining = min(remaining, r.idleTimeout)
 	}
 	c.timer = loop.After(remaining, func() {
-		c.fail(NoResponse.New(place(c.addr, r.path), "no answer in time, %d bytes of it", len(r.body)))
+		c.fail(NoResponse.New(place(c.addr, r.path), "timeout after %d bytes of the response body", len(r.body)))
 	})
 }
 
 func (c *connection) writeRequest() {
-	c.request.sent = c.client.loop.Now() // the turn's time, which is not later than the write
+	c.request.sent = c.client.loop.Now() // the start of this turn of the loop, which is not later than the write
 	c.conn.Write(c.request.text)
 }
 
-// finishRequest forgets the request and its timer. They would keep a version's text in memory as long as the client exists.
+// finishRequest releases the request and its timer, which would keep a version's text in memory as long as the client exists.
 func (c *connection) finishRequest() {
 	c.client.loop.Cancel(c.timer)
 	c.request = nil
 	c.timer = nil
 }
 
-// close closes the connection. A request in flight gets no callback.
+// close closes the connection. It does not call the callback of a request in flight.
 func (c *connection) close() {
 	c.closed = true
 	c.finishRequest()
@@ -97,7 +97,8 @@
 	}
 }
 
-// fail closes the connection and ends the request in flight with an error.
+// fail closes the connection and passes the error to the callback of the request in flight. Without such a request it does
+// nothing.
 func (c *connection) fail(err error) {
 	if r := c.request; !c.closed && r != nil {
 		c.close()
@@ -116,7 +117,7 @@
 // Data implements evloop.Handler.
 func (c *connection) Data(b []byte) {
 	r := c.request
-	if r == nil { // nothing was requested
+	if r == nil { // unsolicited data
 		c.close()
 		return
 	}
@@ -136,7 +137,7 @@
 	}
 }
 
-// appendBody takes bytes of the answer's body from the parser.
+// appendBody appends bytes that the parser extracted to the response body. It returns httpresponse.ErrTooLong above the limit.
 func (c *connection) appendBody(b []byte) error {
 	r := c.request
 	maxBytes := r.maxBytes
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// finishResponse ends the request in flight with its complete answer.
+// finishResponse completes the request in flight with its response.
 func (c *connection) finishResponse() {
 	r := c.request
 	if r.parser.Status() != http.StatusOK {
@@ -169,8 +170,8 @@
 	r.done(r.body, r.sent, nil)
 }
 
-// rejection returns the error of an answer whose status is not 200: its body is a controlplane.ErrorResponse, or what
-// something else sends.
+// rejection returns the error for a response whose status is not 200. The body is a controlplane.ErrorResponse if a replica
+// sent it.
 func (r *request) rejection(addr string) error {
 	status := r.parser.Status()
 	var response struct{ Kind, Place, Cause, Remedy string }
@@ -181,14 +182,14 @@
 		response.Remedy)
 }
 
-// Drained implements evloop.Handler. A connection waits for an answer after its request and needs no notice.
+// Drained implements evloop.Handler. A connection ignores it, because it writes nothing after a request.
 func (c *connection) Drained() {}
 
 // Ended implements evloop.Handler.
 func (c *connection) Ended() { c.Closed(errors.New("the replica closed the connection")) }
 
-// Closed implements evloop.Handler. A persistent connection may have been closed by the replica just as a request was sent:
-// then the request is sent once more, over a new connection.
+// Closed implements evloop.Handler. The replica may close a persistent connection just as a request is sent. The request is
+// then sent once more, over a new connection.
 func (c *connection) Closed(err error) {
 	r := c.request
 	switch {
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -16,12 +16,13 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// The tests in this file pin the calls of a proxy to the control plane, byte for byte, and the answers that it takes.
-// The files below testdata/golden were written by the program before its names changed; they are never written again.
+// The tests in this file pin the bytes of a proxy's requests to the control plane, and the responses that it accepts. The files
+// in testdata/golden were written by a release before the identifiers of the program were renamed. They must not be regenerated.
 
-// startRawReplica accepts one connection, reads as many bytes from it as a golden request has, and answers. It returns the
-// request that it expects and the one that came. HOST in a golden request stands for the address that is called.
-func startRawReplica(t *testing.T, golden, answer string) (addr, want string, got <-chan string) {
+// startRawReplica starts a replica that accepts one connection, reads as many bytes as the golden request has, and sends the
+// response. It returns the replica's address, the expected request, in which the address replaces HOST, and a channel with the
+// received request.
+func startRawReplica(t *testing.T, golden, response string) (addr, want string, got <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,13 +41,13 @@
 		text := make([]byte, len(want))
 		n, _ := io.ReadFull(conn, text)
 		requests <- string(text[:n])
-		_, _ = io.WriteString(conn, answer)
-		_, _ = conn.Read(make([]byte, 1)) // until the other side ends it
+		_, _ = io.WriteString(conn, response)
+		_, _ = conn.Read(make([]byte, 1)) // until the client closes the connection
 	}()
 	return l.Addr().String(), want, requests
 }
 
-// httpResponseText is a complete answer with a body.
+// httpResponseText returns a complete HTTP response.
 func httpResponseText(status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status,
 		http.StatusText(status), len(body), body)
@@ -56,7 +57,7 @@
 	Rejection: &fleetconfig.Rejection{Kind: "memory/too-heavy", Cause: "too heavy", EstimatedBytes: 20, LimitBytes: 10, LargestRoutes: []string{"all"}},
 	Headroom:  fleetconfig.MemoryHeadroom{Limit: 1000, InUse: 10}, Draining: true}
 
-// TestGoldenRenewal pins the request for a lease with every member, and every member of the answer.
+// TestGoldenRenewal pins the renewal request and its response, each with every member set.
 func TestGoldenRenewal(t *testing.T) {
 	testkit.CheckAllSet(t, "renewal", reflect.ValueOf(goldenRenewal))
 	want := fleetconfig.Lease{Node: "n0", Incarnation: 7, Seq: 8, Term: 2, ActiveVersion: 3, ActiveDigest: "d3", ProposedVersion: 4, ProposedDigest: "d4",
@@ -76,7 +77,7 @@
 	testkit.Equal(t, "lease", want, got.lease)
 }
 
-// TestGoldenFetch pins the request for a version; its answer is passed on as received.
+// TestGoldenFetch pins the request for a version. The callback receives the response body unchanged.
 func TestGoldenFetch(t *testing.T) {
 	const body = `{"number":3,"digest":"d3","body":{"settings":{}}}` + "\n"
 	addr, request, requests := startRawReplica(t, "fetch.request", httpResponseText(200, body))
@@ -88,8 +89,8 @@
 	testkit.Equal(t, "body", body, string(got.text))
 }
 
-// TestGoldenFault pins what is read of an error response: each of its members is in the error.
-func TestGoldenFault(t *testing.T) {
+// TestGoldenErrorResponse pins the members of an error response: the error contains each of them.
+func TestGoldenErrorResponse(t *testing.T) {
 	addr, _, _ := startRawReplica(t, "fetch.request", httpResponseText(503, string(testkit.GoldenFile(t, "fault.json"))))
 	h := newHarness(t, addr)
 	h.fetch(1 << 10)
@@ -99,12 +100,12 @@
 	}
 	for _, word := range []string{"/v1/version/3", "status 503, quorum/not-leading: keeper 1: no keeper leads (see that they run)"} {
 		if !strings.Contains(got.err.Error(), word) {
-			t.Errorf("error %v, without %q", got.err, word)
+			t.Errorf("error %v does not contain %q", got.err, word)
 		}
 	}
 }
 
-// TestGoldenKinds pins the kinds of errors, which a proxy tells in its log and telemetry.
+// TestGoldenKinds pins the names of error kinds, which a proxy writes to its log and telemetry.
 func TestGoldenKinds(t *testing.T) {
 	for name, kind := range map[string]*apperror.Kind{
 		"keeperlink/no-answer": NoResponse,
