--- a/cmd/micafront-controlplane/golden_test.go
+++ b/cmd/micafront-controlplane/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// parse reads a command line as main does.
+// parse parses a command line as main does.
 func parse(t *testing.T, args ...string) (c commandLine) {
 	t.Helper()
 	parser, err := kong.New(&c, kong.Name("micafront-controlplane"))
@@ -24,7 +24,7 @@
 	return c
 }
 
-// TestGoldenFlags pins the name of every flag, its letter, its environment variable, and the field that it sets.
+// TestGoldenFlags pins the name, the letter and the environment variable of every flag, and the field that it sets.
 func TestGoldenFlags(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keeper.json")
 	if err := os.WriteFile(path, []byte(`{"id":9}`), 0o600); err != nil {
@@ -35,15 +35,15 @@
 		Rejoin: true, Log: "json,debug"}
 	for i, v := 0, reflect.ValueOf(want); i < v.NumField(); i++ {
 		if v.Field(i).IsZero() {
-			t.Errorf("%s is not set", v.Type().Field(i).Name)
+			t.Errorf("the expected command line does not set %s", v.Type().Field(i).Name)
 		}
 	}
 	rest := []string{"--id=1", "--listen=127.0.0.1:7001", "--data=/data", "--peer=1=127.0.0.1:7001",
 		"--peer=2=127.0.0.1:7002", "--tick-ms=20", "--election-ticks=12", "--heartbeat-ticks=2", "--rejoin"}
-	testkit.Equal(t, "flags", want, parse(t, append(rest, "--config="+path, "--log=json,debug")...))
-	testkit.Equal(t, "letter", path, parse(t, "-c", path).Config)
+	testkit.Equal(t, "command line", want, parse(t, append(rest, "--config="+path, "--log=json,debug")...))
+	testkit.Equal(t, "file of the flag -c", path, parse(t, "-c", path).Config)
 	t.Setenv("MICAFRONT_LOG", "json,debug")
-	testkit.Equal(t, "environment", want, parse(t, append(rest, "--config="+path)...))
+	testkit.Equal(t, "command line with MICAFRONT_LOG", want, parse(t, append(rest, "--config="+path)...))
 
 	var c commandLine
 	parser, err := kong.New(&c, kong.Name("micafront-controlplane"))
@@ -59,13 +59,13 @@
 	for _, f := range parser.Model.Flags {
 		got = append(got, flag{f.Name, f.Short, f.Envs})
 	}
-	testkit.Equal(t, "flags that there are", []flag{{"help", 'h', nil}, {"config", 'c', nil}, {"id", 0, nil}, {"listen", 0, nil},
+	testkit.Equal(t, "all flags", []flag{{"help", 'h', nil}, {"config", 'c', nil}, {"id", 0, nil}, {"listen", 0, nil},
 		{"data", 0, nil}, {"peer", 0, nil}, {"tick-ms", 0, nil}, {"election-ticks", 0, nil}, {"heartbeat-ticks", 0, nil},
 		{"rejoin", 0, nil}, {"log", 0, []string{"MICAFRONT_LOG"}}}, got)
 }
 
-// TestGoldenFlagsOverFile pins that a flag goes before the file's member, and that the file's other members stand.
-func TestGoldenFlagsOverFile(t *testing.T) {
+// TestGoldenFlagsOverrideFile checks that a flag overrides the member of the configuration file, and that other members are kept.
+func TestGoldenFlagsOverrideFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keeper.json")
 	text := `{"id":9,"listen":"127.0.0.1:9","data":"/file","peers":{"1":"127.0.0.1:9"},"tick_ms":9,"election_ticks":9,` +
 		`"heartbeat_ticks":9,"snapshot_every":9,"discovery":"127.0.0.1:7100","mesh_silence_ms":9}`
@@ -83,7 +83,7 @@
 		SnapshotEvery: 9, Discovery: "127.0.0.1:7100", MeshTimeoutMS: 9, Rejoin: true}, got)
 }
 
-// TestGoldenListenerVariable pins the variable that hands a listener on to the program.
+// TestGoldenListenerVariable pins the environment variable that passes a listener to the program.
 func TestGoldenListenerVariable(t *testing.T) {
 	t.Setenv("MICAFRONT_KEEPER_FD", "two")
 	p := start(t, nil, "--id=1", "--listen=127.0.0.1:0", "--data=x", "--peer=1=127.0.0.1:7001")
--- a/cmd/micafront-controlplane/load_test.go
+++ b/cmd/micafront-controlplane/load_test.go
@@ -21,10 +21,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLatency bounds the latencies that are recorded; a longer one counts as a failure.
+// maxLatency is the longest latency that is recorded. A longer one counts as a failure.
 const maxLatency = time.Minute
 
-// latencies records how long requests take.
+// latencies records the durations of requests, and counts failures.
 type latencies struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram // in microseconds
@@ -57,20 +57,20 @@
 	quantile := func(percent float64) time.Duration {
 		return time.Duration(l.histogram.ValueAtQuantile(percent)) * time.Microsecond
 	}
-	return fmt.Sprintf("%d answers and %d failures: p50 %v, p99 %v, max %v", l.histogram.TotalCount(), l.failed, quantile(50),
+	return fmt.Sprintf("%d responses and %d failures: p50 %v, p99 %v, max %v", l.histogram.TotalCount(), l.failed, quantile(50),
 		quantile(99), quantile(100))
 }
 
-// renewalInterval is the interval of each proxy's renewals.
+// renewalInterval is the time between two renewals of a proxy.
 const renewalInterval = 500 * time.Millisecond
 
-// clockTick is the unit of the times in /proc/PID/stat.
+// clockTick is the unit of the CPU times in /proc/PID/stat (1/USER_HZ).
 const clockTick = 10 * time.Millisecond
 
-// TestLoad measures three replicas under a fleet's renewals: their CPU usage, the latencies of renewals and proposals, and how
-// soon a lease is granted after the leader is killed. It runs for the duration in MICAFRONT_KEEPER_LOAD, such as "20s", and
-// is skipped without one. MICAFRONT_KEEPER_FOLLOWERS is the number of proxies (300). They renew at the leader or, with
-// MICAFRONT_KEEPER_ASK=any, at all replicas in turn.
+// TestLoad measures three replicas under the renewals of a fleet: their CPU usage, the latencies of renewals and proposals, and
+// the time until a lease is granted after the leader is killed. It runs for the duration in MICAFRONT_KEEPER_LOAD, such as
+// "20s", and is skipped if that is not a duration. MICAFRONT_KEEPER_FOLLOWERS is the number of proxies, 300 by default. They
+// renew at the leader or, with MICAFRONT_KEEPER_ASK=any, each at one of the replicas.
 func TestLoad(t *testing.T) {
 	duration, err := time.ParseDuration(os.Getenv("MICAFRONT_KEEPER_LOAD"))
 	if err != nil {
@@ -102,21 +102,21 @@
 			addr = replicas[i%3].addr
 		}
 		running.Go(func() {
-			time.Sleep(renewalInterval * time.Duration(i) / time.Duration(proxies)) // spread over the interval
+			time.Sleep(renewalInterval * time.Duration(i) / time.Duration(proxies)) // spreads the proxies over the interval
 			renewUntil(stop, client, addr, fmt.Sprint("proxy-", i), renewals)
 		})
 	}
-	time.Sleep(2 * renewalInterval) // until all have joined
+	time.Sleep(2 * renewalInterval) // until all proxies are members
 	before := cpuTimes(t, replicas)
 	start := time.Now()
 	renewals.reset()
 	time.Sleep(duration)
 	after := cpuTimes(t, replicas)
-	took := time.Since(start)
-	t.Logf("renewals of %d proxies in %v: %v", proxies, took.Round(time.Millisecond), renewals)
+	elapsed := time.Since(start)
+	t.Logf("renewals of %d proxies in %v: %v", proxies, elapsed.Round(time.Millisecond), renewals)
 	for i := range replicas {
-		share := 100 * (after[i] - before[i]).Seconds() / took.Seconds()
-		t.Logf("replica %d: %.1f %% of one CPU, leader: %v", i+1, share, uint64(i+1) == status.Leader)
+		cpuPercent := 100 * (after[i] - before[i]).Seconds() / elapsed.Seconds()
+		t.Logf("replica %d: %.1f %% of one CPU, leader: %v", i+1, cpuPercent, uint64(i+1) == status.Leader)
 	}
 	proposals := newLatencies()
 	for i := range 50 {
@@ -125,7 +125,7 @@
 		proposals.record(start, true)
 		must("POST", "/v1/withdraw", fmt.Sprintf(`{"number":%d}`, proposed.Number), &proposed)
 	}
-	t.Logf("proposals beside the renewals: %v", proposals)
+	t.Logf("proposals during the renewals: %v", proposals)
 	close(stop)
 	running.Wait()
 
@@ -135,10 +135,10 @@
 	for code := 0; code != 200; {
 		code, _ = testkit.HTTPCall(t, "POST", "http://"+replicas[status.Leader%3].addr+"/v1/renew", `{"node":"last","incarnation":1,"seq":1}`)
 	}
-	t.Logf("a lease %v after the leader was killed", time.Since(start).Round(time.Millisecond))
+	t.Logf("a lease was granted %v after the leader was killed", time.Since(start).Round(time.Millisecond))
 }
 
-// startReplicas starts the replicas of a control plane, each as a process.
+// startReplicas starts n replicas of one control plane, each in its own process.
 func startReplicas(t *testing.T, n int) (replicas []*process) {
 	t.Helper()
 	var listeners []*net.TCPListener
@@ -155,7 +155,7 @@
 	return replicas
 }
 
-// renewUntil renews a node's lease in each interval until stop is closed.
+// renewUntil renews a node's lease once per interval until stop is closed.
 func renewUntil(stop <-chan struct{}, client *http.Client, addr, node string, results *latencies) {
 	renewal := fleetconfig.Renewal{Node: node, Incarnation: 1}
 	ticker := time.NewTicker(renewalInterval)
@@ -185,7 +185,7 @@
 	}
 	defer resp.Body.Close()
 	err = json.NewDecoder(resp.Body).Decode(&lease)
-	_, _ = io.Copy(io.Discard, resp.Body) // only for the connection's reuse
+	_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is reused
 	return lease, err
 }
 
@@ -199,7 +199,7 @@
 		}
 		fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+2:]))
 		var used time.Duration
-		for _, ticks := range fields[11:13] { // of user and system
+		for _, ticks := range fields[11:13] { // utime and stime
 			n, err := strconv.Atoi(ticks)
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/micafront-controlplane/main.go
+++ b/cmd/micafront-controlplane/main.go
@@ -1,9 +1,9 @@
-// Command micafront-controlplane runs one replica of a fleet's control plane: together with the other replicas it agrees on
-// the version of the configuration that is active, and serves proxies and operators. docs/design/fleet-agreement.md
-// describes its guarantees, package controlplane its HTTP interface.
+// Command micafront-controlplane runs one replica of a fleet's control plane. The replicas agree on the active version of the
+// configuration, and serve proxies and operators. docs/design/fleet-agreement.md describes their guarantees, and package
+// controlplane their HTTP interface.
 //
-// SIGHUP has it read the configuration file again for the addresses of its peers and of service discovery; SIGTERM and
-// SIGINT shut it down gracefully.
+// On SIGHUP a replica reloads the addresses of its peers and of service discovery from the configuration file. On SIGTERM and
+// SIGINT it shuts down gracefully.
 package main
 
 import (
@@ -21,13 +21,13 @@
 
 const programName = "micafront-controlplane"
 
-// maxPendingSignals bounds the signals that wait for their handling; more of them are dropped.
+// maxPendingSignals is the capacity of the signal channel. Signals that arrive while it is full are dropped.
 const maxPendingSignals = 8
 
-// exitFailure is the exit status where the program could not start or its replica ended with an error.
+// exitFailure is the exit status if the program cannot start or its replica fails.
 const exitFailure = 1
 
-// commandLine is the program's flags. A flag takes precedence over the file's member.
+// commandLine holds the program's flags. A flag takes precedence over the member of the configuration file.
 type commandLine struct {
 	Config         string            `help:"The configuration file, in JSON; read again at SIGHUP for the addresses of the peers and of service discovery." short:"c" type:"existingfile"`
 	ID             uint64            `help:"This replica's id among the peers."`
@@ -54,7 +54,8 @@
 	}
 }
 
-// config merges the file and the flags, and checks the result.
+// config reads the configuration file, applies the flags, and validates the result. Its errors are of kind
+// controlplane.BadConfig.
 func (c *commandLine) config() (config controlplane.Config, err error) {
 	if c.Config != "" {
 		if config, err = controlplane.ReadConfig(c.Config); err != nil {
@@ -74,7 +75,7 @@
 	return config, config.Check()
 }
 
-// override sets a member to a flag's value, unless that is the zero value: the flag is absent then.
+// override sets a member to a flag's value. The zero value means that the flag is absent, and leaves the member unchanged.
 func override[T comparable](member *T, flag T) {
 	var zero T
 	if flag != zero {
@@ -82,9 +83,9 @@
 	}
 }
 
-// run serves until a signal ends it, which is no error.
+// run serves until SIGTERM or SIGINT, after which it returns nil, or until the replica fails.
 func run(flags *commandLine) error {
-	// First of all: until then a signal, SIGHUP too, would end the program by its default action.
+	// This must be the first step, because the default action of these signals, including SIGHUP, ends the program.
 	signals := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	form, level, err := logging.Parse(flags.Log)
@@ -100,22 +101,22 @@
 		return err
 	}
 	log := logging.New(os.Stderr, form, level)
-	defer func() { _ = log.Close() }() // there is nowhere to report that standard error is not read
+	defer func() { _ = log.Close() }() // a failure to write to standard error cannot be reported
 	replica, err := controlplane.New(config, log, listener)
 	if err != nil {
 		return err
 	}
 	go handleSignals(signals, flags, replica, log)
-	// One text without fields, in which scripts and test harnesses look for the address.
+	// Scripts and test harnesses parse this line for the address, so the message contains it instead of a field.
 	log.Info(fmt.Sprintf("%s: replica %d serves at %s", programName, config.ID, replica.Addr()))
 	return replica.Run()
 }
 
-// handleSignals reloads the addresses at SIGHUP and closes the replica at other signals. It lasts until the program's end.
+// handleSignals reloads the addresses on SIGHUP and closes the replica on other signals. It runs until the program exits.
 func handleSignals(signals <-chan os.Signal, flags *commandLine, replica *controlplane.Replica, log *logging.Logger) {
 	for received := range signals {
 		if received != syscall.SIGHUP {
-			go replica.Close() // run returns once it is done, and the program ends
+			go replica.Close() // run returns once the replica is closed
 			continue
 		}
 		if err := reload(flags, replica); err != nil {
@@ -126,7 +127,7 @@
 	}
 }
 
-// reload takes the addresses of the peers and of service discovery from the configuration file.
+// reload updates the addresses of the peers and of service discovery from the configuration file.
 func reload(flags *commandLine, replica *controlplane.Replica) error {
 	config, err := flags.config()
 	if err != nil {
--- a/cmd/micafront-controlplane/main_test.go
+++ b/cmd/micafront-controlplane/main_test.go
@@ -20,16 +20,16 @@
 
 const childEnv = "MICAFRONT_KEEPER_TEST_CHILD"
 
-// TestMain runs the test binary as the real program where childEnv is set.
+// TestMain runs the test binary as micafront-controlplane if childEnv is set.
 func TestMain(m *testing.M) { testkit.RunTestsOrProgram(m, childEnv, main) }
 
-// process is the program, run as a process of its own.
+// process is a running micafront-controlplane process.
 type process struct {
 	t      testing.TB
 	cmd    *exec.Cmd
 	mu     sync.Mutex
 	output bytes.Buffer
-	grown  chan struct{} // receives after output has grown
+	grown  chan struct{} // receives a value after output has grown
 	exited chan error
 	addr   string
 }
@@ -50,7 +50,7 @@
 	return p.output.String()
 }
 
-// start runs the program, with a listener to inherit unless that is nil.
+// start runs the program. It passes the listener to the process unless that is nil.
 func start(t testing.TB, listener *net.TCPListener, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, cmd: exec.Command(os.Args[0], args...), grown: make(chan struct{}, 1), exited: make(chan error, 1)}
@@ -73,11 +73,11 @@
 	return p
 }
 
-// awaitOutput waits for a text and returns the rest of its line.
-func (p *process) awaitOutput(word string) string {
+// awaitOutput waits for a text in the output and returns the rest of its line.
+func (p *process) awaitOutput(want string) string {
 	p.t.Helper()
 	for end := time.After(time.Minute); ; {
-		if _, rest, ok := strings.Cut(p.text(), word); ok {
+		if _, rest, ok := strings.Cut(p.text(), want); ok {
 			if line, _, ok := strings.Cut(rest, "\n"); ok {
 				return line
 			}
@@ -85,32 +85,32 @@
 		select {
 		case <-p.grown:
 		case err := <-p.exited:
-			p.t.Fatalf("it ended (%v) without %q:\n%s", err, word, p.text())
+			p.t.Fatalf("the process exited (%v) without output %q:\n%s", err, want, p.text())
 		case <-end:
-			p.t.Fatalf("no %q in a minute:\n%s", word, p.text())
+			p.t.Fatalf("no output %q within a minute:\n%s", want, p.text())
 		}
 	}
 }
 
-// awaitServing waits until the program serves, and keeps its address.
+// awaitServing waits until the program serves, and sets p.addr.
 func (p *process) awaitServing() *process {
 	p.t.Helper()
 	p.addr = p.awaitOutput("serves at ")
 	return p
 }
 
-// awaitExit waits for the end of the process and returns the exit code.
+// awaitExit waits until the process exits and returns its exit code.
 func (p *process) awaitExit() int {
 	p.t.Helper()
 	select {
 	case <-p.exited:
 	case <-time.After(time.Minute):
-		p.t.Fatalf("it does not exit:\n%s", p.text())
+		p.t.Fatalf("the process has not exited within a minute:\n%s", p.text())
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// proposal returns a proposal whose routes lead to a pool.
+// proposal returns a proposal that routes all requests to the given pool.
 func proposal(pool string) string {
 	return fmt.Sprintf(`{"id":%q,"why":%q,"body":{"settings":{"Balancers":1,"Discovery":"subscribe","Zone":"a","Categories":[{"Name":"feed",
 		"Aim":30,"GiveUp":60,"Credit":5,"Effect":"safe","DedupScope":"all"}],"Limits":{"AttemptsCap":6,"ConnectTimeout":20,
@@ -129,7 +129,6 @@
 	return listener.(*net.TCPListener)
 }
 
-// writeConfig writes a configuration file.
 func writeConfig(t testing.TB, path string, config controlplane.Config) {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -149,17 +148,17 @@
 	writeConfig(t, path, config)
 	p := start(t, listener, "--config", path).awaitServing()
 	if p.addr != listener.Addr().String() {
-		t.Fatalf("it serves at %s, not on the inherited listener %s", p.addr, listener.Addr())
+		t.Fatalf("the address is %s, want that of the inherited listener, %s", p.addr, listener.Addr())
 	}
 	if code, text := testkit.HTTPCall(t, "POST", "http://"+p.addr+"/v1/propose?wait=active", proposal("one")); code != 200 {
-		t.Fatalf("%d %s", code, text)
+		t.Fatalf("POST /v1/propose: %d %s", code, text)
 	}
 	second := start(t, nil, "--config", path)
 	if code := second.awaitExit(); code != 1 || !strings.Contains(second.text(), "another process has it open") ||
 		!strings.Contains(second.text(), "remedy: stop the other replica that runs on this data directory") {
-		t.Fatalf("a second replica on the same data ended with %d:\n%s", code, second.text())
+		t.Fatalf("exit code %d of a second replica on the same data directory:\n%s", code, second.text())
 	}
-	// An invalid file changes nothing; a valid one updates the addresses.
+	// The replica rejects an invalid file and keeps running; a valid one updates the addresses.
 	for _, step := range []struct{ addr, want string }{
 		{"nowhere", "configuration rejected"},
 		{"127.0.0.1:9", "addresses updated"},
@@ -175,14 +174,14 @@
 		t.Fatal(err)
 	}
 	if code := p.awaitExit(); code != 0 {
-		t.Fatalf("it ended with %d:\n%s", code, p.text())
+		t.Fatalf("exit code %d after SIGTERM:\n%s", code, p.text())
 	}
-	p = start(t, nil, "--config", path, "--tick-ms", "10").awaitServing() // at an address that the system chooses
+	p = start(t, nil, "--config", path, "--tick-ms", "10").awaitServing() // without a listener, at a port that the kernel selects
 	for end := time.Now().Add(time.Minute); ; {
 		if code, text := testkit.HTTPCall(t, "GET", "http://"+p.addr+"/v1/version/1", ""); code == 200 && strings.Contains(text, `"why":"one"`) {
 			break
 		} else if time.Now().After(end) {
-			t.Fatalf("version 1 is lost: %d %s", code, text)
+			t.Fatalf("GET /v1/version/1 after the restart: %d %s", code, text)
 		}
 	}
 }
@@ -201,7 +200,7 @@
 		t.Setenv(controlplane.ListenerFDEnv, test.env)
 		p := start(t, nil, test.args...)
 		if code := p.awaitExit(); code != 1 || !strings.Contains(p.text(), test.want) {
-			t.Errorf("%q: ended with %d, and without %q:\n%s", test.args, code, test.want, p.text())
+			t.Errorf("%q: exit code %d, want 1 and output %q:\n%s", test.args, code, test.want, p.text())
 		}
 	}
 }
