--- a/cmd/micafront/attempts_test.go
+++ b/cmd/micafront/attempts_test.go
@@ -82,8 +82,8 @@
 		retryCase{"keyed", "cell", 60, twoCells, "error", "ERR"},
 		retryCase{"keyed", "rack", 60, sameCell, "error", "ERR"}, // an unknown scope
 		retryCase{"some", "all", 60, sameCell, "error", "ERR"},   // an unknown effect
-		retryCase{"keyed", "all", 1e-6, sameCell, "end", "BUSY"}, // repeats are no longer recognized, but no attempt has run
-		retryCase{"keyed", "cell", 1e-6, sameCell, "end", "ERR"}, // repeats are no longer recognized, and an attempt may have run
+		retryCase{"keyed", "all", 1e-6, sameCell, "end", "BUSY"}, // repeats are no longer recognized, but do no harm
+		retryCase{"keyed", "cell", 1e-6, sameCell, "end", "ERR"}, // repeats are no longer recognized, and may do harm
 	)
 	return cases
 }
--- a/cmd/micafront/hot_restart_test.go
+++ b/cmd/micafront/hot_restart_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return
 	}
-	_, _, _ = c.WriteMsgUnix([]byte(text), syscall.UnixRights(int(f.Fd())), nil) // an error shows in the test
+	_, _, _ = c.WriteMsgUnix([]byte(text), syscall.UnixRights(int(f.Fd())), nil) // a failed write fails the test's checks
 	f.Close()
 	l.Close()
 }
--- a/cmd/micafront/protocol_test.go
+++ b/cmd/micafront/protocol_test.go
@@ -56,7 +56,7 @@
 	testkit.Equal(t, "end", "EOF", client.ReadLine())
 }
 
-// TestProtocolViolations checks that a client that violates the protocol gets exactly one answer immediately, that none of
+// TestProtocolViolations checks that a client that violates the protocol immediately gets exactly one answer, that none of
 // its data reaches an endpoint, and that other clients are not affected.
 func TestProtocolViolations(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
--- a/cmd/micafront/shutdown_test.go
+++ b/cmd/micafront/shutdown_test.go
@@ -160,7 +160,8 @@
 				clients = append(clients, c)
 			}
 			for i, c := range clients {
-				// The deadline of the late requests is within the stop, so that the balancer may reject them: their class is safe to repeat.
+				// The deadline of the late requests is within the stop, so that the balancer may reject them: their class is safe
+				// to repeat.
 				if got := readToEnd(c); got[0] != "ERR" && (i < early || !strings.HasPrefix(got[0], "BUSY ")) || !slices.Equal(got[1:], []string{"EOF"}) {
 					t.Errorf("answer %d: %q", i, got)
 				}
@@ -221,8 +222,8 @@
 	proxy.expectExit(stopAt, 1700*time.Millisecond)
 }
 
-// TestStopInOneIterationWithRequests checks that requests, and a request whose answer arrives, in the same iteration of the
-// event loop as the stop signal are served.
+// TestStopInOneIterationWithRequests checks that requests are served if they or their answers arrive in the same iteration
+// of the event loop as the stop signal.
 func TestStopInOneIterationWithRequests(t *testing.T) {
 	proxy, conns := startWithEndpoint(t)
 	idle := proxy.dial()
