--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,21 +9,21 @@
 	"example.org/micafront/internal/httpresponse"
 )
 
-const statusOK = 200 // net/http would add to the proxy's memory
+const statusOK = 200 // not http.StatusOK: importing net/http would increase the proxy's memory use
 
-// stage is how far a call has come.
+// stage is the progress of a call.
 type stage int
 
 const (
 	dialing     stage = iota
-	requested         // the connection is up and the request was written
-	headersRead       // the response's headers have come
-	streaming         // a watch has brought an object or an empty line
-	stalled           // a watch that was streaming has brought no byte for StandbyAfter or more
+	requested         // the connection is established and the request has been written
+	headersRead       // the response headers have been received
+	streaming         // a watch has received an object or an empty line
+	stalled           // a watch that was streaming has received no byte for StandbyAfter or longer
 	closed
 )
 
-// call is one HTTP request to discovery, a watch or a fetch of the whole list. It is its connection's evloop.Handler.
+// call is one HTTP request to discovery: a watch, or a fetch of the whole list. It is the evloop.Handler of its connection.
 type call struct {
 	client  *Client
 	addr    string
@@ -33,29 +33,29 @@
 	conn    *evloop.Conn
 	parser  *httpresponse.Parser
 	stream  objectStream
-	objects int           // that came whole
-	timeout *evloop.Timer // ends the call, or a watch that brings nothing
+	objects int           // complete objects received
+	timeout *evloop.Timer // fails a call that gets no response in time, and a watch that makes no progress
 
-	// By the loop's clock:
-	missingSince time.Duration // from when on discovery may have had what the call has to bring
-	lastByteAt   time.Duration // the call's start where no byte has come
-	progressAt   time.Duration // when the latest object or empty line came; the call's start where none has
+	// Times of the loop's clock:
+	missingSince time.Duration // earliest time at which discovery may have had an update that this call has not delivered
+	lastByteAt   time.Duration // start of the call if no byte has been received
+	progressAt   time.Duration // arrival of the latest object or empty line; start of the call if there is none
 
-	// Of a fetch:
+	// Fields of a fetch:
 	fetched  *List
-	internal bool // the client's own: its failure is made good by the next watch
-	retried  bool // it is the second attempt
+	internal bool // started by the client itself, which recovers from a failure with the next watch
+	retried  bool // this is the second attempt
 
-	// Of a watch:
-	generation     int64         // of its latest list, or of the list from which it was started
-	listGeneration int64         // of a previous address's watch: of the latest list from there
-	replacedErr    *CallError    // how the watch ended whose place this one took, until this one brings something; nil: none
-	probeTimer     *evloop.Timer // starts a standby when no byte has come
+	// Fields of a watch:
+	generation     int64         // of the latest list received, or of the list from which the watch started
+	listGeneration int64         // on the watch of a previous address: of the latest list received from there
+	replacedErr    *CallError    // error of the watch that this one replaced; nil: none, or this one has made progress since
+	idleTimer      *evloop.Timer // starts a standby when no byte arrives
 }
 
 var _ evloop.Handler = (*call)(nil)
 
-// newCall dials Addr and starts the call's timeout. The call ends in accept or report, or by close.
+// newCall dials Addr and starts the call's timeout. The call ends with accept, report or close.
 func (c *Client) newCall(path string, watch bool) *call {
 	now := c.Loop.Now()
 	k := &call{
@@ -72,7 +72,7 @@
 	c.afterPendingReads(&k.timeout, c.times().CallTimeout, func() { k.fail(timedOut.New("", "no answer in time")) })
 	conn, err := c.Loop.Dial(k.addr, k)
 	if err != nil {
-		// Reported in a later turn: the caller has not returned yet.
+		// The failure is reported in a later turn of the loop because the caller has not returned yet.
 		c.Loop.After(0, func() { k.fail(err) })
 		return k
 	}
@@ -80,20 +80,21 @@
 	return k
 }
 
-// close ends the call without a report.
+// close ends the call without reporting anything.
 func (k *call) close() {
 	k.stage = closed
 	delete(k.client.fetches, k)
 	k.client.Loop.Cancel(k.timeout)
-	k.client.Loop.Cancel(k.probeTimer)
+	k.client.Loop.Cancel(k.idleTimer)
 	if k.conn != nil {
 		k.conn.Close()
 	}
 	k.stream.Close()
 }
 
-// missedSince returns the loop's time from which on discovery may have had what this call, which failed with err, did not bring:
-// its start, or when it, or the watch that it replaced, stopped sending. A watch that was streaming until now has missed nothing.
+// missedSince returns the earliest time at which discovery may have had an update that this call, which failed with err, did not
+// deliver. That is the start of the call, or the time when it, or the watch that it replaced, stopped receiving. A watch that was
+// streaming until now has missed nothing.
 func (k *call) missedSince(err error) time.Duration {
 	now := k.client.Loop.Now()
 	switch {
@@ -107,20 +108,21 @@
 	return now
 }
 
-// fail ends a fetch that brought no list, or a watch. What follows depends on the call's role: a previous address's watch ends
-// without a report, a standby is started again, a fetch is tried twice, a watch is replaced by its standby or restarted.
+// fail ends a watch, or a fetch that received no list. The reaction depends on the role of the call: the watch of a previous
+// address ends without a report, a failed standby is followed by another one, a fetch that timed out is retried once, and a watch
+// is replaced by its standby or restarted.
 func (k *call) fail(err error) {
 	c := k.client
 	if k.stage == closed {
 		return
 	}
-	ended := *k // with the stage in which it ended
+	ended := *k // copied before close changes the stage
 	k.close()
 	switch {
-	case c.previousWatch == k: // the new address's watch goes on
+	case c.previousWatch == k: // the watch of the new address continues
 		c.previousWatch = nil
 		return
-	case c.standby == k && c.standbyAttempts < maxStandbyAttempts: // the stalled watch goes on
+	case c.standby == k && c.standbyAttempts < maxStandbyAttempts: // the stalled watch stays open
 		c.standby = nil
 		c.Loop.Cancel(c.standbyTimer)
 		c.afterPendingReads(&c.standbyTimer, c.times().standbyRetryDelay(c.randomFraction()), c.startStandby)
@@ -130,22 +132,22 @@
 	case !k.watch && !k.retried && !k.internal && timedOut.Of(err):
 		c.newFetch().retried = true
 		return
-	case c.watch == k && c.standbyServes(err):
+	case c.watch == k && c.standbyCanReplace(err):
 		c.promoteStandby(k, err)
 		return
 	case c.watch == k:
 		c.closeStandby()
 		c.watch = nil
 		c.scheduleRestart(&ended, err)
-	case k.internal: // the next watch asks for everything
+	case k.internal: // the next watch requests the whole list
 		c.Generation = 0
 		c.scheduleRestart(&ended, err)
 	}
-	// Any other fetch is repeated by whoever gets the report.
+	// The receiver of the report repeats any other fetch.
 	c.report(k, err)
 }
 
-// failWithStalledWatch ends the stalled watch with its last standby.
+// failWithStalledWatch ends the stalled watch together with its last standby, which has failed.
 func (k *call) failWithStalledWatch() {
 	c := k.client
 	stalledWatch := c.watch
@@ -156,21 +158,21 @@
 	c.scheduleRestart(&ended, watchTimedOut())
 }
 
-// standbyServes reports whether the standby takes the place of a watch that ended with err: it has been requested already, and
-// answers for both.
-func (c *Client) standbyServes(err error) bool {
+// standbyCanReplace reports whether the standby replaces a watch that ended with err. After a timeout the standby must have sent
+// its request. No standby replaces a watch that sent an invalid list.
+func (c *Client) standbyCanReplace(err error) bool {
 	return c.standby != nil && (c.standby.stage >= requested || !timedOut.Of(err)) && !invalidList.Of(err)
 }
 
-// report passes a call's failure on.
+// report passes the failure of a call to OnFailure.
 func (c *Client) report(k *call, err error) {
 	failure := k.newError(err)
 	failure.Replaced = k.replacedErr
 	c.OnFailure(fmt.Errorf("discovery: %w", failure))
 }
 
-// newError returns the error of a call that ended with err, without the watch whose place the call had taken. An error without a
-// kind is one of the connection.
+// newError returns the CallError of a call that ended with err; Replaced is not set. An error without a kind is a connection error
+// and gets the kind unreachable.
 func (k *call) newError(err error) *CallError {
 	return &CallError{
 		Addr:         k.addr,
@@ -209,7 +211,7 @@
 	}
 }
 
-// Ended is called when the response has ended: it finishes a fetch, and fails a watch.
+// Ended handles the end of the response: it completes a fetch and fails a watch.
 func (k *call) Ended() {
 	if k.stage == closed {
 		return
@@ -226,7 +228,7 @@
 	k.client.accept(*k.fetched, balancer.FullList)
 }
 
-// finishFetch checks that a response that has come whole has one list, and that it can be used.
+// finishFetch checks that a complete response contains exactly one list and that the list is usable.
 func (k *call) finishFetch() error {
 	list, found, err := k.stream.End()
 	if err == nil && found {
@@ -236,20 +238,20 @@
 	case err != nil:
 		return err
 	case k.fetched == nil:
-		return invalidList.New(listPlace, "no object came")
+		return invalidList.New(listPlace, "the response contains no object")
 	case k.client.watch != nil && k.fetched.Generation < k.client.Generation:
-		return superseded.New("", "the watch has brought a newer list")
+		return superseded.New("", "the watch has received a newer list")
 	}
-	return k.client.checkNotEmptied(*k.fetched, true)
+	return k.client.checkNotEmpty(*k.fetched, true)
 }
 
-// Drained does nothing: a request is short.
+// Drained does nothing because a request is short enough to write at once.
 func (k *call) Drained() {}
 
 // Closed fails the call.
 func (k *call) Closed(err error) { k.fail(err) }
 
-// onBody handles bytes of the response's body: a watch brings any number of objects, a fetch one in all.
+// onBody handles bytes of the response body: any number of objects for a watch, exactly one for a fetch.
 func (k *call) onBody(data []byte) error {
 	if k.stage == closed || k.parser.Status() != statusOK {
 		return nil
@@ -258,7 +260,7 @@
 	return k.stream.Feed(data, k.onProgress, k.onObject)
 }
 
-// onObject handles an object of the body. Its error ends the call.
+// onObject handles one object of the body. An error fails the call.
 func (k *call) onObject(list List) error {
 	if !k.watch {
 		return k.acceptFetched(list)
@@ -275,17 +277,17 @@
 	return err
 }
 
-// acceptFetched keeps a fetch's object until the response has ended.
+// acceptFetched keeps the object of a fetch until the response ends.
 func (k *call) acceptFetched(list List) error {
 	if k.fetched != nil {
-		return invalidList.New(listPlace, "more than one object where one was asked for")
+		return invalidList.New(listPlace, "more than one object in the response to a fetch")
 	}
 	k.fetched = &list
 	return nil
 }
 
-// onBytes is called for any bytes of a call. Those of the followed watch make a standby needless that was started, or is due,
-// because no byte came; the next one is due later.
+// onBytes handles the arrival of any bytes. Bytes on the current watch show that it is alive: its standby is closed or canceled, and
+// the timer that starts the next one is reset. If a standby had been started too early, later ones wait longer.
 func (k *call) onBytes() {
 	c := k.client
 	if c.watch != k || k.stage < streaming {
@@ -296,15 +298,15 @@
 		c.lineDelay = min(c.lineDelay+c.times().lineDelayStep(), c.times().Jitter)
 	}
 	c.closeStandby()
-	c.Loop.Cancel(k.probeTimer)
-	c.afterPendingReads(&k.probeTimer, c.times().probeDelay(c.lineDelay, c.randomFraction()), func() {
+	c.Loop.Cancel(k.idleTimer)
+	c.afterPendingReads(&k.idleTimer, c.times().standbyDelay(c.lineDelay, c.randomFraction()), func() {
 		k.stage = stalled
 		c.startStandby()
 	})
 }
 
-// onProgress is called for an empty line or an object of a watch. An object that does not end within WatchTimeout is no
-// progress.
+// onProgress handles an empty line or a complete object on a watch. Bytes of an object that is not complete within WatchTimeout do
+// not count as progress.
 func (k *call) onProgress() {
 	c := k.client
 	if !k.watch {
@@ -322,7 +324,7 @@
 	}
 	if c.watch == k && k.replacedErr != nil {
 		if c.OnNotice != nil {
-			c.OnNotice(fmt.Errorf("discovery: %w; another one has taken its place", k.replacedErr))
+			c.OnNotice(fmt.Errorf("discovery: %w; the standby watch has replaced it", k.replacedErr))
 		}
 		k.replacedErr = nil
 	}
@@ -331,11 +333,11 @@
 	c.afterPendingReads(&k.timeout, c.times().WatchTimeout, func() { k.fail(watchTimedOut()) })
 }
 
-// acceptWatched passes on a watch's object. One whose generation goes back is rejected, since it would bring back endpoints
-// that were removed; discovery is then asked for everything, so that one that counts anew is followed too.
+// acceptWatched passes on an object of a watch. It rejects an object of an older generation, which would bring back removed
+// endpoints. The next watch then requests the whole list, so that a discovery whose generations restarted can be followed.
 func (k *call) acceptWatched(list List, kind balancer.ListKind) error {
 	c := k.client
-	if err := c.checkNotEmptied(list, kind == balancer.FullList); err != nil {
+	if err := c.checkNotEmpty(list, kind == balancer.FullList); err != nil {
 		return err
 	}
 	if k == c.previousWatch {
@@ -351,15 +353,15 @@
 	}
 	k.generation = list.Generation
 	if list.Generation < c.Generation {
-		return nil // a whole list that was fetched meanwhile includes it
+		return nil // included in a whole list that was fetched in the meantime
 	}
 	if c.awaitingNewAddress {
 		c.awaitingNewAddress = false
 		c.mixedSources = true
 		c.closePreviousWatch()
 	}
-	if c.mixedSources && kind == balancer.DeltaList && !c.ownFetchPending() {
-		// Endpoints that only the old discovery listed are not among the new one's changes.
+	if c.mixedSources && kind == balancer.DeltaList && !c.internalFetchPending() {
+		// The changes do not remove endpoints that only the old discovery listed, so the whole list is fetched.
 		c.newFetch().internal = true
 	}
 	c.accept(list, kind)
--- a/internal/discovery/call_error.go
+++ b/internal/discovery/call_error.go
@@ -6,17 +6,18 @@
 	"example.org/micafront/internal/apperror"
 )
 
-// CallError is why a call ended, and where in its response. The errors that OnFailure and OnNotice get wrap one.
+// CallError describes why a call ended and at which position of its response. The errors passed to OnFailure and OnNotice wrap a
+// CallError.
 type CallError struct {
-	Addr         string // that was called
-	Path         string // with the query
-	Object       int    // number of the object in which the call ended, counted from 1 within the call
-	PendingBytes int    // of that object that had come
+	Addr         string // address of the called server
+	Path         string // path of the request, with its query
+	Object       int    // number of the object in which the call ended; the first object of a call is 1
+	PendingBytes int    // received bytes of that object
 	Err          *apperror.Error
-	Replaced     *CallError // how the watch ended whose place this call had taken; nil: it had taken no watch's place
+	Replaced     *CallError // error of the watch that this call replaced; nil: it replaced none
 }
 
-// Error names the fault and, in brackets, the call, the object and its bytes.
+// Error returns the fault followed by the call, the object and its received bytes in parentheses.
 func (e *CallError) Error() string {
 	place := fmt.Sprintf("%s %s, object %d", e.Addr, e.Path, e.Object)
 	if e.PendingBytes > 0 {
@@ -24,12 +25,12 @@
 	}
 	text := fmt.Sprintf("%v (%s)", e.Err, place)
 	if e.Replaced != nil {
-		return fmt.Sprintf("%v, and asked anew: %s", e.Replaced, text)
+		return fmt.Sprintf("%v; the watch that replaced it failed: %s", e.Replaced, text)
 	}
 	return text
 }
 
-// Unwrap returns the replaced watch's error, where there is one, and the call's own.
+// Unwrap returns the error of the replaced watch, if any, and the error of the call itself.
 func (e *CallError) Unwrap() []error {
 	if e.Replaced != nil {
 		return []error{e.Replaced, e.Err}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,47 +14,47 @@
 
 const listPath = "/registry/instances"
 
-// Client follows discovery's endpoint list. A fetch ends in one report, a list or a failure. A watch reports lists and changes
-// until it is lost, and then one failure, but for a previous address's watch and one whose standby takes its place. A watch that
-// is wanted and lost is restarted by the client itself, in the times that Times gives. The exported fields are set before the
-// first call; only Times and PollInterval may change later. All methods and callbacks run on the loop.
+// Client follows the endpoint list of discovery. A fetch reports exactly one list or one failure. A watch reports lists and changes
+// until it is lost, and then one failure; the loss of a previous address's watch, or of a watch that its standby replaces, is not a
+// failure. The client restarts a lost watch itself, after the delays of Times, as long as Watch(true) is in effect. The exported
+// fields must be set before the first call; only Times and PollInterval may change later. All methods and callbacks run on the loop.
 type Client struct {
 	Loop          *evloop.Loop
-	Addr          string // SetAddress changes it
+	Addr          string // numeric host and port; SetAddress changes it
 	Generation    int64  // of the latest list
-	SeenEndpoints bool   // some list has named an endpoint
+	SeenEndpoints bool   // whether any list so far contained an endpoint
 	OnList        func(List, balancer.ListKind)
-	OnFailure     func(error)   // gets an error that wraps a CallError
-	OnNotice      func(error)   // gets a CallError too: a watch was lost and its standby has taken its place; nil: not reported
-	Times         Times         // the zero value stands for DefaultTimes
-	PollInterval  time.Duration // from the settings: how often discovery is to be asked
-	Seed          uint64        // of this proxy's random delays; 0: from the time and the process id
+	OnFailure     func(error)   // called with an error that wraps a CallError
+	OnNotice      func(error)   // called with an error that wraps a CallError when a standby has replaced a lost watch; may be nil
+	Times         Times         // the zero value selects DefaultTimes
+	PollInterval  time.Duration // interval at which discovery is polled, from the settings
+	Seed          uint64        // seed of the random delays; 0: derived from the time and the process ID
 
 	watchWanted bool
-	watch       *call          // the one that is followed; nil: none
-	fetches     map[*call]bool // under way
+	watch       *call          // the current watch; nil: none
+	fetches     map[*call]bool // fetches in progress
 
-	// After a change of the address:
-	previousWatch      *call // the watch at the address before, until the new one brings a list
-	awaitingNewAddress bool  // the new address has not brought a list yet
+	// State after a change of the address:
+	previousWatch      *call // the watch of the previous address, until the new address sends a list
+	awaitingNewAddress bool  // the new address has not sent a list yet
 	addressChangedAt   time.Duration
-	mixedSources       bool // the known list may name endpoints that only the discovery before had
+	mixedSources       bool // the current list may contain endpoints that only the previous discovery listed
 
-	// A standby watch is started beside one that has stalled, and takes its place if it is the first to bring something.
+	// A standby watch is started next to a stalled watch and replaces it if the standby makes progress first.
 	standby         *call
-	standbyAttempts int           // beside the watch since its latest byte
-	standbyTimer    *evloop.Timer // starts the next standby, or ends one that does not connect
-	lineDelay       time.Duration // by which earlier lines of watches came late; a standby waits that much longer
+	standbyAttempts int           // standbys started since the latest byte of the watch
+	standbyTimer    *evloop.Timer // starts the next standby, or fails one that does not connect
+	lineDelay       time.Duration // observed lateness of lines; added to the wait before a standby starts
 
-	restartTimer *evloop.Timer // starts a watch in place of a lost one; nil: none is due
-	lostWatches  int           // in a row
+	restartTimer *evloop.Timer // restarts a lost watch; nil: no restart is due
+	lostWatches  int           // consecutive lost watches
 
 	random *rand.Rand
 }
 
-// Watch asks for changes from now on, or cancels that. Where the client restarts lost watches itself (Times.FreshnessBound is
-// set), it does nothing while a watch is up, under way or due. Elsewhere it starts a watch anew, unless SetAddress has just
-// started one.
+// Watch starts or stops watching for changes. If the client restarts lost watches itself (Times.FreshnessBound is set), Watch(true)
+// does nothing while a watch is open, starting or due for a restart. Otherwise it replaces the current watch with a new one, unless
+// SetAddress has just started one.
 func (c *Client) Watch(on bool) {
 	c.watchWanted = on
 	if !on {
@@ -70,13 +70,13 @@
 	c.restartWatch()
 }
 
-// restartWatch starts a watch in place of whatever there is.
+// restartWatch closes the current watch and its standby, if any, and starts a new watch.
 func (c *Client) restartWatch() {
 	c.stopWatches()
 	c.watch = c.newWatch()
 }
 
-// stopWatches ends all watches but the previous address's, and cancels those that are due.
+// stopWatches closes all watches except that of the previous address, and cancels a restart that is due.
 func (c *Client) stopWatches() {
 	c.closeStandby()
 	c.cancelRestart()
@@ -91,12 +91,12 @@
 	c.restartTimer = nil
 }
 
-// newWatch starts a call for the changes since the latest list.
+// newWatch requests the changes since the latest list.
 func (c *Client) newWatch() *call {
 	return c.newCall(listPath+"?watch=1&from="+strconv.FormatInt(c.Generation, 10), true)
 }
 
-// Fetch asks for the whole list once.
+// Fetch requests the whole list once.
 func (c *Client) Fetch() { c.newFetch() }
 
 func (c *Client) newFetch() *call {
@@ -108,10 +108,10 @@
 	return fetch
 }
 
-// SetAddress changes to another discovery without a gap: the watch at the old address is followed until the new one brings a
-// list, so that no change is missed meanwhile. How the old watch ends is not reported. Generations of two discoveries
-// do not compare, so the new one is asked for everything. A change back to an address whose watch is still followed resumes
-// that watch, without a call.
+// SetAddress switches to another discovery server. The watch of the old address stays open until the new address sends a list, so
+// that no change is missed in between; its end is not reported. Generations of two discovery servers are not comparable, so the
+// whole list is requested from the new one. Switching back to an address whose watch is still open resumes that watch without a
+// new call.
 func (c *Client) SetAddress(addr string) {
 	if addr == c.Addr {
 		return
@@ -138,7 +138,7 @@
 		c.closePreviousWatch()
 		watch.listGeneration = generation
 		c.previousWatch = watch
-		c.Loop.Cancel(watch.probeTimer)
+		c.Loop.Cancel(watch.idleTimer)
 	} else if watch != nil {
 		watch.close()
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-// repeatFetches asks the new address for what the old one was asked for.
+// repeatFetches restarts the fetches in progress at the new address, except those that the client started itself.
 func (c *Client) repeatFetches() {
 	for _, fetch := range slices.Collect(maps.Keys(c.fetches)) {
 		fetch.close()
@@ -158,7 +158,7 @@
 	}
 }
 
-// resumePreviousWatch follows the previous address's watch again, from its latest list.
+// resumePreviousWatch makes the previous address's watch the current one again, at the generation of its latest list.
 func (c *Client) resumePreviousWatch(previous *call) {
 	if c.watch != nil {
 		c.watch.close()
@@ -170,7 +170,7 @@
 	previous.onBytes()
 }
 
-// HasSynced reports whether the discovery at Addr has brought a list since SetAddress.
+// HasSynced reports whether the discovery at Addr has sent a list since the latest SetAddress.
 func (c *Client) HasSynced() bool { return !c.awaitingNewAddress }
 
 func (c *Client) closePreviousWatch() {
@@ -189,21 +189,21 @@
 	}
 }
 
-// startStandby starts a watch beside one that has stalled, with half of the usual time to connect.
+// startStandby starts a watch next to a stalled one. It must connect within half of CallTimeout.
 func (c *Client) startStandby() {
 	c.standbyAttempts++
 	standby := c.newWatch()
 	c.standby = standby
 	c.Loop.Cancel(c.standbyTimer)
 	c.afterPendingReads(&c.standbyTimer, c.times().CallTimeout/2, func() {
-		// One that has sent its request waits for its turn at discovery.
+		// A standby that has sent its request is kept: discovery may delay the response.
 		if c.standby == standby && standby.stage < requested {
 			standby.fail(timedOut.New("", "no connection in time"))
 		}
 	})
 }
 
-// promoteStandby puts the standby in place of a watch that has ended with err.
+// promoteStandby makes the standby the current watch after the watch lost ended with err.
 func (c *Client) promoteStandby(lost *call, err error) {
 	c.watch = c.standby
 	c.standby = nil
@@ -212,8 +212,8 @@
 	c.closeStandby()
 }
 
-// scheduleRestart starts a watch in place of a lost one, early enough that a change is known within the freshness bound. The
-// bound counts from when the lost watch may have missed something.
+// scheduleRestart schedules the restart of a lost watch, early enough that a change is known within the freshness bound. The bound
+// counts from the earliest time at which the lost watch may have missed a change.
 func (c *Client) scheduleRestart(lost *call, err error) {
 	times := c.times()
 	if !c.watchWanted || times.FreshnessBound == 0 {
@@ -222,7 +222,7 @@
 	now := c.Loop.Now()
 	elapsed := now - lost.missedSince(err)
 	if c.awaitingNewAddress {
-		// The tighter bound after a change of the address counts until it can no longer be kept.
+		// The tighter bound after a change of the address applies until it can no longer be met.
 		sinceChange := now - c.addressChangedAt + times.FreshnessBound - times.AddressChangeFreshnessBound
 		if sinceChange < times.latestCallStart() {
 			elapsed = max(elapsed, sinceChange)
@@ -237,7 +237,7 @@
 	c.lostWatches++
 }
 
-// accept passes a list on that discovery at Addr has sent.
+// accept passes on a list that the discovery at Addr has sent.
 func (c *Client) accept(list List, kind balancer.ListKind) {
 	c.Generation = list.Generation
 	c.SeenEndpoints = c.SeenEndpoints || len(list.Instances) > 0
@@ -245,16 +245,16 @@
 	c.OnList(list, kind)
 }
 
-// checkNotEmptied rejects a whole list without any endpoint where endpoints were known: it would drain all of them.
-func (c *Client) checkNotEmptied(list List, whole bool) error {
+// checkNotEmpty rejects a whole list without endpoints if endpoints are known, because it would drain all of them.
+func (c *Client) checkNotEmpty(list List, whole bool) error {
 	if whole && len(list.Instances) == 0 && c.SeenEndpoints {
-		return invalidList.New(listPlace, "the whole list is empty, the one in use stays")
+		return invalidList.New(listPlace, "the whole list is empty; the list in use stays")
 	}
 	return nil
 }
 
-// ownFetchPending reports whether the client itself has a fetch under way.
-func (c *Client) ownFetchPending() bool {
+// internalFetchPending reports whether a fetch that the client started itself is in progress.
+func (c *Client) internalFetchPending() bool {
 	for fetch := range c.fetches {
 		if fetch.internal {
 			return true
@@ -270,7 +270,7 @@
 	return c.Times
 }
 
-// randomWithin returns a random duration below span, drawn from this proxy's own source.
+// randomWithin returns a random duration from 0 to below span. Each client has its own source of random numbers.
 func (c *Client) randomWithin(span time.Duration) time.Duration {
 	if c.random == nil {
 		seed := c.Seed
@@ -282,13 +282,13 @@
 	return time.Duration(c.random.Float64() * float64(span))
 }
 
-// randomFraction returns a random number from 0 to below 1, in steps of a billionth.
+// randomFraction returns a random number from 0 to below 1, in steps of 1e-9.
 func (c *Client) randomFraction() float64 {
 	return float64(c.randomWithin(time.Second)) / float64(time.Second)
 }
 
-// afterPendingReads runs callback after the delay, unless the timer is canceled by what is read until then. After a pause of
-// the process timers come before reads, so the callback gets a further turn. The timer is kept in *timer.
+// afterPendingReads runs callback after the delay, once all pending reads have been handled; these may cancel the timer. After a
+// pause of the process the loop runs timers before reads, so the callback is deferred by one more turn. *timer holds the timer.
 func (c *Client) afterPendingReads(timer **evloop.Timer, delay time.Duration, callback func()) {
 	*timer = c.Loop.After(delay, func() { *timer = c.Loop.After(0, callback) })
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -41,17 +41,17 @@
 	}
 }
 
-// rig is a client on a loop of its own, a fake discovery that the test controls, and all that the client reports. The client's
+// harness is a client on a loop of its own, a fake discovery that the test controls, and all that the client reports. The client's
 // times are such that only the timers that the test is about come due.
-type rig struct {
+type harness struct {
 	*Client
 	t       *testing.T
 	calls   chan *fakeCall
 	reports chan string
 }
 
-func newRig(t *testing.T, times Times) *rig {
-	a := &rig{t: t, calls: make(chan *fakeCall, 16), reports: make(chan string, 16)}
+func newHarness(t *testing.T, times Times) *harness {
+	a := &harness{t: t, calls: make(chan *fakeCall, 16), reports: make(chan string, 16)}
 	end := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		k := &fakeCall{r.URL.RawQuery, make(chan string, 16), r.Context().Done(), t}
@@ -112,7 +112,7 @@
 }
 
 // runOnLoop runs f on the loop, in a turn of its own, and waits for it.
-func (a *rig) runOnLoop(f func()) {
+func (a *harness) runOnLoop(f func()) {
 	a.t.Helper()
 	done := make(chan struct{})
 	if err := a.Loop.Post(func() { f(); close(done) }); err != nil {
@@ -122,14 +122,14 @@
 }
 
 // nextCall waits for the next call, which must have this query.
-func (a *rig) nextCall(query string) *fakeCall {
+func (a *harness) nextCall(query string) *fakeCall {
 	a.t.Helper()
 	k := fakes.Await(a.t, a.calls)
 	testkit.Equal(a.t, "call", query, k.query)
 	return k
 }
 
-func (a *rig) expectReports(want ...string) {
+func (a *harness) expectReports(want ...string) {
 	a.t.Helper()
 	for _, w := range want {
 		got := fakes.Await(a.t, a.reports)
@@ -141,9 +141,9 @@
 	}
 }
 
-// newRigWithStalledWatch returns a rig whose watch has brought generation 2 and half an object, and then nothing.
-func newRigWithStalledWatch(t *testing.T, times Times) (*rig, *fakeCall) {
-	a := newRig(t, times)
+// newHarnessWithStalledWatch returns a rig whose watch has brought generation 2 and half an object, and then nothing.
+func newHarnessWithStalledWatch(t *testing.T, times Times) (*harness, *fakeCall) {
+	a := newHarness(t, times)
 	a.runOnLoop(func() { a.Watch(true) })
 	old := a.nextCall("watch=1&from=1")
 	old.respond(fakes.List(2, false) + "\n" + `{"generation":3,"ins`)
@@ -154,12 +154,12 @@
 // standbySoonTimes starts a standby within milliseconds; all else takes longer than any test.
 var standbySoonTimes = Times{CallTimeout: time.Hour, StandbyAfter: time.Millisecond, Jitter: time.Millisecond, WatchTimeout: time.Hour}
 
-const standbyNotice = "noted: discovery: the watch timed out (*/registry/instances?watch=1&from=1, object 2, 20 bytes of it); another one has taken its place"
+const standbyNotice = "noted: discovery: the watch timed out (*/registry/instances?watch=1&from=1, object 2, 20 bytes of it); the standby watch has replaced it"
 
 // TestStalledWatchIsReplaced: a standby is started beside a stalled watch, from the known generation, and takes its place when it
 // brings something, however late that is. That is no failure.
 func TestStalledWatchIsReplaced(t *testing.T) {
-	a, old := newRigWithStalledWatch(t, standbySoonTimes)
+	a, old := newHarnessWithStalledWatch(t, standbySoonTimes)
 	second := a.nextCall("watch=1&from=2")
 	a.runOnLoop(func() {})
 	old.expectOpen()
@@ -174,7 +174,7 @@
 
 // TestStalledWatchRecovers: what comes on the stalled watch counts; the standby is closed, and later ones are started later.
 func TestStalledWatchRecovers(t *testing.T) {
-	a, old := newRigWithStalledWatch(t, standbySoonTimes)
+	a, old := newHarnessWithStalledWatch(t, standbySoonTimes)
 	for i := range 8 {
 		second := a.nextCall(fmt.Sprintf("watch=1&from=%d", 2+i))
 		if i == 0 {
@@ -194,12 +194,12 @@
 func TestStandbyFails(t *testing.T) {
 	for _, last := range []bool{false, true} {
 		t.Run(fmt.Sprint(last), func(t *testing.T) {
-			a, old := newRigWithStalledWatch(t, standbySoonTimes)
+			a, old := newHarnessWithStalledWatch(t, standbySoonTimes)
 			a.nextCall("watch=1&from=2").respond("[503]")
 			third := a.nextCall("watch=1&from=2")
 			if old.expectOpen(); last {
 				third.respond("[503]")
-				a.expectReports("failed: discovery: the watch timed out (*from=1, object 2, 20 bytes of it), and asked anew: status 503 (*from=2, object 1)")
+				a.expectReports("failed: discovery: the watch timed out (*from=1, object 2, 20 bytes of it); the watch that replaced it failed: status 503 (*from=2, object 1)")
 				old.awaitClose()
 				a.runOnLoop(func() { a.Watch(true) }) // the module's answer
 				third = a.nextCall("watch=1&from=2")
@@ -222,7 +222,7 @@
 	for _, how := range []string{"silence", "reset"} {
 		for _, answer := range []string{"list", "none"} {
 			t.Run(how+" "+answer, func(t *testing.T) {
-				a, old := newRigWithStalledWatch(t, standbySoonTimes)
+				a, old := newHarnessWithStalledWatch(t, standbySoonTimes)
 				second := a.nextCall("watch=1&from=2")
 				lost := "the watch timed out"
 				if how == "silence" {
@@ -237,11 +237,11 @@
 				}
 				if answer == "list" {
 					second.respond(fakes.List(3, false) + "\n")
-					a.expectReports("noted: discovery: "+lost+" (*from=1, object 2, 20 bytes of it); another", "3 of kind 0")
+					a.expectReports("noted: discovery: "+lost+" (*from=1, object 2, 20 bytes of it); the standby", "3 of kind 0")
 					return
 				}
 				second.respond("")
-				a.expectReports("failed: discovery: " + lost + " (*from=1, object 2, 20 bytes of it), and asked anew: the response ended (*from=2, object 1)")
+				a.expectReports("failed: discovery: " + lost + " (*from=1, object 2, 20 bytes of it); the watch that replaced it failed: the response ended (*from=2, object 1)")
 			})
 		}
 	}
@@ -250,7 +250,7 @@
 // TestLossAndCancel: without a standby the loss is reported at once, and Watch then starts a watch; a watch that is canceled makes
 // no further calls.
 func TestLossAndCancel(t *testing.T) {
-	a, old := newRigWithStalledWatch(t, Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Millisecond})
+	a, old := newHarnessWithStalledWatch(t, Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Millisecond})
 	a.expectReports("failed: discovery: the watch timed out (*from=1, object 2, 20 bytes of it)")
 	old.awaitClose()
 	a.runOnLoop(func() {
@@ -271,8 +271,8 @@
 
 // TestAddressChangeWithStalledWatch: no further call goes to the old discovery, whose watch is followed to its end.
 func TestAddressChangeWithStalledWatch(t *testing.T) {
-	other := newRig(t, standbySoonTimes)
-	a, old := newRigWithStalledWatch(t, standbySoonTimes)
+	other := newHarness(t, standbySoonTimes)
+	a, old := newHarnessWithStalledWatch(t, standbySoonTimes)
 	second := a.nextCall("watch=1&from=2")
 	a.runOnLoop(func() { a.SetAddress(other.Addr) })
 	second.awaitClose()
@@ -285,8 +285,8 @@
 
 // TestAddressChangeAndBack: after a change back the watch at the first discovery goes on without a call, from its latest list.
 func TestAddressChangeAndBack(t *testing.T) {
-	other := newRig(t, standbySoonTimes)
-	a := newRig(t, Times{CallTimeout: fakes.WaitTimeout, StandbyAfter: fakes.WaitTimeout, Jitter: time.Second, WatchTimeout: fakes.WaitTimeout})
+	other := newHarness(t, standbySoonTimes)
+	a := newHarness(t, Times{CallTimeout: fakes.WaitTimeout, StandbyAfter: fakes.WaitTimeout, Jitter: time.Second, WatchTimeout: fakes.WaitTimeout})
 	addr := a.Addr
 	a.runOnLoop(func() { a.Watch(true) })
 	watch := a.nextCall("watch=1&from=1")
@@ -310,7 +310,7 @@
 
 // TestFetchTimesOut: a fetch that times out is repeated once, without a report; its list may be written in any way.
 func TestFetchTimesOut(t *testing.T) {
-	a := newRig(t, standbySoonTimes)
+	a := newHarness(t, standbySoonTimes)
 	a.runOnLoop(a.Fetch)
 	first := a.nextCall("")
 	silence := func() {
@@ -368,7 +368,7 @@
 
 func TestFailureKinds(t *testing.T) {
 	for answer, kind := range map[string]*apperror.Kind{"[503]": rejected, "": truncated, "{]\n": invalidList, "{}{\"generation\":-1}\n": invalidList} {
-		a := newRig(t, standbySoonTimes)
+		a := newHarness(t, standbySoonTimes)
 		a.Generation = 0
 		var got error
 		failed := a.OnFailure
--- a/internal/discovery/entry_decoder.go
+++ b/internal/discovery/entry_decoder.go
@@ -5,68 +5,68 @@
 	"slices"
 )
 
-// entryDecoder decodes the entries of a list's object while its bytes come, so that the work of a large list is spread over the
-// turns in which it is read. It knows the form that discovery writes, {"generation":N,"reset":B,"instances":[...]} with any white
-// space and its short members in any place, and gives up at any other: the whole object is then decoded at once, which also finds
-// what is wrong with it. The zero value is ready for use.
+// entryDecoder decodes the entries of a list as its bytes arrive, so that the work for a large list is spread over the turns of the
+// loop in which it is read. It supports the form that discovery writes, {"generation":N,"reset":B,"instances":[...]}, with any
+// whitespace and with the short members in any position. It stops at any other form; the caller then decodes the whole object at
+// once, which also finds errors. The zero value is ready for use.
 type entryDecoder struct {
-	position int // of the next byte that is not decoded
-	stage    decodeStage
-	header   int     // how many bytes precede the member of entries
-	entries  []Entry // decoded so far
+	nextByte     int // offset of the next byte to decode
+	stage        decodeStage
+	headerLength int     // number of bytes before the instances member
+	entries      []Entry // decoded so far
 }
 
-// decodeStage is how far an entryDecoder has come.
+// decodeStage is the progress of an entryDecoder.
 type decodeStage int
 
 const (
 	beforeEntries decodeStage = iota
-	amongEntries
-	afterEntries // the object is whole
-	givenUp
+	insideEntries
+	afterEntries    // the object is complete
+	unsupportedForm // the whole object must be decoded at once
 )
 
-// instancesMember begins the member with the entries, which is the last one.
+// instancesMember is the key of the entries.
 var instancesMember = []byte(`"instances"`)
 
 const (
-	// maxHeaderBytes is from how many bytes on an object without the member of entries is taken to be of another form.
+	// maxHeaderBytes bounds the bytes before the instances member; an object with a longer header has an unsupported form.
 	maxHeaderBytes = 256
-	// maxEntryBytes is the same for an entry without its end, so that bytes are looked at a bounded number of times.
+	// maxEntryBytes bounds an entry whose end has not arrived, so that each byte is scanned a bounded number of times.
 	maxEntryBytes = 4096
 )
 
-// advance decodes the entries that are whole in text, the object's bytes so far.
+// advance decodes the entries that are complete in text, the bytes of the object received so far.
 func (d *entryDecoder) advance(text []byte) {
 	if d.stage == beforeEntries {
 		d.readHeader(text)
 	}
-	for d.stage == amongEntries {
-		end := entryEnd(text[d.position:])
+	for d.stage == insideEntries {
+		end := entryEnd(text[d.nextByte:])
 		if end == 0 {
-			if len(text)-d.position > maxEntryBytes {
-				d.stage = givenUp
+			if len(text)-d.nextByte > maxEntryBytes {
+				d.stage = unsupportedForm
 			}
 			return
 		}
-		d.readEntry(text[d.position : d.position+end])
-		d.position += end
+		d.readEntry(text[d.nextByte : d.nextByte+end])
+		d.nextByte += end
 	}
 }
 
-// list returns the list once text, the whole object, has been decoded; false where it has to be decoded in another way.
+// list decodes the rest of text, the whole object, and returns the list. It returns false if the object has an unsupported form.
 func (d *entryDecoder) list(text []byte) (List, bool) {
 	d.advance(text)
-	if d.stage != amongEntries || len(d.entries) == 0 {
+	if d.stage != insideEntries || len(d.entries) == 0 {
 		return List{}, false
 	}
-	rest := bytes.TrimLeft(text[d.position:], whitespace)
+	rest := bytes.TrimLeft(text[d.nextByte:], whitespace)
 	if len(rest) == 0 || rest[0] != ']' || len(rest) > maxHeaderBytes {
 		return List{}, false
 	}
-	// What is left is a short object with an empty list.
+	// The object without its entries is short and has an empty list of instances.
 	var list List
-	if namesEntries(rest) || list.decode(slices.Concat(text[:d.header], instancesMember, []byte(":["), rest)) != nil {
+	if mayNameInstances(rest) || list.decode(slices.Concat(text[:d.headerLength], instancesMember, []byte(":["), rest)) != nil {
 		return List{}, false
 	}
 	d.stage = afterEntries
@@ -74,61 +74,61 @@
 	return list, true
 }
 
-// readHeader decodes what precedes the entries.
+// readHeader checks the bytes before the entries.
 func (d *entryDecoder) readHeader(text []byte) {
 	start := bytes.Index(text[:min(len(text), maxHeaderBytes)], instancesMember)
 	if start < 0 {
 		if len(text) >= maxHeaderBytes {
-			d.stage = givenUp
+			d.stage = unsupportedForm
 		}
 		return
 	}
 	rest := text[start+len(instancesMember):]
 	open := bytes.IndexByte(rest, '[')
 	if open < 0 {
-		return // it may come yet; the whole object is decoded where it does not
+		return // the bracket may arrive later; if it does not, the whole object is decoded at once
 	}
 	if string(bytes.TrimSpace(rest[:open])) != ":" {
-		d.stage = givenUp
+		d.stage = unsupportedForm
 		return
 	}
-	// A header that is no object with an empty list at its end is of another form, such as one with the member in a string.
+	// The header plus an empty list must be an object. It is none if, for example, the key was found inside a string.
 	var header List
-	if namesEntries(text[:start]) || header.decode(slices.Concat(text[:start], instancesMember, []byte(":[]}"))) != nil {
-		d.stage = givenUp
+	if mayNameInstances(text[:start]) || header.decode(slices.Concat(text[:start], instancesMember, []byte(":[]}"))) != nil {
+		d.stage = unsupportedForm
 		return
 	}
-	d.stage = amongEntries
-	d.header = start
-	d.position = start + len(instancesMember) + open + 1
+	d.stage = insideEntries
+	d.headerLength = start
+	d.nextByte = start + len(instancesMember) + open + 1
 }
 
-// namesEntries reports whether a text may name the entries again, in any case of letters or by escapes: such an object is of another
-// form.
-func namesEntries(text []byte) bool {
+// mayNameInstances reports whether text may contain the instances key once more, in any letter case or with escapes. An object with
+// such a duplicate key has an unsupported form.
+func mayNameInstances(text []byte) bool {
 	return bytes.Contains(bytes.ToLower(text), []byte("instances")) || bytes.IndexByte(text, '\\') >= 0
 }
 
-// readEntry decodes an entry with what precedes it.
+// readEntry decodes an entry, including the whitespace and the comma before it.
 func (d *entryDecoder) readEntry(text []byte) {
 	text = bytes.TrimLeft(text, whitespace)
 	if len(d.entries) > 0 {
 		if text[0] != ',' {
-			d.stage = givenUp
+			d.stage = unsupportedForm
 			return
 		}
 		text = bytes.TrimLeft(text[1:], whitespace)
 	}
 	var entry Entry
 	if text[0] != '{' || bytes.IndexByte(text, 0) >= 0 || json.Unmarshal(text, &entry) != nil {
-		d.stage = givenUp
+		d.stage = unsupportedForm
 		return
 	}
 	d.entries = append(d.entries, entry)
 }
 
-// entryEnd returns where the first entry of text ends, behind its closing brace; 0 where that has not come. An entry has no nested
-// objects in the form that is known: one that does ends too early here, and does not decode.
+// entryEnd returns the offset after the closing brace of the first entry in text, or 0 if the brace has not arrived. It does not
+// support nested objects: an entry that contains one is cut too early and fails to decode.
 func entryEnd(text []byte) int {
 	inString := false
 	for i := 0; i < len(text); i++ {
@@ -138,7 +138,7 @@
 		case c == '"':
 			inString = !inString
 		case !inString && c == ']':
-			return 0 // the end of the entries
+			return 0 // end of the array of entries
 		case !inString && c == '}':
 			return i + 1
 		}
--- a/internal/discovery/incremental_decoder.go
+++ b/internal/discovery/incremental_decoder.go
@@ -10,25 +10,25 @@
 	"example.org/micafront/internal/httpresponse"
 )
 
-// errAbandoned ends the coroutine of a decoder that is stopped before its object is whole. Nobody sees it.
-var errAbandoned = errors.New("the object is not read on")
+// errAbandoned ends the coroutine of a decoder that is stopped before its object is complete. It is never returned to callers.
+var errAbandoned = errors.New("the decoder was stopped before the end of the object")
 
-// incrementalDecoder decodes one object while its bytes come. The library's decoder pulls bytes and Feed pushes them, so the
-// decoder runs as a coroutine that pauses whenever it needs bytes that have not come. The coroutine ends with the object, with an
+// incrementalDecoder decodes one object as its bytes arrive. The decoder of encoding/json pulls bytes and Feed pushes them, so the
+// decoder runs as a coroutine that pauses when it needs bytes that have not arrived. The coroutine ends with the object, with an
 // error, or by stop.
 type incrementalDecoder struct {
-	object stdjson.RawMessage // once it is whole
-	bytes  int                // that the decoder has read
+	object    stdjson.RawMessage // set once it is complete
+	bytesRead int                // bytes that the decoder has read
 
-	input    []byte // the part of the current piece that the decoder has not read yet
-	trailing int    // bytes that the decoder has read and that follow the object
-	err      error  // of the decoder, once it has ended
+	unread   []byte // part of the current piece that the decoder has not read
+	trailing int    // bytes after the object that the decoder has read
+	err      error  // error of the decoder, set when the coroutine ends
 	resume   func() (struct{}, bool)
 	stop     func()
-	yield    func(struct{}) bool // the coroutine's: false once the object is abandoned
+	yield    func(struct{}) bool // pauses the coroutine; false once stop was called
 }
 
-// newIncrementalDecoder makes the decoder of one object. Its coroutine starts with the first Feed.
+// newIncrementalDecoder returns a decoder for one object. Its coroutine starts with the first Feed.
 func newIncrementalDecoder() *incrementalDecoder {
 	d := &incrementalDecoder{}
 	d.resume, d.stop = iter.Pull(func(yield func(struct{}) bool) {
@@ -42,26 +42,26 @@
 	return d
 }
 
-// Read implements io.Reader for the library's decoder. It pauses the coroutine until the next Feed where no byte is left.
+// Read implements io.Reader for the decoder of encoding/json. It pauses the coroutine until the next Feed if no byte is left.
 func (d *incrementalDecoder) Read(p []byte) (int, error) {
-	for len(d.input) == 0 {
+	for len(d.unread) == 0 {
 		if !d.yield(struct{}{}) {
 			return 0, errAbandoned
 		}
 	}
-	n := copy(p, d.input)
-	d.input = d.input[n:]
-	d.bytes += n
-	if d.bytes > httpresponse.MaxBody {
+	n := copy(p, d.unread)
+	d.unread = d.unread[n:]
+	d.bytesRead += n
+	if d.bytesRead > httpresponse.MaxBody {
 		return 0, httpresponse.ErrTooLong
 	}
 	return n, nil
 }
 
-// Feed hands the decoder the next piece. whole says that the object is whole; rest is the part of the piece that follows it. Its
-// errors are ErrInvalidList and httpresponse.ErrTooLong.
+// Feed passes the next piece to the decoder. It reports whether the object is whole, and returns the rest of the piece after it. Its
+// errors match ErrInvalidList or httpresponse.ErrTooLong.
 func (d *incrementalDecoder) Feed(data []byte) (rest []byte, whole bool, err error) {
-	d.input = data
+	d.unread = data
 	_, paused := d.resume()
 	switch {
 	case paused:
@@ -71,8 +71,9 @@
 	case d.err != nil:
 		return nil, false, invalidList.New(listPlace, "%s", oneLine(d.err))
 	}
-	return data[len(data)-len(d.input)-d.trailing:], true, nil
+	return data[len(data)-len(d.unread)-d.trailing:], true, nil
 }
 
-// oneLine returns an error's text without control characters: the library's errors quote what it read, and are logged.
+// oneLine returns the text of an error without control characters, because errors of the JSON libraries quote the input and are
+// logged.
 func oneLine(err error) string { return apperror.OneLine(err.Error()) }
--- a/internal/discovery/object_stream.go
+++ b/internal/discovery/object_stream.go
@@ -10,27 +10,27 @@
 
 const (
 	whitespace      = " \t\r\n"
-	maxQuotedBytes  = 16 // how much of what is no object an error quotes
-	retryLineFactor = 2  // a line without an end is tried again once it has grown by this factor
+	maxQuotedBytes  = 16 // bytes of invalid input that an error quotes
+	retryLineFactor = 2  // growth of an unfinished line after which it is decoded again
 )
 
-// objectStream finds the JSON objects in a response's body, however they are indented and cut into pieces. Discovery writes an
-// object a line, so a line is tried as an object first. Where that fails its bytes go to the standard library's decoder, which
-// finds the object's end, or the first byte that cannot be right. Each byte is looked at a bounded number of times whatever the
-// pieces, and nothing is buffered between objects. The zero value is ready for use.
+// objectStream finds the JSON objects in a response body, regardless of their indentation and of how the body is split into pieces.
+// Discovery writes one object per line, so a line is decoded as an object first. If that fails, its bytes go to the decoder of the
+// standard library, which finds the end of the object or the first invalid byte. Each byte is scanned a bounded number of times
+// however the body is split, and nothing is buffered between objects. The zero value is ready for use.
 type objectStream struct {
-	line        []byte              // of a line that has not ended
-	triedLength int                 // of the line when it was last tried
-	decoder     *incrementalDecoder // of an object that is not one line; nil: none is under way
-	text        []byte              // of that object so far
-	entries     entryDecoder        // of the object that is under way
-	multiline   bool                // the current line is not one object
-	closed      bool
+	line            []byte              // bytes of the unfinished line; nil: none
+	lastTriedLength int                 // length of the unfinished line when it was last decoded
+	decoder         *incrementalDecoder // decoder of an object that spans lines; nil: no such object is in progress
+	text            []byte              // bytes of that object received so far
+	entryDecoder    entryDecoder        // entries of the object in progress
+	multiline       bool                // the current line does not consist of a single object
+	closed          bool
 }
 
-// Feed parses the next piece of the body. It calls onWhitespace where there is any between objects, which is what an idle watch
-// brings, and onObject for each object, until the stream is closed or onObject returns an error. Its own errors are ErrInvalidList and
-// httpresponse.ErrTooLong.
+// Feed parses the next piece of the body. It calls onWhitespace for whitespace between objects, which is all that an idle watch
+// sends, and onObject for each object, until the stream is closed or onObject returns an error. Its own errors match ErrInvalidList
+// or httpresponse.ErrTooLong.
 func (s *objectStream) Feed(data []byte, onWhitespace func(), onObject func(List) error) error {
 	for !s.closed {
 		if s.decoder == nil && s.line == nil {
@@ -43,7 +43,7 @@
 				return nil
 			}
 			if data[0] != '{' {
-				return invalidList.New(listPlace, "no object begins with %q", data[:min(len(data), maxQuotedBytes)])
+				return invalidList.New(listPlace, "expected a JSON object, got %q", data[:min(len(data), maxQuotedBytes)])
 			}
 		}
 		list, rest, err := s.readObject(data)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// skipWhitespace returns what follows the whitespace at the start of a piece.
+// skipWhitespace returns the piece without leading whitespace.
 func (s *objectStream) skipWhitespace(data []byte) []byte {
 	n := 0
 	for n < len(data) && strings.IndexByte(whitespace, data[n]) >= 0 {
@@ -68,8 +68,8 @@
 	return data[n:]
 }
 
-// readObject parses a piece of an object. It returns nil until the object is whole, and then the object and the part of the piece
-// that follows it.
+// readObject parses a piece of an object. It returns nil until the object is complete, and then the object and the rest of the
+// piece.
 func (s *objectStream) readObject(data []byte) (list *List, rest []byte, err error) {
 	if s.decoder == nil && !s.multiline {
 		end := bytes.IndexByte(data, '\n')
@@ -94,13 +94,13 @@
 	return s.decodeObject(data)
 }
 
-// decodeLine decodes a line that is a whole object; false where it is none.
+// decodeLine decodes a line and reports whether it is a complete object.
 func (s *objectStream) decodeLine(line []byte) (list List, ok bool) {
 	if checkLength(line) != nil {
 		return list, false
 	}
-	if s.line != nil { // it came in pieces
-		if list, ok = s.entries.list(line); ok {
+	if s.line != nil { // the line arrived in pieces
+		if list, ok = s.entryDecoder.list(line); ok {
 			return list, true
 		}
 	}
@@ -108,22 +108,22 @@
 	return list, err == nil
 }
 
-// extendLine keeps a piece of a line that has not ended. The line may be a whole object all the same, which it returns then; else
-// nil. It is tried once it has grown by retryLineFactor, so that each of its bytes is read twice at most for that.
+// extendLine buffers a piece of an unfinished line. If the line is a complete object already, it returns the object, otherwise nil.
+// It decodes the line again only when it has grown by retryLineFactor, so that each byte is read at most twice on average.
 func (s *objectStream) extendLine(data []byte) (*List, error) {
 	s.line = append(s.line, data...)
-	s.entries.advance(s.line)
-	if list, ok := s.entries.list(s.line); ok && checkLength(s.line) == nil {
+	s.entryDecoder.advance(s.line)
+	if list, ok := s.entryDecoder.list(s.line); ok && checkLength(s.line) == nil {
 		s.resetLine()
 		s.multiline = true
 		return &list, list.validate()
 	}
-	if s.entries.stage == amongEntries {
+	if s.entryDecoder.stage == insideEntries {
 		return nil, checkLength(s.line)
 	}
-	mayBeWhole := data[len(data)-1] == '}' && len(s.line) >= retryLineFactor*s.triedLength && checkLength(s.line) == nil
+	mayBeWhole := data[len(data)-1] == '}' && len(s.line) >= retryLineFactor*s.lastTriedLength && checkLength(s.line) == nil
 	if mayBeWhole {
-		s.triedLength = len(s.line)
+		s.lastTriedLength = len(s.line)
 		if stdjson.Valid(s.line) {
 			list, err := ParseList(s.line)
 			s.resetLine()
@@ -134,11 +134,11 @@
 	return nil, checkLength(s.line)
 }
 
-// decodeObject feeds the incremental decoder. It returns what readObject does.
+// decodeObject feeds the incremental decoder. Its results are those of readObject.
 func (s *objectStream) decodeObject(data []byte) (*List, []byte, error) {
 	if s.decoder == nil {
 		s.decoder = newIncrementalDecoder()
-		s.entries = entryDecoder{}
+		s.entryDecoder = entryDecoder{}
 	}
 	rest, whole, err := s.decoder.Feed(data)
 	if err != nil {
@@ -146,36 +146,36 @@
 	}
 	if !whole {
 		s.text = append(s.text, data...)
-		s.entries.advance(s.text)
+		s.entryDecoder.advance(s.text)
 		return nil, rest, nil
 	}
 	list, err := s.parseWhole(s.decoder.object)
 	s.decoder = nil
 	s.text = nil
-	s.entries = entryDecoder{}
+	s.entryDecoder = entryDecoder{}
 	return &list, rest, err
 }
 
-// parseWhole parses the text of an object whose entries have been decoded as far as they came in earlier pieces.
+// parseWhole parses the text of a complete object. It reuses the entries decoded from earlier pieces.
 func (s *objectStream) parseWhole(text []byte) (List, error) {
-	if list, ok := s.entries.list(text); ok {
+	if list, ok := s.entryDecoder.list(text); ok {
 		return list, list.validate()
 	}
 	return ParseList(text)
 }
 
-// resetLine forgets the line that was kept.
+// resetLine discards the buffered line.
 func (s *objectStream) resetLine() {
 	s.line = nil
-	s.triedLength = 0
-	s.entries = entryDecoder{}
+	s.lastTriedLength = 0
+	s.entryDecoder = entryDecoder{}
 }
 
-// End is called at the end of the response, which ends a line too. It returns the object in that line; found is false where there
-// is none. Its errors are ErrInvalidList.
+// End handles the end of the response, which also ends the last line. It returns the object in that line; found reports whether
+// there is one. Its errors match ErrInvalidList.
 func (s *objectStream) End() (list List, found bool, err error) {
 	if s.decoder != nil {
-		return list, false, invalidList.New(listPlace, "the response ended before its object did")
+		return list, false, invalidList.New(listPlace, "the response ended before the end of its object")
 	}
 	if s.line == nil {
 		return list, false, nil
@@ -184,15 +184,15 @@
 	return list, true, err
 }
 
-// Pending returns how many bytes of an object that is not whole have come.
+// Pending returns the number of received bytes of an incomplete object.
 func (s *objectStream) Pending() int {
 	if s.decoder != nil {
-		return s.decoder.bytes
+		return s.decoder.bytesRead
 	}
 	return len(s.line)
 }
 
-// Close ends the stream: nothing more is passed on, and the decoder's coroutine ends.
+// Close ends the stream: Feed calls no callback any more, and the coroutine of the decoder ends.
 func (s *objectStream) Close() {
 	s.closed = true
 	if s.decoder != nil {
@@ -200,7 +200,7 @@
 	}
 }
 
-// checkLength fails with httpresponse.ErrTooLong where an object is too long.
+// checkLength returns httpresponse.ErrTooLong if an object is too long.
 func checkLength(text []byte) error {
 	if len(text) > httpresponse.MaxBody {
 		return httpresponse.ErrTooLong
--- a/internal/discovery/times_test.go
+++ b/internal/discovery/times_test.go
@@ -51,7 +51,7 @@
 	const most = 0.999999
 	for _, late := range []time.Duration{0, u.Jitter / 4, u.Jitter / 2, 3 * u.Jitter / 4, u.Jitter} {
 		for _, fraction := range []float64{0, 0.5, most} {
-			first := u.probeDelay(late, fraction)
+			first := u.standbyDelay(late, fraction)
 			if first < u.StandbyAfter+late || first > u.latestCallStart() {
 				t.Errorf("lines %v late, chance %v: a second call is begun after %v", late, fraction, first)
 			}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,7 +16,7 @@
 // TestLostWatchIsRestarted: the client restarts a lost watch in its own time, whatever the poll interval; a call of Watch meanwhile
 // means that same watch.
 func TestLostWatchIsRestarted(t *testing.T) {
-	a := newRig(t, restartSoonTimes)
+	a := newHarness(t, restartSoonTimes)
 	a.runOnLoop(func() {
 		a.PollInterval = time.Millisecond
 		a.Watch(true)
@@ -47,7 +47,7 @@
 
 // TestFetchedListIsAhead: a fetched list may be ahead of the watch; older objects that the watch then brings are passed over.
 func TestFetchedListIsAhead(t *testing.T) {
-	a := newRig(t, Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour})
+	a := newHarness(t, Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour})
 	a.runOnLoop(func() { a.Watch(true) })
 	watch := a.nextCall("watch=1&from=1")
 	watch.respond(fakes.List(2, false) + "\n")
@@ -67,7 +67,7 @@
 // TestAddressChangeBeforeAnyList: a watch that has brought lists is followed until another one brings a list.
 func TestAddressChangeBeforeAnyList(t *testing.T) {
 	times := Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour}
-	third, second, a := newRig(t, times), newRig(t, times), newRig(t, times)
+	third, second, a := newHarness(t, times), newHarness(t, times), newHarness(t, times)
 	a.runOnLoop(func() { a.Watch(true) })
 	first := a.nextCall("watch=1&from=1")
 	first.respond(fakes.List(2, false) + "\n")
@@ -92,7 +92,7 @@
 // TestAddressChangeDuringOwnFetch: the client's own fetch is not repeated at the new address.
 func TestAddressChangeDuringOwnFetch(t *testing.T) {
 	times := Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour}
-	third, second, a := newRig(t, times), newRig(t, times), newRig(t, times)
+	third, second, a := newHarness(t, times), newHarness(t, times), newHarness(t, times)
 	a.runOnLoop(func() { a.Watch(true) })
 	a.nextCall("watch=1&from=1")
 	a.runOnLoop(func() { a.SetAddress(second.Addr) })
@@ -110,7 +110,7 @@
 // TestResponseWhileProcessIsStopped: a response that came while the process was stopped counts, although its call's time is over.
 func TestResponseWhileProcessIsStopped(t *testing.T) {
 	const limit = time.Second
-	a := newRig(t, Times{CallTimeout: limit, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour})
+	a := newHarness(t, Times{CallTimeout: limit, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour})
 	var begun time.Time
 	a.runOnLoop(func() {
 		begun = time.Now()
@@ -128,7 +128,7 @@
 
 // TestAddressChangeToUnreachable: a new address that does not answer is retried within the tighter bound, and after that as usual.
 func TestAddressChangeToUnreachable(t *testing.T) {
-	other, a := newRig(t, restartSoonTimes), newRig(t, restartSoonTimes)
+	other, a := newHarness(t, restartSoonTimes), newHarness(t, restartSoonTimes)
 	a.runOnLoop(func() { a.Watch(true) })
 	a.nextCall("watch=1&from=1").respond(fakes.List(2, false) + "\n")
 	a.expectReports("2 of kind 0")
@@ -147,7 +147,7 @@
 // endpoint stays that only the old discovery listed.
 func TestAddressChangeWhereFetchFails(t *testing.T) {
 	times := Times{CallTimeout: time.Hour, StandbyAfter: time.Hour, Jitter: time.Hour, WatchTimeout: time.Hour}
-	other, a := newRig(t, times), newRig(t, times)
+	other, a := newHarness(t, times), newHarness(t, times)
 	a.runOnLoop(func() { a.Watch(true) })
 	a.nextCall("watch=1&from=1")
 	a.runOnLoop(func() { a.SetAddress(other.Addr) })
@@ -175,7 +175,7 @@
 
 // TestAddressChangeAfterRefusal: where the address changes before the next call is due, the new address is called at once.
 func TestAddressChangeAfterRefusal(t *testing.T) {
-	a := newRig(t, restartSoonTimes)
+	a := newHarness(t, restartSoonTimes)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
