--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -14,7 +14,7 @@
 	"example.org/micafront/internal/evloop"
 )
 
-// goldenProxy answers what the fixtures hold.
+// goldenProxy is a Proxy with the state that the fixtures contain.
 type goldenProxy struct {
 	ready bool
 	level string
@@ -35,13 +35,13 @@
 	return nil
 }
 
-// TestGoldenAnswers compares each whole answer, its head included, with the bytes that the program gave before its Go
-// names changed. The fixtures are never rewritten.
+// TestGoldenAnswers compares each response, including its header, with a fixture that pins the wire format. The fixtures are
+// never rewritten.
 func TestGoldenAnswers(t *testing.T) {
 	for _, c := range []struct {
 		fixture, request string
 		ready            bool
-		call             string // what the proxy was asked to do
+		call             string // expected call of the proxy; "": none
 	}{
 		{"ready_yes.http", "GET /api/ready", true, ""},
 		{"ready_no.http", "GET /api/ready", false, ""},
@@ -64,12 +64,12 @@
 		proxy := &goldenProxy{ready: c.ready, level: "warn"}
 		compareAnswer(t, proxy, c.request+" HTTP/1.1\r\nHost: localhost\r\n\r\n", c.fixture)
 		if c.call == "" && len(proxy.calls) > 0 || c.call != "" && (len(proxy.calls) != 1 || proxy.calls[0] != c.call) {
-			t.Errorf("%s: the proxy was asked for %q, not for %q", c.request, proxy.calls, c.call)
+			t.Errorf("%s: got calls %q of the proxy, want %q", c.request, proxy.calls, c.call)
 		}
 	}
 }
 
-// TestGoldenParseErrors does the same for requests that the parser rejects.
+// TestGoldenParseErrors compares the responses to requests that the parser rejects with fixtures.
 func TestGoldenParseErrors(t *testing.T) {
 	for fixture, request := range map[string]string{
 		"refused_version.http":  "GET /api/ready HTTP/2\r\n\r\n",
@@ -94,7 +94,7 @@
 	}
 }
 
-// roundTrip sends a request to a server of its own and reads the answer to its end.
+// roundTrip starts a server, sends it a request and returns the whole response.
 func roundTrip(t *testing.T, proxy Proxy, request string) []byte {
 	t.Helper()
 	loop, err := evloop.New()
--- a/internal/admin/http.go
+++ b/internal/admin/http.go
@@ -7,34 +7,35 @@
 	"strings"
 )
 
-// Bounds, in bytes, on the two parts of a request.
+// Limits, in bytes, on the two parts of a request.
 const (
 	maxHead = 4 << 10
-	maxBody = 4 << 10 // no route needs a body; one that a client library sends along is ignored
+	maxBody = 4 << 10 // routes ignore bodies, but some client libraries send one
 )
 
-// request is the request line of a whole request.
+// request contains the method and the path of a complete request.
 type request struct {
 	method string
 	path   string
 }
 
-// parseError is a request that is rejected by the parser itself, with its HTTP status.
+// parseError is a rejection of a request by the parser, with the status and the text of the response.
 type parseError struct {
 	status int
 	text   string
 }
 
-// parser reads one HTTP/1.x request, however its bytes are split.
+// parser parses one HTTP/1.x request, which may arrive in pieces of any size.
 type parser struct {
-	buf        []byte   // what has been received and not been read yet
-	request    *request // nil until the whole head has been read
+	buf        []byte   // received bytes that have not been parsed
+	request    *request // nil until the header has been parsed
 	bodyLength int
 	chunked    bool
-	headOnly   bool // the method is HEAD: the answer has no body
+	headOnly   bool // the method is HEAD, so the response has no body
 }
 
-// feed adds bytes and returns the request once it has come with its body; nil until then. An error is final.
+// feed adds received bytes. It returns nil until the request and its body are complete, and then the request. The parser must not
+// be used after an error.
 func (p *parser) feed(b []byte) (*request, *parseError) {
 	p.buf = append(p.buf, b...)
 	if p.request == nil {
@@ -51,7 +52,7 @@
 	return nil, nil
 }
 
-// readHead takes the head off the buffer and sets the request, if the head has come in full.
+// readHead parses the request line and header fields and removes them from the buffer, once they are complete.
 func (p *parser) readHead() *parseError {
 	const separator = "\r\n\r\n"
 	p.buf = bytes.TrimLeft(p.buf, "\r\n") // RFC 9112, section 2.2
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// bodyComplete reports whether the buffer holds the whole body. Of a chunked one only the last chunk is looked for. Data that
-// looks like it ends the body early, which does no harm: bodies are ignored, and so is what follows a request.
+// bodyComplete reports whether the buffer contains the whole body. In a chunked body it only searches for the last chunk. Data that
+// looks like a last chunk ends the body early, which is harmless because bodies and bytes after a request are ignored.
 func (p *parser) bodyComplete() bool {
 	if !p.chunked {
 		return len(p.buf) >= p.bodyLength
@@ -80,7 +81,7 @@
 
 var errNotUnderstood = &parseError{http.StatusBadRequest, "not understood"}
 
-// parseHead reads a request line and the header fields below it, and sets the request.
+// parseHead parses a request line and the header fields after it, and sets the request.
 func (p *parser) parseHead(head string) *parseError {
 	lines := strings.Split(head, "\r\n")
 	words := strings.Split(lines[0], " ")
@@ -102,10 +103,10 @@
 	return nil
 }
 
-// parseFields reads from the header fields how the body is sent. A request with two lengths, or with a length and chunks, is
-// rejected: it does not say where it ends.
+// parseFields gets the length or the encoding of the body from the header fields. It rejects a request with two lengths, or with
+// both a length and chunks, because its end is ambiguous.
 func (p *parser) parseFields(lines []string) *parseError {
-	lengths := 0 // Content-Length fields
+	lengths := 0 // number of Content-Length fields
 	for _, line := range lines {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// targetPath is the path of a request target in origin or absolute form, without its query.
+// targetPath returns the path, without the query, of a request target in origin or absolute form.
 func targetPath(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	if rest, ok := strings.CutPrefix(path, "http://"); ok {
--- a/internal/admin/http_test.go
+++ b/internal/admin/http_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// FuzzRequestInPieces feeds a request whole and in pieces: the result is the same, and the buffer stays bounded.
+// FuzzRequestInPieces checks that a request that arrives in pieces is parsed like one that arrives at once, and that the buffer stays
+// bounded.
 func FuzzRequestInPieces(f *testing.F) {
 	for _, s := range []string{
 		"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n", "\r\n\r\nHEAD http://x/api/ready?a=b HTTP/1.0\r\n\r\n",
@@ -14,7 +15,7 @@
 		f.Add([]byte(s), 3)
 	}
 	f.Fuzz(func(t *testing.T, text []byte, piece int) {
-		if len(text) > maxHead { // beyond it, the bound that is exceeded may depend on the pieces
+		if len(text) > maxHead { // for longer text, which limit is exceeded first may depend on the pieces
 			text = text[:maxHead]
 		}
 		parse := func(step int) (req request, status int) {
@@ -28,7 +29,7 @@
 				case got != nil:
 					return *got, 200
 				case len(p.buf) > maxHead+maxBody:
-					t.Fatalf("%d bytes are buffered", len(p.buf))
+					t.Fatalf("%d bytes are buffered, more than both limits together", len(p.buf))
 				}
 				b = b[n:]
 			}
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -2,13 +2,13 @@
 
 import "net/http"
 
-// route is what the server does at a path. GET routes answer HEAD too.
+// route is the handler of a path. GET routes also answer HEAD.
 type route struct {
 	method string
 	serve  func(Proxy) response
 }
 
-// routes are the server's routes by path.
+// routes maps paths to routes.
 var routes = makeRoutes()
 
 func makeRoutes() map[string]route {
@@ -47,7 +47,7 @@
 	return ok([]byte("logged from " + level + " on\n"))
 }
 
-// dispatch returns the answer of the route that a request names.
+// dispatch returns the response of the route for a request.
 func (s *Server) dispatch(req *request) response {
 	r, known := routes[req.path]
 	if !known {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin is the proxy's HTTP endpoint for operators: readiness, telemetry, drain control and the log level. It
-// speaks HTTP/1.1 on the proxy's own event loop, one request to a connection, so that it needs no locks and answers
-// while the proxy serves; few connections are open at a time, and each has a time limit.
+// Package admin serves the proxy's HTTP endpoint for operators: readiness, telemetry, drain control and the log level. It
+// serves HTTP/1.1 on the proxy's event loop, with one request per connection, so that it needs no locks. The number of
+// open connections and the duration of each are limited.
 package admin
 
 import (
@@ -12,38 +12,38 @@
 	"example.org/micafront/internal/evloop"
 )
 
-// Proxy is what the endpoint needs of the proxy. All methods are called on the event loop.
+// Proxy is the part of the proxy that the endpoint uses. All methods are called on the event loop.
 type Proxy interface {
-	Ready() bool       // whether this process can serve
-	Telemetry() []byte // a name=value line for each metric
-	Evacuate()         // migrates clients away
+	Ready() bool       // reports whether this process can serve
+	Telemetry() []byte // returns a name=value line for each metric
+	Evacuate()         // migrates clients to other proxies
 	Rejoin()           // ends an evacuation
 
-	LogLevel() string              // the least severe level that is logged
-	SetLogLevel(name string) error // to debug, info, warn or error
+	LogLevel() string              // returns the least severe level that is logged
+	SetLogLevel(name string) error // sets the level to debug, info, warn or error
 }
 
 const (
-	// maxClients are connected at a time. A further one waits in the kernel until the oldest has had minClientTime, and then
-	// takes its place.
+	// maxClients limits the open connections. A further client waits in the kernel's accept queue until the oldest one has
+	// been connected for minClientTime, and then replaces it.
 	maxClients     = 8
 	minClientTime  = 50 * time.Millisecond
-	requestTimeout = 5 * time.Second // for one request, until its answer has been read
+	requestTimeout = 5 * time.Second // from the connect until the client has read the response
 )
 
-// Server answers operators' requests.
+// Server serves the requests of operators.
 type Server struct {
 	loop     *evloop.Loop
 	listener *evloop.Listener
 	proxy    Proxy
-	clients  list.List // of *client, the oldest first
+	clients  list.List // elements are *client, the oldest first
 }
 
-// Listen starts a server at addr, a host and port, on the event loop. It serves until the loop ends.
+// Listen starts a server on the event loop that listens at addr, a host and port. It serves until the loop ends.
 func Listen(loop *evloop.Loop, addr string, p Proxy) (*Server, error) {
 	s := &Server{loop: loop, proxy: p}
 	var err error
-	ignoreAcceptErrors := func(error) {} // the client's connect fails or waits
+	ignoreAcceptErrors := func(error) {} // the client's connect fails or stays in the accept queue
 	if s.listener, err = loop.Listen(addr, s.accept, ignoreAcceptErrors); err != nil {
 		return nil, err
 	}
@@ -51,26 +51,26 @@
 	return s, nil
 }
 
-// canAccept reports whether one more client may connect now; else it waits in the kernel, for minClientTime at most.
+// canAccept reports whether one more client can be accepted now. Otherwise it waits in the accept queue, for at most minClientTime.
 func (s *Server) canAccept() bool {
 	return s.clients.Len() < maxClients || s.loop.Now()-s.oldest().connectedAt >= minClientTime
 }
 
-// oldest is the connected client that came first. There must be one.
+// oldest returns the client that has been connected longest. There must be one.
 func (s *Server) oldest() *client { return s.clients.Front().Value.(*client) }
 
-// Addr is the host and port that the server listens at.
+// Addr returns the host and port at which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr() }
 
-// client is one operator's connection.
+// client is the connection of an operator.
 type client struct {
 	server      *Server
 	conn        *evloop.Conn
 	parser      parser
-	element     *list.Element // in Server.clients; nil once it has been removed
+	element     *list.Element // in Server.clients; nil once removed
 	timeout     *evloop.Timer
 	connectedAt time.Duration
-	answered    bool
+	answered    bool // the response has been written
 }
 
 func (s *Server) accept(conn *evloop.Conn) evloop.Handler {
@@ -83,10 +83,10 @@
 	return c
 }
 
-// Opened is part of evloop.Handler.
+// Opened implements evloop.Handler.
 func (c *client) Opened() {}
 
-// Data is part of evloop.Handler.
+// Data implements evloop.Handler.
 func (c *client) Data(b []byte) {
 	if c.answered {
 		return
@@ -100,14 +100,14 @@
 	}
 }
 
-// Drained is part of evloop.Handler.
+// Drained implements evloop.Handler.
 func (c *client) Drained() {
 	if c.answered && c.conn.IsEnded() {
 		c.close()
 	}
 }
 
-// Ended is part of evloop.Handler.
+// Ended implements evloop.Handler.
 func (c *client) Ended() {
 	if !c.answered {
 		c.respond(response{status: http.StatusBadRequest, body: []byte("the call is not whole\n")})
@@ -117,7 +117,7 @@
 	}
 }
 
-// Closed is part of evloop.Handler.
+// Closed implements evloop.Handler.
 func (c *client) Closed(error) { c.untrack() }
 
 func (c *client) close() {
@@ -125,7 +125,7 @@
 	c.conn.Close()
 }
 
-// untrack takes the client off the server's list and stops its timer.
+// untrack removes the client from the server's list and cancels its timeout.
 func (c *client) untrack() {
 	c.server.loop.Cancel(c.timeout)
 	if c.element != nil {
@@ -134,8 +134,8 @@
 	}
 }
 
-// reasons are the reason phrases of the statuses in use, by RFC 9110; net/http has an older one for 413.
-var reasons = map[int]string{
+// reasonPhrases maps status codes to the reason phrases of RFC 9110. net/http has an older phrase for 413.
+var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusBadRequest:                  "Bad Request",
 	http.StatusNotFound:                    "Not Found",
@@ -147,18 +147,18 @@
 	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
 }
 
-// response is an answer. allow is the value of the Allow field, which is left out where it is "".
+// response is an HTTP response. allow is the value of the Allow field; "" omits the field.
 type response struct {
 	status int
 	allow  string
 	body   []byte
 }
 
-// respond writes the one answer and ends this side of the connection. The whole is closed once the client has ended its
-// side: closing over bytes that it still sends would reset the connection and could take the answer along.
+// respond writes the response and closes the write side of the connection. The connection is closed once the client has closed
+// its side: closing it earlier, while the client still sends, would reset the connection and could discard the response.
 func (c *client) respond(r response) {
 	c.answered = true
-	out := []byte("HTTP/1.1 " + strconv.Itoa(r.status) + " " + reasons[r.status] + "\r\n")
+	out := []byte("HTTP/1.1 " + strconv.Itoa(r.status) + " " + reasonPhrases[r.status] + "\r\n")
 	if r.allow != "" {
 		out = append(out, "Allow: "+r.allow+"\r\n"...)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
 // Package config reads the configuration of a proxy: the EDGE_* environment variables and the file that EDGE_CONFIG
-// names, which is JSON or a site that a compiler turns into JSON.
+// names. The file is JSON, or a site file that a compiler converts to JSON.
 //
-// Load and Reload either return a Config that has been checked as a whole or an error; they change nothing. Each error
-// has a kind of package apperror with a resolution. The program and internal/proxy use a Config; internal/configbundle
-// and internal/controlplane use the functions for its parts.
+// Load and Reload return either a fully validated Config or an error; they have no side effects. Each error has a kind of
+// package apperror with a resolution. The main program and internal/proxy use a Config; internal/configbundle and
+// internal/controlplane use the functions for its parts.
 package config
 
 import (
@@ -20,7 +20,7 @@
 // jsonCodec decodes configurations by the rules of encoding/json.
 var jsonCodec = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Names of the environment variables. All but EDGE_CONFIG and TMPDIR override a member of the file.
+// Names of the environment variables. All except EDGE_CONFIG and TMPDIR override a member of the file.
 const (
 	envConfig    = "EDGE_CONFIG"
 	envName      = "EDGE_NAME"
@@ -32,32 +32,32 @@
 
 // Config is the configuration of one proxy process.
 type Config struct {
-	Name           string // of the proxy
+	Name           string // name of the proxy
 	Listen         string // address of the main listener
 	Discovery      string // address of the discovery service
 	AdminAddr      string // address of the admin endpoint; "" disables it
-	Seed           uint64 // of the balancers' random numbers
+	Seed           uint64 // seed of the balancers' random numbers
 	MemoryMB       int    // memory limit of the process, in MiB; 0: none
-	MaxDescriptors int    // limit on open file descriptors; 0: that of the process
-	// InitialEndpoints is the endpoint list to begin with, before discovery answers.
+	MaxDescriptors int    // limit on open file descriptors; 0: the limit of the process
+	// InitialEndpoints is the endpoint list in use until discovery responds.
 	InitialEndpoints discovery.List
 	Settings         balancer.Settings
-	// LoadIsLatency says how to read an endpoint's load report: some sites report latency but no load, and there the
-	// number is the latency of a message in milliseconds.
+	// LoadIsLatency reports whether the number in an endpoint's load report is the latency of a message in milliseconds.
+	// Endpoints of some sites report latency but no load.
 	LoadIsLatency bool
-	// Routes assigns connections to pools. A file without routes has one pool of all endpoints.
+	// Routes assigns connections to pools. Without routes in the file, one pool contains all endpoints.
 	Routes *routing.Table
-	// Fleet says how to reach the control plane; nil: there is none, and the file's settings and routes are active.
+	// Fleet configures the control plane; nil: there is none, and the file's settings and routes are active.
 	Fleet *Fleet
 
-	// TempDir is the directory for what two processes on one machine share; "": none.
+	// TempDir is the directory for files that two processes on one machine share; "": none.
 	TempDir string
 
-	fileDiscovery string     // discovery address in the file, before the environment overrides it
-	document      jsonObject // the whole file, whose keys Reload requires of the next one
+	fileDiscovery string     // discovery address in the file, which the environment may override
+	document      jsonObject // the whole file; Reload requires its keys in the next file
 }
 
-// file is the JSON form of the configuration. Members that other packages decode are kept as text.
+// file is the JSON form of the configuration. Members that other packages decode remain text.
 type file struct {
 	Name      string              `json:"name"`
 	Listen    string              `json:"listen"`
@@ -71,26 +71,26 @@
 	Fleet     jsoniter.RawMessage `json:"fleet"`
 }
 
-// fileLimits are the limits of the process; 0: none.
+// fileLimits contains the limits of the process; 0: none.
 type fileLimits struct {
 	MemoryMB int `json:"memory_mb"` // MiB
 	Sockets  int `json:"sockets"`   // descriptors
 }
 
-// emptyList is the endpoint list of a file without one.
+// emptyList is the endpoint list used if the file contains none.
 const emptyList = `{"instances":[]}`
 
-// Load reads the environment and the file that EDGE_CONFIG names. The environment overrides the file. For a site it runs the
-// compiler, for up to compileTimeout.
+// Load reads the environment and the file that EDGE_CONFIG names. The environment overrides the file. For a site file it
+// runs the compiler, for up to compileTimeout.
 func Load(env func(string) string) (*Config, error) { return load(env, nil) }
 
-// Reload reads the file again while the program runs. It differs from Load in two ways: a discovery address that has
-// changed in the file overrides the environment, which nobody can change for a running process; and the file must still
-// have all keys of the one that c was read from.
+// Reload reads the file again while the program runs. It differs from Load in two ways. A discovery address that has changed
+// in the file overrides the environment, because the environment of a running process cannot be changed. The file must
+// contain all keys of the file that c was read from.
 func (c *Config) Reload(env func(string) string) (*Config, error) { return load(env, c) }
 
-// ValidateAddress returns an error if addr is not a numeric IP address and port. Port 0, which lets the system choose one, is
-// valid only for an address to listen at. The error has no kind: the caller's says whose address it is.
+// ValidateAddress returns an error if addr is not a numeric IP address and port. Port 0, which lets the system choose a port,
+// is valid only if listens is set. The error has no kind; the caller adds one and names the member.
 func ValidateAddress(addr string, listens bool) error {
 	host, portText, err := net.SplitHostPort(addr)
 	port, portErr := strconv.ParseUint(portText, 10, 16)
@@ -101,11 +101,11 @@
 	return nil
 }
 
-// load reads the configuration; previous is the one in use, nil at the start of the program.
+// load reads the configuration. previous is the configuration in use, or nil when the program starts.
 func load(env func(string) string, previous *Config) (*Config, error) {
 	path := env(envConfig)
 	if path == "" {
-		return nil, missingValue.New("", "EDGE_CONFIG is not set; micafront demo shows a whole site at work, micafront --help the commands")
+		return nil, missingValue.New("", "EDGE_CONFIG is not set; micafront demo runs an example site, micafront --help lists the commands")
 	}
 	text, compiled, err := readFile(path, env)
 	if err != nil {
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if previous != nil && !compiled { // the compiler has checked a site's keys
+	if previous != nil && !compiled { // the compiler has checked the keys of a site file
 		if err := checkDroppedKeys(previous.document, document, ""); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
@@ -143,7 +143,7 @@
 	return c, nil
 }
 
-// parseFile decodes the file into its members, and into the document that later files are compared with.
+// parseFile decodes the file into its members, and into the document with which the keys of later files are compared.
 func parseFile(path string, text []byte) (parsed file, document jsonObject, err error) {
 	if !jsonCodec.Valid(text) {
 		return parsed, nil, malformedMember.New(path, "not valid JSON")
@@ -157,7 +157,7 @@
 	return parsed, document, nil
 }
 
-// applyEnvironment overrides members by the environment and checks that all but the admin endpoint's address are set.
+// applyEnvironment overrides members with environment variables and checks that all except the admin address are set.
 func (c *Config) applyEnvironment(env func(string) string, previous *Config, path string) error {
 	for _, member := range []struct {
 		variable string
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// discoveryOverride returns the discovery address that overrides the file's: at the start of the program that of the
-// environment, later the one in use, unless the file's has changed.
+// discoveryOverride returns the discovery address that overrides the one in the file. When the program starts, this is the
+// address in the environment. On a reload it is the address in use, unless the address in the file has changed.
 func (c *Config) discoveryOverride(env func(string) string, previous *Config) string {
 	switch {
 	case previous == nil:
@@ -205,7 +205,7 @@
 	return checkAddress("operator", c.AdminAddr, true)
 }
 
-// checkAddress returns an error that names the member if its address is not valid.
+// checkAddress returns an error that names the member if its address is invalid.
 func checkAddress(member, addr string, listens bool) error {
 	if err := ValidateAddress(addr, listens); err != nil {
 		return invalidAddress.New("", "%s address %v", member, err)
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// decodeMembers decodes and checks all members of the file that no variable overrides.
+// decodeMembers decodes and checks the members of the file that no environment variable overrides.
 func (c *Config) decodeMembers(parsed file, path string) error {
 	var err error
 	if c.Seed, err = strconv.ParseUint(parsed.Seed, 16, 64); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,8 +20,8 @@
 	"Limits":{"AttemptsCap":2,"ConnectTimeout":1,"MaxOpen":1,"MaxRetryAfter":1},
 	"Invariants":{"AnswerSlack":0,"AskEvery":1,"Cold":1,"ColdFrom":1,"DrainGrace":1,"Fall":1,"OverloadFactor":1}}}`
 
-// FuzzLoad checks that a file is either loaded, and then fit for the balancer and the routes, or rejected with a
-// resolution, and that reading it again returns either a configuration or an error.
+// FuzzLoad checks that a file is either loaded, and then accepted by the balancer and the routes, or rejected with a
+// resolution, and that Reload returns either a configuration or an error.
 func FuzzLoad(f *testing.F) {
 	for _, text := range []string{
 		plainConfig,
@@ -57,13 +57,13 @@
 		if err == nil {
 			_, err := balancer.New(c.Settings, c.Seed)
 			if err != nil || c.Routes == nil || len(c.Routes.Set.Pools) == 0 {
-				t.Fatalf("%q is loaded: %v", text, err)
+				t.Fatalf("%q is loaded, but the balancer or the routes reject it: %v", text, err)
 			}
 		} else if len(apperror.Resolutions(err)) == 0 {
 			t.Fatalf("%q: %v has no resolution", text, err)
 		}
 		if reloaded, err := active.Reload(env); (reloaded == nil) == (err == nil) {
-			t.Fatalf("%q reloaded: %v and %v", text, reloaded, err)
+			t.Fatalf("%q: Reload returns %v and %v, want either a configuration or an error", text, reloaded, err)
 		}
 	})
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,7 +2,7 @@
 
 import "example.org/micafront/internal/apperror"
 
-// Kinds of errors for which a configuration is rejected. Routes have kinds of their own in package routing.
+// Kinds of errors in a configuration. Package routing defines the kinds of errors in routes.
 var (
 	missingValue    = apperror.NewKind("config/missing", "set what is named: the variable in the environment or the member in the file, as README.md lists them")
 	unreadableFile  = apperror.NewKind("config/unreadable", "see that EDGE_CONFIG names a file that this process may read, and beside a .cue file that micafrontctl lies beside the program, or MICAFRONT_TOOLS names it")
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,28 +13,27 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Fleet says how a proxy reaches the control plane and what it does without a lease. Without it the file's settings and
-// routes are active.
+// Fleet configures how a proxy reaches the control plane and how it behaves without a lease.
 type Fleet struct {
-	// ControlPlane lists the replicas' numeric addresses, which are tried in turn.
+	// ControlPlane contains the numeric addresses of the replicas, which are tried in turn.
 	ControlPlane []string
-	// Node is the proxy's name at the control plane, unique among all proxies.
+	// Node is the name of the proxy at the control plane, unique among all proxies.
 	Node string
-	// Mesh is the mesh whose imports decide which providers of a service the proxy uses; "": all of them.
+	// Mesh is the mesh whose imports determine which providers of a service the proxy uses; "": all providers.
 	Mesh  string
 	Terms fleetconfig.Terms
-	// MemoryMB is the most that the heap may hold while a version is being replaced, in MiB; 0: three quarters of the
-	// process's memory limit, above which the garbage collector does not let it grow.
+	// MemoryMB limits the heap, in MiB, while a version is being replaced; 0: three quarters of the process's memory limit,
+	// above which the garbage collector does not let the heap grow.
 	MemoryMB int
 }
 
-// Bounds of the record. Further bounds of its terms are in package fleetconfig.
+// Limits of the record. Package fleetconfig defines further limits of its terms.
 const (
-	maxMillis   = int64(time.Hour / time.Millisecond) // of each time
+	maxMillis   = int64(time.Hour / time.Millisecond) // limit on each duration, in milliseconds
 	maxReplicas = 16
 )
 
-// fleetFile is the JSON form of Fleet, with times in milliseconds. A pointer is nil where the file leaves the member out.
+// fleetFile is the JSON form of Fleet, with times in milliseconds. A pointer is nil if the file omits the member.
 type fleetFile struct {
 	Replicas         []string `json:"keepers"`
 	Node             *string  `json:"node"`
@@ -46,15 +45,15 @@
 	MemoryMB         int      `json:"memory_mb"`
 }
 
-// fleetErrors collects all faults of one record.
+// fleetErrors collects all errors in a record.
 type fleetErrors []error
 
-// add adds a fault of a member, named without the record's own name.
+// add adds an error in a member. The name of the member excludes the prefix "fleet.".
 func (e *fleetErrors) add(member, format string, args ...any) {
 	*e = append(*e, invalidFleet.New("fleet."+member, format, args...))
 }
 
-// decodeFleet decodes and checks the record; nil if there is none. A record without a node name has the proxy's.
+// decodeFleet decodes and checks the record, and returns nil if there is none. Node defaults to the name of the proxy.
 func decodeFleet(text jsoniter.RawMessage, proxyName string) (*Fleet, error) {
 	if len(text) == 0 {
 		return nil, nil
@@ -83,7 +82,7 @@
 	return fleet, errors.Join(faults...)
 }
 
-// setNames sets and checks the names of the proxy and of its mesh.
+// setNames sets and checks the names of the node and its mesh.
 func (f *Fleet) setNames(record fleetFile, faults *fleetErrors) {
 	if record.Node != nil {
 		f.Node = *record.Node
@@ -96,7 +95,7 @@
 	}
 	f.Mesh = *record.Mesh
 	if !catalog.ValidName(f.Mesh) {
-		// The text shows as much of the name as tells what is wrong with it.
+		// 140 bytes of the name suffice to show any of the errors, including the length.
 		faults.add("mesh", "%.140q is empty, over 128 bytes, or has a dot, a blank or a control character", f.Mesh)
 	}
 }
@@ -111,12 +110,12 @@
 		if err := ValidateAddress(addr, false); err != nil {
 			faults.add(member, "%v", err)
 		} else if slices.Contains(replicas[:i], addr) {
-			faults.add(member, "%q comes twice", addr)
+			faults.add(member, "%q is listed twice", addr)
 		}
 	}
 }
 
-// terms returns the terms that the file states, before defaults.
+// terms returns the terms in the file, without defaults.
 func (f *fleetFile) terms(faults *fleetErrors) fleetconfig.Terms {
 	terms := fleetconfig.Terms{
 		AgreementTimeout: millis("agree_within_ms", f.AgreementTimeout, faults),
@@ -131,14 +130,14 @@
 	if f.ClockDriftPPM != nil {
 		terms.ClockDriftPPM = *f.ClockDriftPPM
 		if terms.ClockDriftPPM == 0 {
-			faults.add("clock_drift_ppm", "no clock runs without any drift; leave it out for the default")
+			faults.add("clock_drift_ppm", "0 is invalid because every clock drifts; omit the key for the default")
 		}
 	}
 	return terms
 }
 
-// millis returns a time of the record, 0 for the default where it is left out. A 0 in the file is a fault: it would
-// silently become the default.
+// millis converts a member in milliseconds. It returns 0, which selects the default, if the file omits the member. A 0 in the
+// file is an error, because it would silently select the default.
 func millis(member string, value *int64, faults *fleetErrors) time.Duration {
 	if value == nil {
 		return 0
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -11,7 +11,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// TestFleetRecord decodes records with and without each optional member.
+// TestFleetRecord checks the decoding of records with and without each optional member.
 func TestFleetRecord(t *testing.T) {
 	for record, want := range map[string]*Fleet{
 		``: nil,
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestFleetRecordErrors checks that each fault names its member and has a resolution.
+// TestFleetRecordErrors checks that each error names its member and has a resolution.
 func TestFleetRecordErrors(t *testing.T) {
 	for record, want := range map[string]string{
 		`null`:                         "the record is null",
@@ -43,7 +43,7 @@
 		`{"keepers":["k"]}`:            `fleet.keepers[0]: "k" is not a numeric`,
 		`{"keepers":["127.0.0.1:0"]}`:  `"127.0.0.1:0" is not a numeric`,
 		`{"keepers":["localhost:70"]}`: `"localhost:70" is not a numeric`,
-		`{"keepers":["127.0.0.1:1","127.0.0.1:1"]}`:                                                        `fleet.keepers[1]: "127.0.0.1:1" comes twice`,
+		`{"keepers":["127.0.0.1:1","127.0.0.1:1"]}`:                                                        `fleet.keepers[1]: "127.0.0.1:1" is listed twice`,
 		`{"keepers":["127.0.0.1:1"],"agree_within":2}`:                                                     "agree_within",
 		`{"keepers":["127.0.0.1:1"],"agree_within_ms":0}`:                                                  "fleet.agree_within_ms: 0",
 		`{"keepers":["127.0.0.1:1"],"know_for_ms":99999999999}`:                                            "fleet.know_for_ms: 99999999999",
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -16,10 +16,10 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// goldenPath is a configuration file that sets every key. It is never rewritten: operators have such files.
+// goldenPath is a configuration file that sets every key. It is never rewritten, because operators have files of this format.
 var goldenPath = filepath.Join("testdata", "golden", "config.json")
 
-// goldenConfig is what the file means.
+// goldenConfig returns the expected decoding of the file.
 func goldenConfig() *Config {
 	return &Config{
 		Name: "proxy", Listen: "127.0.0.1:11", Discovery: "127.0.0.1:12", AdminAddr: "127.0.0.1:13", Seed: 0xfedcba9876543210,
@@ -97,7 +97,7 @@
 		t.Errorf("configuration (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]string{"field"}, got.Routes.FieldNames); diff != "" {
-		t.Errorf("fields of the first line (-want +got):\n%s", diff)
+		t.Errorf("fields that the routes match (-want +got):\n%s", diff)
 	}
 	for _, path := range testkit.UnsetPaths(*got) {
 		if path != "TempDir" { // from the environment
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestGoldenEnvironment pins the names of the variables, which override the file.
+// TestGoldenEnvironment pins the names of the environment variables, which override the file.
 func TestGoldenEnvironment(t *testing.T) {
 	got := loadGolden(t, map[string]string{
 		"EDGE_NAME": "other", "EDGE_LISTEN": "127.0.0.1:81", "EDGE_DISCOVERY": "127.0.0.1:82", "EDGE_OPERATOR": "127.0.0.1:83",
@@ -135,8 +135,8 @@
 	return c
 }
 
-// TestGoldenLoadLine pins the two keys that say how to read an endpoint's load report.
-func TestGoldenLoadLine(t *testing.T) {
+// TestGoldenLoadIsLatency pins the two keys that determine LoadIsLatency.
+func TestGoldenLoadIsLatency(t *testing.T) {
 	text, err := os.ReadFile(goldenPath)
 	if err != nil {
 		t.Fatal(err)
@@ -147,16 +147,16 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ tellsLoad, tellsDelay, want bool }{
+	for _, c := range []struct{ reportsLoad, reportsLatency, want bool }{
 		{false, false, false}, {false, true, true}, {true, false, false}, {true, true, false},
 	} {
-		file.Settings["FamilyInfo"] = map[string]any{"TellsLoad": c.tellsLoad, "TellsDelay": c.tellsDelay}
+		file.Settings["FamilyInfo"] = map[string]any{"TellsLoad": c.reportsLoad, "TellsDelay": c.reportsLatency}
 		settings, err := json.Marshal(file.Settings)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, got, err := DecodeSettings(settings); err != nil || got != c.want {
-			t.Errorf("TellsLoad %v, TellsDelay %v: load is delay %v, error %v", c.tellsLoad, c.tellsDelay, got, err)
+			t.Errorf("TellsLoad %v, TellsDelay %v: load is latency %v, error %v", c.reportsLoad, c.reportsLatency, got, err)
 		}
 	}
 }
--- a/internal/config/required_keys.go
+++ b/internal/config/required_keys.go
@@ -7,19 +7,17 @@
 	"strings"
 )
 
-// The simulator's wire decodes a missing member as 0. A file that a person wrote must be complete: a timeout that was
-// forgotten is not a timeout of 0.
-
-// jsonObject is a decoded JSON object whose keys are compared, not its values.
+// jsonObject is a decoded JSON object. Only its keys are checked.
 type jsonObject = map[string]any
 
-// settingsSection is an object of the settings, or an array of objects, and the keys that each of them must have.
+// settingsSection names an object, or an array of objects, in the settings, and the keys that each object must have.
 type settingsSection struct {
-	name string // of the member; "": the settings themselves
+	name string // key of the section; "": the settings object itself
 	keys []string
 }
 
-// requiredSections are all sections that have required keys.
+// requiredSections contains all sections with required keys. Keys are required because the decoder, which the simulator's wire
+// protocol shares, decodes a missing member as 0, and a forgotten timeout must not become a timeout of 0.
 var requiredSections = []settingsSection{
 	{"", []string{"Balancers", "Categories", "Discovery", "Invariants", "Limits"}},
 	{"Categories", []string{"Aim", "Credit", "Effect", "GiveUp", "Name"}},
@@ -27,7 +25,7 @@
 	{"Limits", []string{"AttemptsCap", "ConnectTimeout", "MaxOpen", "MaxRetryAfter"}},
 }
 
-// optionalKeys may be dropped by a file that is read while the program runs, wherever they stand.
+// optionalKeys contains keys that a file read by Reload may drop, at any depth.
 var optionalKeys = map[string]bool{"AimStretch": true, "Fleet": true}
 
 // checkRequiredKeys returns an error that names the first key of requiredSections that the settings lack.
@@ -72,8 +70,9 @@
 	return nil
 }
 
-// checkDroppedKeys returns an error that names a key that the previous value has and the next one lacks; path leads to
-// both, "" for the whole document. Elements of an array may come and go, but each needs the keys that all had before.
+// checkDroppedKeys returns an error that names a key that the previous value has and the next one lacks. path is the path of
+// both values, "" for the whole document. An array may gain and lose elements, but each element must have the keys that all
+// elements had before.
 func checkDroppedKeys(previous, next any, path string) error {
 	switch previous := previous.(type) {
 	case jsonObject:
@@ -112,7 +111,7 @@
 			return droppedKey.New("", "key %s is missing", memberPath)
 		}
 		if path == "" && key == "routing" {
-			continue // package routing says which keys routes need
+			continue // package routing checks the required keys of routes
 		}
 		if err := checkDroppedKeys(previous[key], value, memberPath); err != nil {
 			return err
@@ -121,7 +120,7 @@
 	return nil
 }
 
-// commonKeys returns an object of the keys that all elements have, nil where an element is not an object.
+// commonKeys returns an object with the keys that all elements have, or nil if an element is not an object.
 func commonKeys(elements []any) jsonObject {
 	var common jsonObject
 	for _, element := range elements {
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -7,8 +7,8 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// DecodeRoutes decodes the routes and fills in their defaults; an empty text has one pool of all endpoints. It checks the
-// form alone: routing.New checks the meaning.
+// DecodeRoutes decodes the routes and sets their defaults. For an empty text it returns one pool of all endpoints. It checks
+// only the JSON form; routing.New validates the routes.
 func DecodeRoutes(text []byte) (routing.Set, error) {
 	var set routing.Set
 	if len(text) > 0 {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,12 +8,12 @@
 	"example.org/micafront/internal/simwire"
 )
 
-// pushedListInterval is the discovery interval at sites whose lists are pushed. The interval applies at once, also after
-// an outage and in a new process: the balancer asks for a list within a quarter of it at the start, and after failures
-// within an eighth, growing to three quarters.
+// pushedListInterval is the discovery interval at sites whose lists are pushed. It is short because it also delays the first
+// list of a new process and the first one after an outage: the balancer requests a list within a quarter of the interval at the
+// start, and after failures within an eighth, growing to three quarters.
 const pushedListInterval = time.Second
 
-// settingsInfo is the part of the settings that says what endpoints report.
+// settingsInfo is the part of the settings that describes the load reports of endpoints.
 type settingsInfo struct {
 	FamilyInfo struct {
 		TellsLoad  bool
@@ -21,11 +21,11 @@
 	}
 }
 
-// loadIsLatency is described at Config.LoadIsLatency.
+// loadIsLatency returns the value of Config.LoadIsLatency.
 func (s settingsInfo) loadIsLatency() bool { return s.FamilyInfo.TellsDelay && !s.FamilyInfo.TellsLoad }
 
-// DecodeSettings decodes the settings object, checks that it is complete and valid, and returns it as a proxy on sockets needs
-// it. loadIsLatency is described at Config.LoadIsLatency.
+// DecodeSettings decodes the settings object, checks that it is complete and valid, and adapts it to a proxy that runs on
+// sockets instead of in the simulator. loadIsLatency is the value of Config.LoadIsLatency.
 func DecodeSettings(text []byte) (set balancer.Settings, loadIsLatency bool, err error) {
 	var document any
 	if err := jsonCodec.Unmarshal(text, &document); err != nil {
@@ -47,7 +47,7 @@
 	return subscribeToLists(set), info.loadIsLatency(), nil
 }
 
-// validateSettings joins what the balancer finds wrong with the settings and what is wrong with the names of classes.
+// validateSettings returns the errors of the balancer's validation and errors in the names of classes.
 func validateSettings(set balancer.Settings) error {
 	err := set.Validate()
 	if err != nil {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// subscribeToLists turns settings under which the simulator pushes lists into those of a proxy on sockets. There too a
-// list arrives only on a watch that the proxy has opened, and it has to open one at once and again after each failure.
+// subscribeToLists makes a proxy subscribe to lists where the simulator pushes them without a subscription. On sockets a list
+// arrives only on a watch that the proxy has opened, so the proxy must open one at the start and after each failure.
 func subscribeToLists(set balancer.Settings) balancer.Settings {
 	if !set.Subscribe {
 		set.Subscribe = true
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -8,8 +8,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestDiscoveryInterval checks that a proxy on sockets always subscribes to lists: at once where they are pushed, whatever
-// interval the settings have, and at the settings' interval where it must poll.
+// TestDiscoveryInterval checks that a proxy on sockets always subscribes to lists: with pushedListInterval if they are pushed,
+// regardless of the interval in the settings, and with that interval if they are polled.
 func TestDiscoveryInterval(t *testing.T) {
 	const settings = `{"Balancers":1,"Discovery":%q,"Categories":[{"Name":"feed","Aim":1,"GiveUp":2,"Credit":1,"Effect":"safe"}],
 		"Limits":{"AttemptsCap":1,"ConnectTimeout":1,"MaxOpen":1,"MaxRetryAfter":1},
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -12,26 +12,26 @@
 	"time"
 )
 
-// A site is compiled by a separate program, because what the site language needs would double this process's memory. The
-// compiler runs as a child process for a moment and prints the JSON form.
+// A separate program compiles site files, because the libraries of the site language would double this process's memory. The
+// compiler runs as a short-lived child process and prints the JSON form.
 
 const (
-	// toolsProgram lies beside this program, unless the environment variable toolsEnv names another path.
+	// toolsProgram is in the directory of this program, unless the environment variable toolsEnv names another path.
 	toolsProgram = "micafrontctl"
 	toolsEnv     = "MICAFRONT_TOOLS"
 
 	siteExtension = ".cue"
 )
 
-// Bounds on the compiler.
+// Limits on the compiler.
 const (
 	compileTimeout        = 90 * time.Second
-	compileWaitDelay      = time.Second // for its output to end after it was killed
+	compileWaitDelay      = time.Second // time for its output to end after it was killed
 	maxCompiledMiB        = 128
 	maxCompilerErrorBytes = 64 << 10
 )
 
-// readFile returns the JSON form of a configuration, and whether it was compiled from a site.
+// readFile returns the JSON form of a configuration and reports whether it was compiled from a site file.
 func readFile(path string, env func(string) string) (text []byte, compiled bool, err error) {
 	if !strings.HasSuffix(path, siteExtension) {
 		text, err = os.ReadFile(path)
@@ -45,8 +45,8 @@
 	return text, true, err
 }
 
-// compile runs the compiler on a site and returns what it prints. If the compiler finds the site wrong, the error is what it
-// reports, on one line.
+// compile runs the compiler on a site file and returns its output. If the compiler rejects the site, the error contains the
+// compiler's messages on one line.
 func compile(tools, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), compileTimeout)
 	defer cancel()
@@ -56,21 +56,21 @@
 	cmd.Stdout = output
 	cmd.Stderr = compilerErrors
 	cmd.WaitDelay = compileWaitDelay
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive this process
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the compiler must not outlive this process
 	if err := cmd.Run(); err != nil {
 		if text := strings.TrimSpace(compilerErrors.buffer.String()); text != "" && ctx.Err() == nil {
 			return nil, invalidSite.New("", "%s", strings.ReplaceAll(text, "\n", " | "))
 		}
-		return nil, invalidSite.Wrap(path, fmt.Errorf("compiling it: %w", err))
+		return nil, invalidSite.Wrap(path, fmt.Errorf("compile the site: %w", err))
 	}
 	if output.overflow {
-		return nil, invalidSite.New("", "%s compiles to over %d MiB", path, maxCompiledMiB)
+		return nil, invalidSite.New("", "%s compiles to more than %d MiB", path, maxCompiledMiB)
 	}
 	return output.buffer.Bytes(), nil
 }
 
-// ToolsPath returns the path of the program that has all commands but serving: the one that the environment names, or else
-// micafrontctl beside this program. It does not check that the program exists.
+// ToolsPath returns the path of the program with all commands except serving: the path in the environment, or else
+// micafrontctl in the directory of this program. It does not check that the program exists.
 func ToolsPath(env func(string) string) (string, error) {
 	if path := env(toolsEnv); path != "" {
 		return path, nil
@@ -79,9 +79,9 @@
 	return filepath.Join(filepath.Dir(self), toolsProgram), err
 }
 
-// boundedBuffer keeps what is written up to max bytes and drops the writes beyond.
+// boundedBuffer stores up to max bytes. It discards each write that would exceed them.
 type boundedBuffer struct {
-	buffer   bytes.Buffer // not embedded: io.Copy would use its ReadFrom, which has no bound
+	buffer   bytes.Buffer // not embedded, because io.Copy would then call its ReadFrom, which has no limit
 	max      int
 	overflow bool
 }
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -9,16 +9,16 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// TestBoundedBufferBoundsACommand: the bound holds for what a child process prints, which os/exec copies with io.Copy.
-func TestBoundedBufferBoundsACommand(t *testing.T) {
+// TestBoundedBufferLimitsCommandOutput checks the limit for the output of a child process, which os/exec copies with io.Copy.
+func TestBoundedBufferLimitsCommandOutput(t *testing.T) {
 	const printed = 100 << 10
 	for _, test := range []struct {
 		name     string
 		max      int
 		overflow bool
 	}{
-		{"below the bound", printed, false},
-		{"beyond the bound", printed / 2, true},
+		{"at the limit", printed, false},
+		{"above the limit", printed / 2, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			output := &boundedBuffer{max: test.max}
@@ -30,7 +30,7 @@
 			}
 			testkit.Equal(t, "overflow", test.overflow, output.overflow)
 			if output.buffer.Len() > test.max {
-				t.Errorf("%d bytes kept, the bound is %d", output.buffer.Len(), test.max)
+				t.Errorf("%d bytes are stored, want at most %d", output.buffer.Len(), test.max)
 			}
 		})
 	}
--- a/internal/configbundle/bundle.go
+++ b/internal/configbundle/bundle.go
@@ -1,7 +1,7 @@
 // Package configbundle decodes the body of a configuration version: settings, routes and catalog.
 //
-// Control-plane replicas validate a proposal with it and proxies prepare a version with it, so that what the one accepts
-// the other can read. It is pure, and does not compile the routes (internal/routing does).
+// Control-plane replicas validate proposals with this package and proxies prepare versions with it, so that proxies can decode
+// each version that the replicas accept. The package is pure. internal/routing compiles the routes.
 package configbundle
 
 import (
@@ -17,47 +17,47 @@
 	"example.org/micafront/internal/routing"
 )
 
-// Names of the sections of a body, as errors give them.
+// Names of the sections of a body in errors.
 const (
 	settingsSection = "settings"
 	routingSection  = "routing"
 	catalogSection  = "catalog"
 )
 
-// Locality is where the configuration is to be used: services are resolved for the proxies of a zone and a mesh.
+// Locality is the zone and the mesh of the proxies for which services are resolved.
 type Locality struct {
 	Zone string
-	Mesh string // "": providers of all meshes are used
+	Mesh string // "": providers of all meshes
 }
 
-// Bundle is a decoded body: what a proxy acts on once the routes are compiled.
+// Bundle is a decoded body with its services bound to pools.
 type Bundle struct {
 	Settings      balancer.Settings
-	LoadIsLatency bool           // the load that an endpoint reports is a latency (config.Config.LoadIsLatency)
-	Routing       routing.Set    // the routes, with services bound to pools; not compiled
-	Catalog       *catalog.State // nil: the version has none
-	Services      []Service      // those that the routes and policies name, sorted by name
+	LoadIsLatency bool           // see config.Config.LoadIsLatency
+	Routing       routing.Set    // routes with services bound to pools; not compiled
+	Catalog       *catalog.State // nil: the body contains none
+	Services      []Service      // services that the routes and policies name, sorted by name
 }
 
-// Service is a service that the routes name, as it was bound for the Locality.
+// Service is a service that the routes name, with the pools to which it is bound in a Locality.
 type Service struct {
 	Name        string
-	Pools       []string // by preference
-	Explanation string   // why these, as catalog.State.Explain says it
+	Pools       []string // names, in order of preference
+	Explanation string   // reason for the binding, from catalog.State.Explain
 	Conflict    bool     // other services claimed the name
 }
 
-// Decode decodes a body and binds its services for a place. An error names the section of the body (settings, routing,
+// Decode decodes a body and binds its services for a locality. An error names the section of the body (settings, routing,
 // catalog) and has the kind of the package that decodes that section.
-func Decode(body fleetconfig.Body, place Locality) (Bundle, error) {
+func Decode(body fleetconfig.Body, locality Locality) (Bundle, error) {
 	bundle, err := decode(body)
 	if err != nil {
 		return Bundle{}, err
 	}
-	return bundle.bind(place)
+	return bundle.bind(locality)
 }
 
-// decode decodes a body and leaves services as the routes name them.
+// decode decodes a body without binding its services.
 func decode(body fleetconfig.Body) (bundle Bundle, err error) {
 	if bundle.Settings, bundle.LoadIsLatency, err = config.DecodeSettings(body.Settings); err != nil {
 		return Bundle{}, withSection(settingsSection, err)
@@ -74,9 +74,9 @@
 	return bundle, nil
 }
 
-// bind returns the bundle with its services bound to the pools that a place uses. It fails where a service that the routes
-// name cannot be resolved there.
-func (b Bundle) bind(place Locality) (Bundle, error) {
+// bind returns the bundle with its services bound to the pools that a locality uses. It fails if a service that the routes
+// name cannot be resolved in that locality.
+func (b Bundle) bind(locality Locality) (Bundle, error) {
 	names := catalog.ServiceNames(&b.Routing)
 	if len(names) == 0 {
 		return b, nil
@@ -85,20 +85,20 @@
 		return Bundle{}, withSection(catalogSection,
 			catalog.UnknownService.New("", "the version has none, and its routes name service %.140q", names[0]))
 	}
-	bound, err := catalog.Rules{}.BindFor(b.Routing, b.Catalog, place.Zone, place.Mesh)
+	bound, err := catalog.Rules{}.BindFor(b.Routing, b.Catalog, locality.Zone, locality.Mesh)
 	if err != nil {
 		return Bundle{}, withSection(routingSection, err)
 	}
 	b.Routing = bound
 	for _, name := range names {
-		b.Services = append(b.Services, b.resolve(name, place))
+		b.Services = append(b.Services, b.resolve(name, locality))
 	}
 	return b, nil
 }
 
-// resolve returns a service as it was bound for a place. BindFor has found an entry for it in the catalog.
-func (b *Bundle) resolve(name string, place Locality) Service {
-	entry, providers := b.Catalog.ProvidersFor(place.Zone, place.Mesh, name)
+// resolve returns a service with the pools to which BindFor bound it. The catalog must contain an entry for it.
+func (b *Bundle) resolve(name string, locality Locality) Service {
+	entry, providers := b.Catalog.ProvidersFor(locality.Zone, locality.Mesh, name)
 	service := Service{Name: name, Explanation: b.Catalog.Explain(name), Conflict: len(entry.Conflicts) > 0}
 	for _, provider := range providers {
 		service.Pools = append(service.Pools, provider.Pool.Name)
@@ -106,7 +106,7 @@
 	return service
 }
 
-// withSection prefixes an error with the section of the body that it concerns, unless it begins with it already.
+// withSection prefixes an error with the section of the body, unless the error already starts with it.
 func withSection(section string, err error) error {
 	if strings.HasPrefix(err.Error(), section+": ") {
 		return err
--- a/internal/configbundle/bundle_test.go
+++ b/internal/configbundle/bundle_test.go
@@ -18,8 +18,8 @@
 	"Limits":{"AttemptsCap":1,"ConnectTimeout":1,"MaxOpen":1,"MaxRetryAfter":1},
 	"Invariants":{"AnswerSlack":0,"AskEvery":1,"Cold":1,"ColdFrom":1,"DrainGrace":1,"Fall":1,"OverloadFactor":1}}`
 
-// albumCatalog is the format of a catalog with a service of two providers, of which caroni imports only the one of thies. Its
-// argument is the text of further meshes, such as lagosMesh, which imports neither.
+// albumCatalog is the format string of a catalog with a service of two providers, of which the mesh caroni imports only the one in
+// thies. Its argument is the text of further meshes, such as lagosMesh, which imports neither provider.
 const albumCatalog = `{"number":7,"at":1,"entries":[{"name":"album","owner":"o","contract":"c","since":1,"standing":"held","cause":"sole",
 	"rivals":[{"mesh":"caroni","owner":"p","as":"album.caroni"}],
 	"homes":[{"mesh":"dakar","zones":["b"],"pool":{"name":"album.dakar","select":{}}},
@@ -28,7 +28,7 @@
 
 const lagosMesh = `,{"mesh":"lagos","import":[{"from":"caroni"}]}`
 
-// routesTo has one route to a pool or service.
+// routesTo returns routes with one route to a pool or service.
 func routesTo(pool string) string {
 	return fmt.Sprintf(`{"pools":[{"name":"x"}],"routes":[{"name":"r","to":[{"pool":%q,"ppm":1000000}]}]}`, pool)
 }
@@ -37,24 +37,26 @@
 	return fleetconfig.Body{Settings: json.RawMessage(settings), Routing: json.RawMessage(routes), Catalog: json.RawMessage(state)}
 }
 
-func TestServicesAreBoundForThePlace(t *testing.T) {
+// TestServicesAreBoundForLocality checks that a service is bound to the pools of its imported providers, those of the zone first, and
+// that a body without a catalog is valid if its routes name no service.
+func TestServicesAreBoundForLocality(t *testing.T) {
 	body := newBody(settings, routesTo("service:album"), fmt.Sprintf(albumCatalog, ""))
-	for place, want := range map[Locality][]string{
+	for locality, want := range map[Locality][]string{
 		{}:                               {"album.dakar", "album.thies"},
 		{Zone: "a"}:                      {"album.thies", "album.dakar"},
 		{Zone: "b"}:                      {"album.dakar", "album.thies"},
 		{Zone: "b", Mesh: "caroni"}:      {"album.thies"},
 		{Zone: "zone without providers"}: {"album.dakar", "album.thies"},
 	} {
-		bundle, err := Decode(body, place)
+		bundle, err := Decode(body, locality)
 		if err != nil {
-			t.Fatal(place, err)
+			t.Fatal(locality, err)
 		}
 		service := Service{Name: "album", Pools: want, Explanation: bundle.Catalog.Explain("album"), Conflict: true}
-		testkit.Equal(t, fmt.Sprintf("services for %+v", place), []Service{service}, bundle.Services)
-		testkit.Equal(t, fmt.Sprintf("route for %+v", place), want[0], bundle.Routing.Routes[0].To[0].Pool)
+		testkit.Equal(t, fmt.Sprintf("services for %+v", locality), []Service{service}, bundle.Services)
+		testkit.Equal(t, fmt.Sprintf("route for %+v", locality), want[0], bundle.Routing.Routes[0].To[0].Pool)
 		if _, err := routing.New(bundle.Routing); err != nil {
-			t.Errorf("%v does not compile: %v", place, err)
+			t.Errorf("%v does not compile: %v", locality, err)
 		}
 	}
 	bundle, err := decode(body)
@@ -67,6 +69,7 @@
 	}
 }
 
+// TestErrorsNameTheSection checks that an error starts with its section and has the kind of the package that decodes the section.
 func TestErrorsNameTheSection(t *testing.T) {
 	for prefix, test := range map[string]struct {
 		body fleetconfig.Body
@@ -85,13 +88,14 @@
 	} {
 		_, err := Decode(test.body, Locality{Mesh: test.mesh})
 		if err == nil || !strings.HasPrefix(err.Error(), prefix) || test.kind != nil && !test.kind.Of(err) {
-			t.Errorf("%v does not begin with %q", err, prefix)
+			t.Errorf("error %v does not start with %q or has the wrong kind", err, prefix)
 		}
 	}
 }
 
-// The memory of a decoded catalog is at most its estimate, and the estimate not much over twice the memory: it includes the
-// array that the entries outgrew while they were decoded, which lives until the next collection.
+// TestCatalogMemoryIsWithinItsEstimate checks that a decoded catalog uses at most the estimated memory, and that the estimate is at
+// most 2.25 times the memory in use. The estimate includes the smaller array that the decoder replaced while the entries grew, which
+// lives until the next garbage collection.
 func TestCatalogMemoryIsWithinItsEstimate(t *testing.T) {
 	for name, entry := range map[string]string{
 		"plain": `{"name":"s%06d","owner":"o","contract":"c","since":1,"standing":"held","cause":"sole","homes":[{"mesh":"a","zones":["z"],"pool":{"name":"s%[1]06d.a","select":{}}}]}`,
@@ -118,7 +122,7 @@
 		textBytes := float64(len(body.Catalog))
 		t.Logf("%s: memory per byte of text: %.2f in use, %.2f estimated", name, float64(inUse)/textBytes, float64(estimate)/textBytes)
 		if inUse > estimate || estimate > 2*inUse+inUse/4 {
-			t.Errorf("%s: a catalog of %d bytes uses %d, and %d are estimated", name, len(body.Catalog), inUse, estimate)
+			t.Errorf("%s: a catalog of %d bytes uses %d bytes of memory, and the estimate is %d", name, len(body.Catalog), inUse, estimate)
 		}
 		runtime.KeepAlive(bundle)
 		runtime.KeepAlive(body)
--- a/internal/configbundle/golden_test.go
+++ b/internal/configbundle/golden_test.go
@@ -13,7 +13,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// goldenSettings is what the settings of the fixture mean. Every field is set.
+// goldenSettings returns the expected settings of the fixture. Every field is set.
 func goldenSettings() balancer.Settings {
 	return balancer.Settings{Nodes: 7, NodeIndex: 2, Zone: "thies",
 		Classes: []balancer.Class{{Name: "album-feed", LatencyObjective: 300 * time.Millisecond, Timeout: 1200 * time.Millisecond,
@@ -32,7 +32,7 @@
 			IDPrefixes: []string{"s-"}, SizeFrom: 0.5, SizeTo: 2}}
 }
 
-// goldenSet is what the routes of the fixture mean before services are bound. Every field is set.
+// goldenSet returns the expected routes of the fixture before services are bound. Every field is set.
 func goldenSet() routing.Set {
 	condition := func(letter string) routing.StringMatcher {
 		return routing.StringMatcher{Exact: []string{letter + "1"}, Prefix: []string{letter + "-"}}
@@ -48,7 +48,7 @@
 		Listeners: map[string]string{"inner": "127.0.0.1:8082"}, DrainTimeout: 30_000_000}
 }
 
-// goldenCatalog is what the catalog of the fixture means: a service with every field set, and an alias of it.
+// goldenCatalog returns the expected catalog of the fixture: a service with every field set, and an alias of it.
 func goldenCatalog() *catalog.State {
 	return &catalog.State{Number: 12, At: 90 * time.Second,
 		Entries: []catalog.Entry{{Name: "mail", Owner: "team-post", Contract: "c-1", SinceState: 11, Status: "draining",
@@ -71,8 +71,8 @@
 	return body
 }
 
-// Every key of settings, routing and catalog is decoded to the field that it is meant for. The catalog's only unexported
-// field, its index, is left out of the comparison.
+// TestGoldenBodyDecoded checks that every key of settings, routing and catalog is decoded to its field. The comparison excludes the
+// catalog's only unexported field, its index.
 func TestGoldenBodyDecoded(t *testing.T) {
 	bundle, err := decode(goldenBody(t))
 	if err != nil {
@@ -81,14 +81,14 @@
 	testkit.CheckAllSet(t, "settings", reflect.ValueOf(goldenSettings()))
 	testkit.CheckAllSet(t, "routing", reflect.ValueOf(goldenSet()))
 	testkit.Equal(t, "settings", goldenSettings(), bundle.Settings)
-	testkit.Equal(t, "the load is a delay", true, bundle.LoadIsLatency)
+	testkit.Equal(t, "LoadIsLatency", true, bundle.LoadIsLatency)
 	testkit.Equal(t, "routing", goldenSet(), bundle.Routing)
 	want := goldenCatalog()
 	testkit.Equal(t, "catalog", []any{want.Number, want.At, want.Entries, want.Meshes},
 		[]any{bundle.Catalog.Number, bundle.Catalog.At, bundle.Catalog.Entries, bundle.Catalog.Meshes})
 }
 
-// The members of the fixture are the bytes that the routes and the catalog are encoded to.
+// TestGoldenBodyEncoded checks that the routes and the catalog are encoded to the bytes of the fixture.
 func TestGoldenBodyEncoded(t *testing.T) {
 	body := goldenBody(t)
 	for name, part := range map[string]struct {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Services are bound to their providers' pools, and the site's own pools stay.
+// TestGoldenBodyBound checks that services are bound to the pools of their providers, and that the pools of the body stay.
 func TestGoldenBodyBound(t *testing.T) {
 	bundle, err := Decode(goldenBody(t), Locality{Zone: "thies", Mesh: "thies"})
 	if err != nil {
@@ -118,20 +118,20 @@
 	testkit.Equal(t, "pools", []routing.Pool{goldenPool("thies"), goldenPool("mail.thies")}, bundle.Routing.Pools)
 }
 
-// Settings that are enumerated by name, and keys that take precedence over others.
+// TestGoldenSettingsEnumerations checks the decoding of enumerated settings and of keys that take precedence over others.
 func TestGoldenSettingsEnumerations(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(settings map[string]any)
-		want   func(want *balancer.Settings)
-		delay  bool
+		change        func(settings map[string]any)
+		want          func(want *balancer.Settings)
+		loadIsLatency bool
 	}{
-		"load reported": {delay: false,
+		"load reported": {loadIsLatency: false,
 			change: func(settings map[string]any) { settings["FamilyInfo"].(map[string]any)["TellsLoad"] = true },
 			want:   func(*balancer.Settings) {}},
-		"no statistics": {delay: true,
+		"no statistics": {loadIsLatency: true,
 			change: func(settings map[string]any) { settings["Stats"].(map[string]any)["How"] = "none" },
 			want:   func(want *balancer.Settings) { want.LoadReports = false }},
-		"safe, by zone": {delay: true,
+		"safe, by zone": {loadIsLatency: true,
 			change: func(settings map[string]any) {
 				class := settings["Categories"].([]any)[0].(map[string]any)
 				class["Effect"], class["DedupScope"] = "safe", "zone"
@@ -139,7 +139,7 @@
 			want: func(want *balancer.Settings) {
 				want.Classes[0].Idempotency, want.Classes[0].DedupScope = balancer.Idempotent, balancer.ScopeZone
 			}},
-		"unsafe, by all": {delay: true,
+		"unsafe, by all": {loadIsLatency: true,
 			change: func(settings map[string]any) {
 				class := settings["Categories"].([]any)[0].(map[string]any)
 				class["Effect"], class["DedupScope"] = "unsafe", "all"
@@ -167,7 +167,7 @@
 			want := goldenSettings()
 			test.want(&want)
 			testkit.Equal(t, "settings", want, bundle.Settings)
-			testkit.Equal(t, "the load is a delay", test.delay, bundle.LoadIsLatency)
+			testkit.Equal(t, "LoadIsLatency", test.loadIsLatency, bundle.LoadIsLatency)
 		})
 	}
 }
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,8 +1,8 @@
-// Package metrics holds the counters of one proxy and writes them in the two forms that operators read: the text of
-// GET /api/telemetry, a name=value line each, and the single line that the process writes on SIGUSR1 and at its end.
+// Package metrics contains the counters of a proxy and writes them in two forms: the text of GET /api/telemetry, with one
+// name=value line per metric, and the single line that the process writes on SIGUSR1 and when it exits.
 //
-// The proxy's event loop owns all counters; nothing here is safe for use from several goroutines. The printed names are
-// scraped and stay as they are, whatever the Go fields are called.
+// The proxy's event loop owns all counters; nothing here is safe for concurrent use. The printed names are scraped by
+// operators and must not change, even where they differ from the names of the Go fields.
 package metrics
 
 import (
@@ -10,87 +10,87 @@
 	"io"
 )
 
-// Counter counts events since the process started. Only the event loop's goroutine touches it.
+// Counter counts events since the process started. Only the goroutine of the event loop accesses it.
 type Counter int64
 
-// Counters are all counters of a proxy. Method named has the names and the order in which they are printed.
+// Counters contains all counters of a proxy. The method named defines the printed names and their order.
 type Counters struct {
 	AcceptedConnections Counter
 	ReadinessChecks     Counter
-	RequestsReceived    Counter // well-formed ones, each of which gets an ID of the proxy's own
+	RequestsReceived    Counter // well-formed requests, each of which is assigned a proxy-local ID
 	Reattached          Counter // of RequestsReceived: connections that were established before this process started
-	Resumed             Counter // of RequestsReceived: connections that are open at another endpoint already
+	Resumed             Counter // of RequestsReceived: connections that were already open at another endpoint
 
-	Attempts    Counter // whose first message has been written in full
+	Attempts    Counter // attempts whose first message has been written in full
 	Established Counter // attempts that the endpoint accepted
 
-	// Each attempt that has ended is counted in one of these.
+	// Each attempt that has ended is counted in exactly one of these.
 	OutcomeOK            Counter
 	OutcomeError         Counter
 	OutcomeFull          Counter // the endpoint had no capacity
 	OutcomeTimeout       Counter
 	OutcomeConnectFailed Counter
 	OutcomeReset         Counter
-	OutcomeCanceled      Counter // by the client or by the proxy
+	OutcomeCanceled      Counter // canceled by the client or by the proxy
 	OutcomeNotSent       Counter // the request never left this process
 
-	// Each request is counted in one of these at most.
+	// Each request is counted in at most one of these.
 	Completed          Counter
-	Rejected           Counter // with a time after which to retry
+	Rejected           Counter // with a time after which the client may retry
 	Failed             Counter
-	ClientDisconnected Counter // before its final answer
+	ClientDisconnected Counter // before the final answer
 
-	Migrations             Counter // that the balancer asked for
+	Migrations             Counter // migrations requested by the balancer
 	MigrationsUnresponsive Counter // away from an endpoint that no longer answers messages
-	MigrationsShutdown     Counter // as this process drains or stops
-	ClosedByEndpoint       Counter // established connections
+	MigrationsShutdown     Counter // because this process drains or stops
+	ClosedByEndpoint       Counter // established connections that the endpoint closed
 
 	BytesUpstream   Counter // to endpoints
 	BytesDownstream Counter // to clients
 
 	MalformedMessages Counter
 	OversizedMessages Counter
-	NoRequest         Counter // connections that were closed before they had sent a request
+	NoRequest         Counter // connections that were closed before a request was received
 	ResourceExhausted Counter // requests and connections that were rejected at a limit
 	AcceptErrors      Counter
-	DialErrors        Counter // connections to endpoints that could not be begun, mostly for lack of descriptors
-	SlowPeers         Counter // connections that were migrated or closed as a peer did not read
-
-	FullLists      Counter // endpoint lists that replaced the one before
-	DeltaLists     Counter // changes of the endpoint list
-	ListFailures   Counter // calls for the endpoint list
-	MalformedLists Counter // of ListFailures
-	LatencyReports Counter // latencies that were reported to the balancer
-	LoadReports    Counter // loads that were reported to the balancer
-	Reloads        Counter // of the configuration
+	DialErrors        Counter // connections to endpoints that could not be started, mostly for lack of file descriptors
+	SlowPeers         Counter // connections that were migrated or closed because a peer did not read
+
+	FullLists      Counter // whole endpoint lists, each of which replaced the previous one
+	DeltaLists     Counter // lists of changes to the endpoint list
+	ListFailures   Counter // failed calls for the endpoint list
+	MalformedLists Counter // of ListFailures: invalid lists
+	LatencyReports Counter // latencies reported to the balancer
+	LoadReports    Counter // loads reported to the balancer
+	Reloads        Counter // reloads of the configuration
 	ReloadErrors   Counter
 
-	UnknownClass     Counter // requests
-	DuplicateID      Counter // requests under the ID of one that is open
-	UnexpectedData   Counter // clients that sent more before they had their answer
-	Evicted          Counter // idle connections that were closed to make room
-	ImplausibleLoads Counter // load reports that were not believed
+	UnknownClass     Counter // requests of a class that is not in the settings
+	DuplicateID      Counter // requests with the ID of an open request
+	UnexpectedData   Counter // clients that sent more data before they received their answer
+	Evicted          Counter // idle connections that were closed to make room for new ones
+	ImplausibleLoads Counter // load reports that were ignored as implausible
 
 	NoRoute           Counter // requests that match no route
-	Fallbacks         Counter // requests that went on to their policy's next pool
-	PoolTransfers     Counter // connections whose endpoint changed its pool
-	MigrationsRetired Counter // off a pool that the configuration has dropped
+	Fallbacks         Counter // requests that fell back to the next pool of their policy
+	PoolTransfers     Counter // connections whose endpoint moved to another pool
+	MigrationsRetired Counter // migrations away from a pool that was removed from the configuration
 
-	LoadQueries       Counter // to endpoints, for their load reports
+	LoadQueries       Counter // queries to endpoints for load reports
 	LoadQueriesFailed Counter
 
-	// Established connections that went to another process at a hot restart, or came from one.
+	// Established connections that were sent to another process at a hot restart, or received from one.
 	ConnectionsHandedOver  Counter
 	ConnectionsTransferred Counter
 
-	OpenConnections Counter // a gauge: connections that are established now
-	Fleet           *Fleet  // nil where the proxy has no fleet record
+	OpenConnections Counter // gauge: currently established connections
+	Fleet           *Fleet  // nil if the configuration has no fleet record
 
 	classes outcomesByName
 	tenants outcomesByName
 }
 
-// outcomesByName are request outcomes by name, in the order in which the names were first used.
+// outcomesByName contains request outcomes by name, in the order in which the names were first used.
 type outcomesByName struct {
 	counts map[string]*RequestOutcomes
 	names  []string
@@ -119,35 +119,35 @@
 	return out
 }
 
-// appendMetric appends one line of the telemetry text.
+// appendMetric appends one name=value line of the telemetry text.
 func appendMetric(out []byte, name string, value any) []byte {
 	return fmt.Appendf(out, "%s=%v\n", name, value)
 }
 
-// RequestOutcomes are the final answers to one class's or one tenant's requests. Each request that was received ends in
-// at most one of them.
+// RequestOutcomes counts the final answers to the requests of one class or tenant. Each received request is counted in at
+// most one of them.
 type RequestOutcomes struct {
 	Completed Counter
 	Rejected  Counter
 	Failed    Counter
 }
 
-// Class returns the outcomes of a class, which are printed from the first call on. They stay when the settings drop
-// the class.
+// Class returns the outcomes of a class, which are printed from the first call on, even after the class is removed from
+// the settings.
 func (c *Counters) Class(name string) *RequestOutcomes { return c.classes.get(name) }
 
-// Tenant returns the outcomes of a tenant, as Class does those of a class. It is to be called for tenants in the
-// settings alone: names that clients make up must not fill the memory.
+// Tenant returns the outcomes of a tenant, which are printed from the first call on. It must be called only for tenants in
+// the settings, because each name uses memory and clients can send arbitrary names.
 func (c *Counters) Tenant(name string) *RequestOutcomes { return c.tenants.get(name) }
 
-// Gauges are the current values that operators read beside the counters.
+// Gauges contains the current values that are printed with the counters.
 type Gauges struct {
-	Pending              int // requests that wait for their answer, and established connections
-	Endpoints            int // in the endpoint list
-	EndpointsUnavailable int // of them, those that drain or are ejected
+	Pending              int // requests without a final answer, and established connections
+	Endpoints            int // endpoints in the endpoint list
+	EndpointsUnavailable int // of Endpoints: draining or ejected
 }
 
-// AppendMetrics appends the telemetry text: a name=value line each.
+// AppendMetrics appends one name=value line per metric.
 func (c *Counters) AppendMetrics(out []byte, gauges Gauges) []byte {
 	out = c.classes.appendMetrics(out, "svc.downstream_requests")
 	out = c.tenants.appendMetrics(out, "svc.tenant_requests")
@@ -159,7 +159,7 @@
 	return appendMetric(out, "svc.config_reload_errors", c.ReloadErrors)
 }
 
-// WriteLine writes all counters, those of the fleet included, as one line of name=value pairs.
+// WriteLine writes all counters, including those of the fleet, as one line of name=value pairs.
 func (c *Counters) WriteLine(w io.Writer) {
 	for _, counter := range c.named() {
 		fmt.Fprintf(w, "%s=%d ", counter.name, counter.value)
@@ -178,7 +178,7 @@
 	value Counter
 }
 
-// named returns the counters with their names, in the order of WriteLine.
+// named returns the counters with their printed names, in the order of WriteLine.
 func (c *Counters) named() []namedCounter {
 	return []namedCounter{
 		{"accepted", c.AcceptedConnections},
--- a/internal/metrics/endpoint_list.go
+++ b/internal/metrics/endpoint_list.go
@@ -2,16 +2,16 @@
 
 import "strconv"
 
-// EndpointListSource has the counters of a fleet's proxy about the source of its endpoint list: a control-plane replica, or
-// service discovery itself.
+// EndpointListSource contains the counters for the source of the endpoint list of a proxy with a control plane. The source is
+// a control-plane replica or service discovery.
 type EndpointListSource struct {
-	Switches             Counter // from one source to another
-	ControlPlaneFailures Counter // calls for lists at control-plane replicas that failed, and watches there that were lost
-	ListNumber           uint64  // of the control plane's list, by the latest lease; 0: it has none
+	Switches             Counter // changes from one source to another
+	ControlPlaneFailures Counter // failed calls to control-plane replicas for a list, and lost watches of them
+	ListNumber           uint64  // number of the control plane's list in the latest lease; 0: it has no list
 }
 
-// AppendMetrics appends the telemetry text: a name=value line each. replica is the index, from 0 on, of the control-plane
-// replica that the list is from; below 0 it is from service discovery.
+// AppendMetrics appends one name=value line per metric. replica is the index, from 0, of the control-plane replica that is
+// the source of the list; a negative index means service discovery.
 func (l *EndpointListSource) AppendMetrics(out []byte, replica int) []byte {
 	source := "discovery"
 	if replica >= 0 {
--- a/internal/metrics/fleet.go
+++ b/internal/metrics/fleet.go
@@ -2,28 +2,27 @@
 
 import "example.org/micafront/internal/fleetconfig"
 
-// Fleet are the counters of a proxy whose configuration its fleet agrees on.
+// Fleet contains the counters of a proxy that gets its configuration from the control plane.
 type Fleet struct {
-	Renewals        Counter // lease renewals that were sent to the control plane
+	Renewals        Counter // lease renewals sent to the control plane
 	RenewalFailures Counter
-	FetchFailures   Counter // fetches of a version's text
-	PrepareRejected Counter // versions that this node cannot load
+	FetchFailures   Counter // failed fetches of the text of a version
+	PrepareRejected Counter // versions that this node could not load
 
-	// Requests that were rejected because the lease had expired and the next version decides otherwise on them, because
-	// a switch of versions decided otherwise while they were under way, or because no version was known to be active.
-	RejectedConflicting Counter
-	RejectedSwitched    Counter
-	RejectedNoLease     Counter
+	// Rejected requests, by cause.
+	RejectedConflicting Counter // the lease had expired, and the next version routes the request differently
+	RejectedSwitched    Counter // the active version changed while the request was in progress, and routes it differently
+	RejectedNoLease     Counter // no version was known to be active
 
-	ServedDisconnected Counter // first messages that went out though no version was known to be active
-	EstimateErrors     Counter // versions whose memory estimate was outside the tolerance
+	ServedDisconnected Counter // first messages sent although no version was known to be active
+	EstimateErrors     Counter // versions whose measured memory differed from the estimate by more than the tolerance
 
-	// Bytes of heap that the version measured last takes, as estimated before it was loaded and as measured after.
+	// Heap size, in bytes, of the version measured last: estimated before it was loaded, and measured afterwards.
 	EstimatedBytes uint64
 	MeasuredBytes  uint64
 }
 
-// named returns the counters with their names, in the order in which they are printed.
+// named returns the counters with their printed names, in the order in which they are printed.
 func (f *Fleet) named() []namedCounter {
 	return []namedCounter{
 		{"asks", f.Renewals},
@@ -38,7 +37,7 @@
 	}
 }
 
-// AppendMetrics appends the telemetry text: a name=value line each.
+// AppendMetrics appends one name=value line per metric.
 func (f *Fleet) AppendMetrics(out []byte, status fleetconfig.LeaseStatus) []byte {
 	out = appendMetric(out, "svc.fleet.state", status.State)
 	out = appendMetric(out, "svc.fleet.in_force", status.ActiveVersion)
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -11,11 +11,11 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// The tests in this file pin the names that operators scrape and the line that the program writes at its end. Every
-// figure has a number of its own, so that two exchanged names show. The fixtures are never rewritten.
+// The tests in this file pin the names that operators scrape and the line that the program writes when it exits. Each
+// metric has a unique value, so that swapped names are detected. The fixtures are never rewritten.
 
-// numberFields gives each integer field of a struct the next number after last. It fails on a field of another kind,
-// but for the maps of classes and tenants and the fleet's own counters.
+// numberFields sets each integer field of a struct to the next number after last. It skips the outcomes of classes and
+// tenants, the fleet's counters and the lease state, and fails on a field of any other type.
 func numberFields(t *testing.T, target any, last uint64) {
 	t.Helper()
 	v := reflect.ValueOf(target).Elem()
@@ -29,10 +29,10 @@
 		case reflect.Pointer, reflect.Struct, reflect.String:
 			if kind := field.Type(); kind != reflect.TypeFor[*Fleet]() && kind != reflect.TypeFor[outcomesByName]() &&
 				kind != reflect.TypeFor[fleetconfig.LeaseState]() {
-				t.Fatalf("field %s has a type that is not expected", v.Type().Field(i).Name)
+				t.Fatalf("field %s has an unexpected type", v.Type().Field(i).Name)
 			}
 		default:
-			t.Fatalf("field %s has a type that is not expected", v.Type().Field(i).Name)
+			t.Fatalf("field %s has an unexpected type", v.Type().Field(i).Name)
 		}
 	}
 }
@@ -48,6 +48,7 @@
 	return c
 }
 
+// TestGoldenMetrics compares the telemetry text and the line of counters with the fixtures.
 func TestGoldenMetrics(t *testing.T) {
 	c := goldenCounters(t)
 	var gauges Gauges
--- a/internal/metrics/loop.go
+++ b/internal/metrics/loop.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// LongTurnThreshold is the processor time that a turn of the event loop should stay under.
+// LongTurnThreshold is the processor time from which a turn of the event loop counts as long.
 const LongTurnThreshold = 5 * time.Millisecond
 
-// Loop has the figures of the event loop. The zero value is ready for use.
+// Loop contains the metrics of the event loop. The zero value is ready for use.
 type Loop struct {
 	Turns            Counter
-	LongTurns        Counter       // that took LongTurnThreshold or longer
-	LongestTurn      time.Duration // since the process started
-	LongestTurnCause string        // what that turn was for
-	HoldUps          Counter       // after which the loop had to catch up
-	HoldUpTime       time.Duration // in all
+	LongTurns        Counter       // turns of LongTurnThreshold or longer
+	LongestTurn      time.Duration // processor time of the longest turn since the process started
+	LongestTurnCause string        // event that the longest turn handled
+	HoldUps          Counter       // periods without event handling, after which the loop had to catch up
+	HoldUpTime       time.Duration // total duration of the hold-ups
 }
 
-// RecordTurn counts a turn and reports whether it was long.
+// RecordTurn counts a turn and reports whether it took LongTurnThreshold or longer.
 func (l *Loop) RecordTurn(cause string, length time.Duration) (long bool) {
 	l.Turns++
 	if length > l.LongestTurn {
@@ -39,7 +39,7 @@
 	l.HoldUpTime += length
 }
 
-// AppendMetrics appends the telemetry text: a name=value line each.
+// AppendMetrics appends one name=value line per metric.
 func (l *Loop) AppendMetrics(out []byte) []byte {
 	out = appendMetric(out, "svc.loop.turns", l.Turns)
 	out = appendMetric(out, "svc.loop.long_turns", l.LongTurns)
@@ -49,7 +49,7 @@
 	return appendMetric(out, "svc.loop.held_up_ms", l.HoldUpTime.Milliseconds())
 }
 
-// WritePairs writes the figures as name=value pairs, each with a blank behind it.
+// WritePairs writes the metrics except the longest turn's cause as name=value pairs, each followed by a space.
 func (l *Loop) WritePairs(w io.Writer) {
 	fmt.Fprintf(w, "turns=%d long_turns=%d longest_turn_us=%d hold_ups=%d held_up_ms=%d ", l.Turns, l.LongTurns,
 		l.LongestTurn.Microseconds(), l.HoldUps, l.HoldUpTime.Milliseconds())
