--- a/internal/catalog/aliases.go
+++ b/internal/catalog/aliases.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// maxLoopMembers is how many members a finding about a cycle of aliases names.
-const maxLoopMembers = 8
+// maxCycleMembersShown is the most names that a finding about a cycle of aliases lists.
+const maxCycleMembersShown = 8
 
-// aliasTarget returns the name that an alias is for. The mesh's own service or alias precedes what the name means to all.
+// aliasTarget returns the name that an alias refers to. A service or alias of the publishing mesh takes precedence over the
+// owner of the short name; the result is then the qualified name.
 func (m *mergePass) aliasTarget(c *claim) string {
 	if _, qualifier := splitName(c.to); qualifier != "" {
 		return c.to
@@ -15,29 +16,29 @@
 		return c.to
 	}
 	for _, other := range d.claims {
-		if other.publisher == c.publisher && !other.rejected && !d.isWonBy(other) {
+		if other.publisher == c.publisher && !other.rejected && !d.isWinningClaim(other) {
 			return qualify(c.to, c.publisher.name())
 		}
 	}
 	return c.to
 }
 
-// isWonBy reports whether a claim is one of the winner's.
-func (d *nameDecision) isWonBy(c *claim) bool {
+// isWinningClaim reports whether a claim belongs to the winner.
+func (d *nameDecision) isWinningClaim(c *claim) bool {
 	return d.winner != nil && slices.Contains(d.winner.claims, c)
 }
 
-// updateAliasTargets sets the targets of aliases' entries anew, now that owners are decided.
+// updateAliasTargets recomputes the targets in the entries of aliases, which depend on the decided owners.
 func (m *mergePass) updateAliasTargets() {
-	for i := range m.names {
-		if d := &m.names[i]; d.hasEntry && d.winner != nil && d.winner.isAlias {
+	for i := range m.decisions {
+		if d := &m.decisions[i]; d.hasEntry && d.winner != nil && d.winner.isAlias {
 			d.entry.AliasOf = m.aliasTarget(d.winner.claims[0])
 		}
 	}
 }
 
-// followAlias goes one step from a name to its service: next is the name that it is an alias for, "" for a service, and via
-// the claim that says so; nil: an entry of the previous state. ok is false where the name means nothing.
+// followAlias follows one alias. next is the name that the alias refers to, or "" if name is a service. via is the claim of
+// the alias, or nil if the entry comes from the previous state. ok is false if the name does not resolve.
 func (m *mergePass) followAlias(name string) (next string, via *claim, ok bool) {
 	short, mesh := splitName(name)
 	d := m.decision(short)
@@ -65,41 +66,41 @@
 	if previous == nil || previous.isFree(m.nowUS) {
 		return "", nil, false
 	}
-	_, ok = m.endedEntry(&nameDecision{name: name, qualifier: mesh, previous: previous})
+	_, ok = m.expiringEntry(&nameDecision{name: name, qualifier: mesh, previous: previous})
 	return previous.AliasOf, nil, ok
 }
 
-// Distances of names that lead to no service. Those of others are the number of aliases from the name to its service.
+// Distances of names that resolve to no service. For other names, the distance is the number of aliases between name and service.
 const (
-	distancePending = -1 // of the names of the chain that is being followed
-	distanceCycle   = -2
-	distanceNowhere = -3
+	distanceInProgress = -1 // the name is part of the chain that is being followed
+	distanceCycle      = -2
+	distanceNoService  = -3
 )
 
-// aliasWalk follows all aliases, each name once, so that its time is linear however they are chained.
+// aliasWalk follows all aliases. It visits each name once, so its time is linear in the number of aliases for any chain.
 type aliasWalk struct {
 	pass      *mergePass
 	distances map[string]int // by name
-	rejected  []*claim       // take effect after the walk, so that the order of names does not matter
+	rejected  []*claim       // applied after the walk, so that the order of names does not matter
 }
 
-// aliasStep is one name of a chain, and the claim that leads on from it.
+// aliasStep is one name of an alias chain and the claim that links it to the next name.
 type aliasStep struct {
 	name string
-	via  *claim // nil: an entry of the previous state
+	via  *claim // nil if the entry comes from the previous state
 }
 
-// rejectAliases rejects the aliases that lead to no service, into a cycle, or over too many others, and decides their names
-// anew. It reports whether there were any.
+// rejectAliases rejects the aliases that resolve to no service, are part of or lead into a cycle, or exceed maxAliasChain.
+// It then decides the owners of their names again, and reports whether it rejected any alias.
 func (m *mergePass) rejectAliases() bool {
 	walk := aliasWalk{pass: m, distances: map[string]int{}}
-	for i := range m.names {
-		d := &m.names[i]
+	for i := range m.decisions {
+		d := &m.decisions[i]
 		if d.hasEntry && d.entry.AliasOf != "" {
 			walk.follow(d.name)
 		}
 		for _, c := range d.claims {
-			if c.service == nil && !c.rejected && !d.isWonBy(c) {
+			if c.service == nil && !c.rejected && !d.isWinningClaim(c) {
 				walk.follow(qualify(d.name, c.publisher.name()))
 			}
 		}
@@ -110,19 +111,19 @@
 	for _, c := range walk.rejected {
 		d := m.decision(c.name)
 		m.groupClaims(d)
-		m.decide(d)
+		m.decideOwner(d)
 	}
 	return len(walk.rejected) > 0
 }
 
-// follow follows the chain from a name up to a name whose distance is known, and sets the distances on the way.
+// follow follows the chain from a name until it reaches a name whose distance is known, and sets the distances along the chain.
 func (w *aliasWalk) follow(from string) {
 	var chain []aliasStep
-	distance := 0 // of the name at the end
+	distance := 0 // of the last name in the chain
 	for name := from; ; {
 		if known, ok := w.distances[name]; ok {
 			distance = known
-			if known == distancePending {
+			if known == distanceInProgress {
 				start := slices.IndexFunc(chain, func(s aliasStep) bool { return s.name == name })
 				w.rejectCycle(chain[start:])
 				chain = chain[:start]
@@ -133,12 +134,12 @@
 		next, via, ok := w.pass.followAlias(name)
 		if !ok || next == "" {
 			if !ok {
-				distance = distanceNowhere
+				distance = distanceNoService
 			}
 			w.distances[name] = distance
 			break
 		}
-		w.distances[name] = distancePending
+		w.distances[name] = distanceInProgress
 		chain = append(chain, aliasStep{name: name, via: via})
 		name = next
 	}
@@ -151,7 +152,7 @@
 	}
 }
 
-// checkStep rejects the alias of a step where its distance is too long, or there is no service.
+// checkStep rejects the alias of a step if its distance exceeds maxAliasChain or it resolves to no service.
 func (w *aliasWalk) checkStep(step aliasStep, distance int) {
 	if step.via == nil {
 		return
@@ -161,39 +162,39 @@
 	switch {
 	case distance == distanceCycle:
 		w.pass.add(AliasLoop, mesh, name, "alias %s leads into a cycle", step.name)
-	case distance == distanceNowhere:
+	case distance == distanceNoService:
 		w.pass.add(UnknownService, mesh, name, "alias %s for %s leads to no service", step.name, step.via.to)
 	case distance > maxAliasChain:
 		w.pass.add(AliasChainTooLong, mesh, name, "alias %s is more than %d aliases away from its service", step.name, maxAliasChain)
 	default:
 		return
 	}
-	w.reject(step.via)
+	w.markRejected(step.via)
 }
 
-// rejectCycle rejects all aliases of a cycle. The finding names some of a long one.
+// rejectCycle rejects all aliases of a cycle. The findings list at most maxCycleMembersShown of its names.
 func (w *aliasWalk) rejectCycle(cycle []aliasStep) {
 	members := make([]string, 0, len(cycle))
 	for _, step := range cycle {
 		members = append(members, step.name)
 	}
 	slices.Sort(members)
-	shown := members[:min(len(members), maxLoopMembers)]
+	shown := members[:min(len(members), maxCycleMembersShown)]
 	for _, step := range cycle {
 		if step.via != nil {
 			w.pass.add(AliasLoop, step.via.publisher.name(), step.via.name, "alias %s is in a cycle of %d aliases: %q", step.via.name,
 				len(members), shown)
-			w.reject(step.via)
+			w.markRejected(step.via)
 		}
 		w.distances[step.name] = distanceCycle
 	}
 }
 
-// reject notes a claim for rejection, and where it is one of its name's winner's claims, all of them.
-func (w *aliasWalk) reject(c *claim) {
+// markRejected marks a claim for rejection. If it is a winning claim, all claims of that winner are marked with it.
+func (w *aliasWalk) markRejected(c *claim) {
 	d := w.pass.decision(c.name)
 	for _, other := range d.claims {
-		if other == c || d.isWonBy(c) && d.isWonBy(other) {
+		if other == c || d.isWinningClaim(c) && d.isWinningClaim(other) {
 			w.rejected = append(w.rejected, other)
 		}
 	}
