--- a/internal/discovery/entry_decoder_test.go
+++ b/internal/discovery/entry_decoder_test.go
@@ -62,8 +62,8 @@
 		collect := func(list List) error { lists = append(lists, list); return nil }
 		const piece = 64 << 10
 		for start := 0; start < len(text); start += piece {
-			if len(text)-start <= piece && len(stream.entryDecoder.entries) < count*8/10 {
-				t.Errorf("%s: %d of %d entries were decoded before the last piece", form, len(stream.entryDecoder.entries), count)
+			if len(text)-start <= piece && len(stream.entries.entries) < count*8/10 {
+				t.Errorf("%s: %d of %d entries were decoded before the last piece", form, len(stream.entries.entries), count)
 			}
 			if err := stream.Feed(text[start:min(start+piece, len(text))], func() {}, collect); err != nil {
 				t.Fatal(err)
--- a/internal/discovery/object_stream.go
+++ b/internal/discovery/object_stream.go
@@ -23,7 +23,7 @@
 	lastTriedLength int                 // length of the unfinished line when it was last decoded
 	decoder         *incrementalDecoder // decoder of an object that spans lines; nil: no such object is in progress
 	text            []byte              // bytes of that object received so far
-	entryDecoder    entryDecoder        // entries of the object in progress
+	entries    entryDecoder        // decoder of the entries of the object in progress
 	multiline       bool                // the current line does not consist of a single object
 	closed          bool
 }
@@ -100,7 +100,7 @@
 		return list, false
 	}
 	if s.line != nil { // the line arrived in pieces
-		if list, ok = s.entryDecoder.list(line); ok {
+		if list, ok = s.entries.list(line); ok {
 			return list, true
 		}
 	}
@@ -112,13 +112,13 @@
 // It decodes the line again only when it has grown by retryLineFactor, so that the attempts read each byte at most twice on average.
 func (s *objectStream) extendLine(data []byte) (*List, error) {
 	s.line = append(s.line, data...)
-	s.entryDecoder.advance(s.line)
-	if list, ok := s.entryDecoder.list(s.line); ok && checkLength(s.line) == nil {
+	s.entries.advance(s.line)
+	if list, ok := s.entries.list(s.line); ok && checkLength(s.line) == nil {
 		s.resetLine()
 		s.multiline = true
 		return &list, list.validate()
 	}
-	if s.entryDecoder.stage == insideEntries {
+	if s.entries.stage == insideEntries {
 		return nil, checkLength(s.line)
 	}
 	mayBeWhole := data[len(data)-1] == '}' && len(s.line) >= retryLineFactor*s.lastTriedLength && checkLength(s.line) == nil
@@ -138,7 +138,7 @@
 func (s *objectStream) decodeObject(data []byte) (*List, []byte, error) {
 	if s.decoder == nil {
 		s.decoder = newIncrementalDecoder()
-		s.entryDecoder = entryDecoder{}
+		s.entries = entryDecoder{}
 	}
 	rest, whole, err := s.decoder.Feed(data)
 	if err != nil {
@@ -146,19 +146,19 @@
 	}
 	if !whole {
 		s.text = append(s.text, data...)
-		s.entryDecoder.advance(s.text)
+		s.entries.advance(s.text)
 		return nil, rest, nil
 	}
 	list, err := s.parseWhole(s.decoder.object)
 	s.decoder = nil
 	s.text = nil
-	s.entryDecoder = entryDecoder{}
+	s.entries = entryDecoder{}
 	return &list, rest, err
 }
 
 // parseWhole parses the text of a complete object. It reuses the entries decoded from earlier pieces.
 func (s *objectStream) parseWhole(text []byte) (List, error) {
-	if list, ok := s.entryDecoder.list(text); ok {
+	if list, ok := s.entries.list(text); ok {
 		return list, list.validate()
 	}
 	return ParseList(text)
@@ -168,7 +168,7 @@
 func (s *objectStream) resetLine() {
 	s.line = nil
 	s.lastTriedLength = 0
-	s.entryDecoder = entryDecoder{}
+	s.entries = entryDecoder{}
 }
 
 // End handles the end of the response, which also ends the last line. It returns the object in that line; found reports whether
