--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -245,7 +245,7 @@
 	return k.client.checkNotEmpty(*k.fetched, true)
 }
 
-// Drained does nothing because a request is short enough to write at once.
+// Drained does nothing because a call writes only its short request.
 func (k *call) Drained() {}
 
 // Closed fails the call.
@@ -334,7 +334,8 @@
 }
 
 // acceptWatched passes on an object of a watch. It rejects an object of an older generation, which would bring back removed
-// endpoints. The next watch then requests the whole list, so that a discovery whose generations restarted can be followed.
+// endpoints. The next watch then requests the whole list, so that the client can follow a discovery server whose generations
+// started again from a lower number.
 func (k *call) acceptWatched(list List, kind balancer.ListKind) error {
 	c := k.client
 	if err := c.checkNotEmpty(list, kind == balancer.FullList); err != nil {
@@ -355,13 +356,13 @@
 	if list.Generation < c.Generation {
 		return nil // included in a whole list that was fetched in the meantime
 	}
-	if c.awaitingNewAddress {
-		c.awaitingNewAddress = false
+	if c.awaitingFirstList {
+		c.awaitingFirstList = false
 		c.mixedSources = true
 		c.closePreviousWatch()
 	}
 	if c.mixedSources && kind == balancer.DeltaList && !c.internalFetchPending() {
-		// The changes do not remove endpoints that only the old discovery listed, so the whole list is fetched.
+		// The changes do not remove endpoints that only the old address listed, so the whole list is fetched.
 		c.newFetch().internal = true
 	}
 	c.accept(list, kind)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -35,10 +35,10 @@
 	fetches     map[*call]bool // fetches in progress
 
 	// State after a change of the address:
-	previousWatch      *call // the watch of the previous address, until the new address sends a list
-	awaitingNewAddress bool  // the new address has not sent a list yet
-	addressChangedAt   time.Duration
-	mixedSources       bool // the current list may contain endpoints that only the previous discovery listed
+	previousWatch     *call // the watch of the previous address, until the new address sends a list
+	awaitingFirstList bool  // Addr has not sent a list since SetAddress
+	addressChangedAt  time.Duration
+	mixedSources      bool // the current list may contain endpoints that only the previous address listed
 
 	// A standby watch is started next to a stalled watch and replaces it if the standby makes progress first.
 	standby         *call
@@ -62,7 +62,7 @@
 		c.closePreviousWatch()
 		return
 	}
-	startedBySetAddress := c.watch != nil && c.awaitingNewAddress
+	startedBySetAddress := c.watch != nil && c.awaitingFirstList
 	restartsItself := c.times().FreshnessBound > 0
 	if startedBySetAddress || restartsItself && (c.watch != nil || c.restartTimer != nil) {
 		return
@@ -120,11 +120,11 @@
 	if resumed != nil && resumed.addr != addr {
 		resumed = nil
 	}
-	watchBroughtList := !c.awaitingNewAddress
+	watchBroughtList := !c.awaitingFirstList
 	generation := c.Generation
 	c.Addr = addr
 	c.Generation = 0
-	c.awaitingNewAddress = true
+	c.awaitingFirstList = true
 	c.addressChangedAt = c.Loop.Now()
 	c.lostWatches = 0
 	c.closeStandby()
@@ -166,12 +166,12 @@
 	c.watch = previous
 	c.previousWatch = nil
 	c.Generation = previous.listGeneration
-	c.awaitingNewAddress = false
+	c.awaitingFirstList = false
 	previous.onBytes()
 }
 
-// HasSynced reports whether the discovery at Addr has sent a list since the latest SetAddress.
-func (c *Client) HasSynced() bool { return !c.awaitingNewAddress }
+// HasSynced reports whether the discovery server at Addr has sent a list since the latest SetAddress.
+func (c *Client) HasSynced() bool { return !c.awaitingFirstList }
 
 func (c *Client) closePreviousWatch() {
 	if c.previousWatch != nil {
@@ -196,14 +196,14 @@
 	c.standby = standby
 	c.Loop.Cancel(c.standbyTimer)
 	c.afterPendingReads(&c.standbyTimer, c.times().CallTimeout/2, func() {
-		// A standby that has sent its request is kept: discovery may delay the response.
+		// A standby that has sent its request is kept, because discovery may queue the response.
 		if c.standby == standby && standby.stage < requested {
 			standby.fail(timedOut.New("", "no connection in time"))
 		}
 	})
 }
 
-// promoteStandby makes the standby the current watch after the watch lost ended with err.
+// promoteStandby replaces a lost watch, which ended with err, by the standby.
 func (c *Client) promoteStandby(lost *call, err error) {
 	c.watch = c.standby
 	c.standby = nil
@@ -221,7 +221,7 @@
 	}
 	now := c.Loop.Now()
 	elapsed := now - lost.missedSince(err)
-	if c.awaitingNewAddress {
+	if c.awaitingFirstList {
 		// The tighter bound after a change of the address applies until it can no longer be met.
 		sinceChange := now - c.addressChangedAt + times.FreshnessBound - times.AddressChangeFreshnessBound
 		if sinceChange < times.latestCallStart() {
@@ -237,7 +237,7 @@
 	c.lostWatches++
 }
 
-// accept passes on a list that the discovery at Addr has sent.
+// accept passes on a list from the discovery server at Addr.
 func (c *Client) accept(list List, kind balancer.ListKind) {
 	c.Generation = list.Generation
 	c.SeenEndpoints = c.SeenEndpoints || len(list.Instances) > 0
--- a/internal/discovery/object_stream.go
+++ b/internal/discovery/object_stream.go
@@ -23,7 +23,7 @@
 	lastTriedLength int                 // length of the unfinished line when it was last decoded
 	decoder         *incrementalDecoder // decoder of an object that spans lines; nil: no such object is in progress
 	text            []byte              // bytes of that object received so far
-	entries    entryDecoder        // decoder of the entries of the object in progress
+	entries         entryDecoder        // decoder of the entries of the object in progress
 	multiline       bool                // the current line does not consist of a single object
 	closed          bool
 }
--- a/internal/discovery/times.go
+++ b/internal/discovery/times.go
@@ -62,7 +62,7 @@
 
 // restartDelay returns the delay before a lost watch is restarted. elapsed is the time since the lost watch may have missed a
 // change, lostWatches the number of consecutive watches lost before it, and fraction a random number from 0 to below 1. The delay is
-// drawn from the last two thirds of a span of 3/16 of the poll interval. To reduce the load on a discovery that is down, the span
+// drawn from the last two thirds of a span of 3/16 of the poll interval. To reduce the load on a discovery server that is down, the span
 // doubles with each lost watch, up to maxBackoffDoublings times. It is limited to the time left until latestCallStart, or to
 // maxRetryDelay if less than that is left.
 func (t Times) restartDelay(pollInterval, elapsed time.Duration, lostWatches int, fraction float64) time.Duration {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -208,7 +208,7 @@
 	}
 	c, now := &Client{Loop: loop}, loop.Now()
 	ended := truncated.New("", "the response ended")
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name                        string
 		stage                       stage
 		missing, progress, lastByte time.Duration // before now
@@ -221,7 +221,7 @@
 		{"reset while streaming", streaming, time.Minute, 2 * time.Second, 2 * time.Second, ended, 0},
 		{"reset while this process was stopped or the network was down", streaming, time.Minute, 7 * time.Second, 7 * time.Second, ended, 7 * time.Second},
 	} {
-		call := call{client: c, stage: k.stage, missingSince: now - k.missing, progressAt: now - k.progress, lastByteAt: now - k.lastByte}
-		testkit.Equal(t, k.name, k.want, now-call.missedSince(k.err))
+		call := call{client: c, stage: test.stage, missingSince: now - test.missing, progressAt: now - test.progress, lastByteAt: now - test.lastByte}
+		testkit.Equal(t, test.name, test.want, now-call.missedSince(test.err))
 	}
 }
