--- a/internal/admin/http.go
+++ b/internal/admin/http.go
@@ -79,18 +79,18 @@
 	return bytes.HasPrefix(p.buf, []byte("0\r\n\r\n")) || bytes.Contains(p.buf, []byte("\r\n0\r\n\r\n"))
 }
 
-var errNotUnderstood = &parseError{http.StatusBadRequest, "not understood"}
+var errMalformedRequest = &parseError{http.StatusBadRequest, "not understood"}
 
 // parseHead parses a request line and the header fields after it, and sets the request.
 func (p *parser) parseHead(head string) *parseError {
 	lines := strings.Split(head, "\r\n")
 	words := strings.Split(lines[0], " ")
 	if len(words) != 3 {
-		return errNotUnderstood
+		return errMalformedRequest
 	}
 	method, target, version := words[0], words[1], words[2]
 	if method == "" || !strings.HasPrefix(version, "HTTP/") {
-		return errNotUnderstood
+		return errMalformedRequest
 	}
 	if !strings.HasPrefix(version, "HTTP/1.") {
 		return &parseError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
@@ -110,7 +110,7 @@
 	for _, line := range lines {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return errNotUnderstood
+			return errMalformedRequest
 		}
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
@@ -118,7 +118,7 @@
 			length, err := strconv.ParseUint(value, 10, 31)
 			lengths++
 			if err != nil || lengths > 1 {
-				return errNotUnderstood
+				return errMalformedRequest
 			}
 			if length > maxBody {
 				return &parseError{http.StatusRequestEntityTooLarge, "the call's body is too long"}
@@ -132,7 +132,7 @@
 		}
 	}
 	if p.chunked && lengths > 0 {
-		return errNotUnderstood
+		return errMalformedRequest
 	}
 	return nil
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -95,7 +95,7 @@
 	}
 	f.Mesh = *record.Mesh
 	if !catalog.ValidName(f.Mesh) {
-		// 140 bytes of the name suffice to show any of the errors, including the length.
+		// 140 characters of the name show any of these errors, including a length over 128 bytes.
 		faults.add("mesh", "%.140q is empty, over 128 bytes, or has a dot, a blank or a control character", f.Mesh)
 	}
 }
--- a/internal/config/required_keys.go
+++ b/internal/config/required_keys.go
@@ -16,8 +16,8 @@
 	keys []string
 }
 
-// requiredSections contains all sections with required keys. Keys are required because the decoder, which the simulator's wire
-// protocol shares, decodes a missing member as 0, and a forgotten timeout must not become a timeout of 0.
+// requiredSections contains all sections with required keys. The decoder of the simulator's wire protocol decodes a missing
+// member as 0, but in a file that a person wrote a forgotten timeout must not become a timeout of 0.
 var requiredSections = []settingsSection{
 	{"", []string{"Balancers", "Categories", "Discovery", "Invariants", "Limits"}},
 	{"Categories", []string{"Aim", "Credit", "Effect", "GiveUp", "Name"}},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,9 +8,9 @@
 	"example.org/micafront/internal/simwire"
 )
 
-// pushedListInterval is the discovery interval at sites whose lists are pushed. It is short because it also delays the first
-// list of a new process and the first one after an outage: the balancer requests a list within a quarter of the interval at the
-// start, and after failures within an eighth, growing to three quarters.
+// pushedListInterval is the discovery interval at sites whose lists are pushed. It also bounds the delay of a list in a new
+// process and after an outage: the balancer requests a list within a quarter of the interval at the start, and after failures
+// within an eighth, growing to three quarters.
 const pushedListInterval = time.Second
 
 // settingsInfo is the part of the settings that describes the load reports of endpoints.
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -55,7 +55,7 @@
 
 var _ evloop.Handler = (*call)(nil)
 
-// newCall dials Addr and starts the call's timeout. The call ends with accept, report or close.
+// newCall dials Addr and starts the call's timeout. The call ends with deliver, report or close.
 func (c *Client) newCall(path string, watch bool) *call {
 	now := c.Loop.Now()
 	k := &call{
@@ -225,7 +225,7 @@
 		return
 	}
 	k.close()
-	k.client.accept(*k.fetched, balancer.FullList)
+	k.client.deliver(*k.fetched, balancer.FullList)
 }
 
 // finishFetch checks that a complete response contains exactly one list and that the list is usable.
@@ -365,6 +365,6 @@
 		// The changes do not remove endpoints that only the old address listed, so the whole list is fetched.
 		c.newFetch().internal = true
 	}
-	c.accept(list, kind)
+	c.deliver(list, kind)
 	return nil
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -237,8 +237,8 @@
 	c.lostWatches++
 }
 
-// accept passes on a list from the discovery server at Addr.
-func (c *Client) accept(list List, kind balancer.ListKind) {
+// deliver records a list from the discovery server at Addr and passes it to OnList.
+func (c *Client) deliver(list List, kind balancer.ListKind) {
 	c.Generation = list.Generation
 	c.SeenEndpoints = c.SeenEndpoints || len(list.Instances) > 0
 	c.mixedSources = c.mixedSources && kind == balancer.DeltaList
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -32,12 +32,12 @@
 			}
 			return
 		}
-		named := map[string]bool{}
+		seen := map[string]bool{}
 		for _, e := range l.Entries() {
-			if e.ID == "" || e.StartedAt < 0 || l.Reset && named[e.ID] {
+			if e.ID == "" || e.StartedAt < 0 || l.Reset && seen[e.ID] {
 				t.Errorf("invalid entry is accepted: %+v", e)
 			}
-			named[e.ID] = true
+			seen[e.ID] = true
 		}
 		if l.Generation < 0 || l.Reset && l.Instances == nil {
 			t.Errorf("invalid list is accepted: %+v", l)
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -13,7 +13,7 @@
 // Counter counts events since the process started. Only the goroutine of the event loop accesses it.
 type Counter int64
 
-// Counters contains all counters of a proxy. The method named defines the printed names and their order.
+// Counters contains all counters of a proxy. The method namedCounters defines the printed names and their order.
 type Counters struct {
 	AcceptedConnections Counter
 	ReadinessChecks     Counter
@@ -161,11 +161,11 @@
 
 // WriteLine writes all counters, including those of the fleet, as one line of name=value pairs.
 func (c *Counters) WriteLine(w io.Writer) {
-	for _, counter := range c.named() {
+	for _, counter := range c.namedCounters() {
 		fmt.Fprintf(w, "%s=%d ", counter.name, counter.value)
 	}
 	if c.Fleet != nil {
-		for _, counter := range c.Fleet.named() {
+		for _, counter := range c.Fleet.namedCounters() {
 			fmt.Fprintf(w, "fleet_%s=%d ", counter.name, counter.value)
 		}
 	}
@@ -178,8 +178,8 @@
 	value Counter
 }
 
-// named returns the counters with their printed names, in the order of WriteLine.
-func (c *Counters) named() []namedCounter {
+// namedCounters returns the counters with their printed names, in the order of WriteLine.
+func (c *Counters) namedCounters() []namedCounter {
 	return []namedCounter{
 		{"accepted", c.AcceptedConnections},
 		{"pings", c.ReadinessChecks},
--- a/internal/metrics/fleet.go
+++ b/internal/metrics/fleet.go
@@ -10,8 +10,8 @@
 	PrepareRejected Counter // versions that this node could not load
 
 	// Rejected requests, by cause.
-	RejectedConflicting Counter // the lease had expired, and the next version routes the request differently
-	RejectedSwitched    Counter // the active version changed while the request was in progress, and routes it differently
+	RejectedConflicting Counter // the lease had expired, and the next version decides differently on the request
+	RejectedSwitched    Counter // the active version changed during the request, and the new one decides differently on it
 	RejectedNoLease     Counter // no version was known to be active
 
 	ServedDisconnected Counter // first messages sent although no version was known to be active
@@ -22,8 +22,8 @@
 	MeasuredBytes  uint64
 }
 
-// named returns the counters with their printed names, in the order in which they are printed.
-func (f *Fleet) named() []namedCounter {
+// namedCounters returns the counters with their printed names, in the order in which they are printed.
+func (f *Fleet) namedCounters() []namedCounter {
 	return []namedCounter{
 		{"asks", f.Renewals},
 		{"ask_failures", f.RenewalFailures},
@@ -47,7 +47,7 @@
 	out = appendMetric(out, "svc.fleet.lapses", status.Expirations)
 	out = appendMetric(out, "svc.fleet.estimated_bytes", f.EstimatedBytes)
 	out = appendMetric(out, "svc.fleet.measured_bytes", f.MeasuredBytes)
-	for _, counter := range f.named() {
+	for _, counter := range f.namedCounters() {
 		out = appendMetric(out, "svc.fleet."+counter.name, counter.value)
 	}
 	return out
--- a/internal/metrics/loop.go
+++ b/internal/metrics/loop.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// LongTurnThreshold is the processor time from which a turn of the event loop counts as long.
+// LongTurnThreshold is the processor time from which a turn of the event loop counts as long. Every turn should stay below it.
 const LongTurnThreshold = 5 * time.Millisecond
 
 // Loop contains the metrics of the event loop. The zero value is ready for use.
