--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -94,7 +94,7 @@
 		return
 	}
 	f.Mesh = *record.Mesh
-	if !catalog.ValidName(f.Mesh) {
+	if !catalog.IsValidName(f.Mesh) {
 		// 140 characters of the name show any of these errors, including a length over 128 bytes.
 		faults.add("mesh", "%.140q is empty, over 128 bytes, or has a dot, a blank or a control character", f.Mesh)
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -100,7 +100,7 @@
 	switch {
 	case k.stage < streaming:
 		return k.missingSince
-	case timedOut.Of(err):
+	case timedOut.Matches(err):
 		return k.progressAt
 	case now-k.lastByteAt >= k.client.times().StandbyAfter:
 		return k.lastByteAt
@@ -129,7 +129,7 @@
 		return
 	case c.standby == k:
 		k.failWithStalledWatch()
-	case !k.watch && !k.retried && !k.internal && timedOut.Of(err):
+	case !k.watch && !k.retried && !k.internal && timedOut.Matches(err):
 		c.newFetch().retried = true
 		return
 	case c.watch == k && c.standbyCanReplace(err):
@@ -161,7 +161,7 @@
 // standbyCanReplace reports whether the standby replaces a watch that ended with err. After a timeout the standby must have sent
 // its request. No standby replaces a watch that sent an invalid list.
 func (c *Client) standbyCanReplace(err error) bool {
-	return c.standby != nil && (c.standby.stage >= requested || !timedOut.Of(err)) && !invalidList.Of(err)
+	return c.standby != nil && (c.standby.stage >= requested || !timedOut.Matches(err)) && !invalidList.Matches(err)
 }
 
 // report passes the failure of a call to OnFailure.
@@ -179,7 +179,7 @@
 		Path:         k.path,
 		Object:       k.objects + 1,
 		PendingBytes: k.stream.Pending(),
-		Err:          unreachable.Typed("", err),
+		Err:          unreachable.WrapUntyped("", err),
 	}
 }
 
@@ -194,7 +194,7 @@
 func (k *call) Data(data []byte) {
 	k.lastByteAt = k.client.Loop.Now()
 	if err := k.parser.Feed(data); err != nil {
-		if !invalidList.Of(err) {
+		if !invalidList.Matches(err) {
 			err = notDiscovery.Wrap("", err)
 		}
 		k.fail(err)
@@ -207,16 +207,16 @@
 	if status != 0 && status != statusOK {
 		k.fail(rejected.New("", "status %d", status))
 	} else if k.parser.Done() {
-		k.Ended()
+		k.EOF()
 	}
 }
 
-// Ended handles the end of the response: it completes a fetch and fails a watch.
-func (k *call) Ended() {
+// EOF handles the end of the response: it completes a fetch and fails a watch.
+func (k *call) EOF() {
 	if k.stage == closed {
 		return
 	}
-	if k.watch || k.parser.Status() != statusOK || !k.parser.Done() && !k.parser.UntilEnd() {
+	if k.watch || k.parser.Status() != statusOK || !k.parser.Done() && !k.parser.CloseDelimited() {
 		k.fail(truncated.New("", "the response ended"))
 		return
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -388,7 +388,7 @@
 		}
 		h.expectReports("failed: discovery: ")
 		h.runOnLoop(func() {
-			if !kind.Of(got) || (kind == invalidList) != errors.Is(got, ErrInvalidList) {
+			if !kind.Matches(got) || (kind == invalidList) != errors.Is(got, ErrInvalidList) {
 				t.Errorf("%q: %v is not of kind %s", answer, got, kind.Name)
 			}
 			var failure *CallError
--- a/internal/discovery/incremental_decoder.go
+++ b/internal/discovery/incremental_decoder.go
@@ -52,7 +52,7 @@
 	n := copy(p, d.unread)
 	d.unread = d.unread[n:]
 	d.bytesRead += n
-	if d.bytesRead > httpresponse.MaxBody {
+	if d.bytesRead > httpresponse.DefaultMaxBodyBytes {
 		return 0, httpresponse.ErrTooLong
 	}
 	return n, nil
