--- a/internal/discovery/entry_decoder_test.go
+++ b/internal/discovery/entry_decoder_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// TestLargeListIsDecodedAsItArrives checks that the entries of a list in the form that discovery writes are decoded before the last
-// piece arrives, both for a list on one line and for an indented list.
+// TestLargeListIsDecodedAsItArrives checks that at least 80% of the entries of a list are decoded before its last piece arrives, both
+// for a list on one line and for an indented list.
 func TestLargeListIsDecodedAsItArrives(t *testing.T) {
 	const count = 3200
 	var entries []string
--- a/internal/discovery/object_stream_test.go
+++ b/internal/discovery/object_stream_test.go
@@ -154,7 +154,8 @@
 	}
 }
 
-// TestClosedStreamPassesNothingOn checks that a stream reports no further list after Close, called within an object or in onObject.
+// TestClosedStreamPassesNothingOn checks that a stream reports no list after Close, whether Close is called between two pieces of an
+// object or by onObject.
 func TestClosedStreamPassesNothingOn(t *testing.T) {
 	var s objectStream
 	never := func(List) error { t.Error("a closed stream reports a list"); return nil }
