--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -62,6 +62,7 @@
 	}
 }
 
+// ReplicaCount returns the number of replicas.
 func (c *Client) ReplicaCount() int { return len(c.replicas) }
 
 // Renew requests a lease from the replica that last granted one. After successive failures it skips as many replicas, in the
--- a/internal/endpointlist/errors.go
+++ b/internal/endpointlist/errors.go
@@ -6,7 +6,7 @@
 var (
 	// BadList means that discovery sent entries that cannot be used as an endpoint list.
 	BadList = apperror.NewKind("roster/bad-list",
-		"the committed list stays in use: compare GET /registry/instances of discovery, and correct there what this error names")
+		"the committed list stays in use: check what GET /registry/instances of discovery returns, and correct the entry or list that this error names")
 	// StaleChange means that a change is based on a list that is no longer current.
 	StaleChange = apperror.NewKind("roster/stale-change",
 		"nothing to do: another list was agreed on meanwhile, and the leader asks discovery for the whole list")
--- a/internal/endpointlist/state.go
+++ b/internal/endpointlist/state.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Limits of a State. They bound its memory, and a change of all endpoints fits into one command.
+// Limits of a State. They bound its memory, and ensure that a change of all endpoints fits into one command.
 const (
 	maxEndpoints       = 1 << 14
 	maxBytes           = 8 << 20 // the texts of all endpoints in a list
