--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -171,7 +171,7 @@
 	}
 	h.renew(9, 0, 50*time.Millisecond)
 	unanswered := fakes.Await(t, requests)
-	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) || !strings.Contains(out.err.Error(), addr) {
+	if out := fakes.Await(t, h.results); !NoResponse.Matches(out.err) || !strings.Contains(out.err.Error(), addr) {
 		t.Errorf("error %v", out.err)
 	}
 	if _, err := unanswered.conn.Read(make([]byte, 1)); err == nil {
@@ -204,7 +204,7 @@
 	h.renew(3, 0, testTimeout)
 	fakes.Await(t, requests).conn.Close()
 	fakes.Await(t, requests).conn.Close() // the new connection, so the renewal fails
-	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) {
+	if out := fakes.Await(t, h.results); !NoResponse.Matches(out.err) {
 		t.Errorf("error %v", out.err)
 	}
 }
@@ -221,7 +221,7 @@
 	closedListener.Close()
 	h := newHarness(t, closedListener.Addr().String(), first, second)
 	h.renew(1, 0, testTimeout)
-	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) || len(apperror.Resolutions(out.err)) == 0 {
+	if out := fakes.Await(t, h.results); !NoResponse.Matches(out.err) || len(apperror.Resolutions(out.err)) == 0 {
 		t.Errorf("error %v", out.err)
 	}
 	h.renew(2, 2, testTimeout)
@@ -266,7 +266,7 @@
 			req.write(test.response)
 			out := fakes.Await(t, h.results)
 			var typed *apperror.Error
-			if !test.kind.Of(out.err) || !strings.Contains(out.err.Error(), test.contains) || !errors.As(out.err, &typed) ||
+			if !test.kind.Matches(out.err) || !strings.Contains(out.err.Error(), test.contains) || !errors.As(out.err, &typed) ||
 				!strings.Contains(typed.Place, addr) {
 				t.Errorf("error %v, want kind %s with %q", out.err, test.kind.Name, test.contains)
 			}
@@ -311,7 +311,7 @@
 		}
 		h.fetch(int64(len(body)) - 1)
 		respond(fakes.Await(t, requests))
-		if out := fakes.Await(t, h.results); !ResponseTooLarge.Of(out.err) {
+		if out := fakes.Await(t, h.results); !ResponseTooLarge.Matches(out.err) {
 			t.Errorf("%s: version one byte above the limit: error %v, want ResponseTooLarge", name, out.err)
 		}
 	}
@@ -325,7 +325,7 @@
 	req := fakes.Await(t, requests)
 	req.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 	req.conn.Close()
-	if out := fakes.Await(t, h.results); !NoResponse.Of(out.err) {
+	if out := fakes.Await(t, h.results); !NoResponse.Matches(out.err) {
 		t.Errorf("connection closed during the body: error %v, want NoResponse", out.err)
 	}
 }
--- a/internal/controlclient/connection.go
+++ b/internal/controlclient/connection.go
@@ -185,8 +185,8 @@
 // Drained implements evloop.Handler. A connection ignores it, because it writes nothing after a request.
 func (c *connection) Drained() {}
 
-// Ended implements evloop.Handler.
-func (c *connection) Ended() { c.Closed(errors.New("the replica closed the connection")) }
+// EOF implements evloop.Handler.
+func (c *connection) EOF() { c.Closed(errors.New("the replica closed the connection")) }
 
 // Closed implements evloop.Handler. The replica may close a persistent connection just as a request is sent. The request is
 // then sent once more, over a new connection.
@@ -196,7 +196,7 @@
 	case c.closed:
 	case r == nil:
 		c.close()
-	case r.parser.UntilEnd() && r.parser.Status() == http.StatusOK:
+	case r.parser.CloseDelimited() && r.parser.Status() == http.StatusOK:
 		c.persistent = false
 		c.finishResponse()
 	case c.responses > 0 && !r.received:
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -95,7 +95,7 @@
 	h := newHarness(t, addr)
 	h.fetch(1 << 10)
 	got := fakes.Await(t, h.results)
-	if !Rejected.Of(got.err) {
+	if !Rejected.Matches(got.err) {
 		t.Fatalf("error %v", got.err)
 	}
 	for _, word := range []string{"/v1/version/3", "status 503, quorum/not-leading: keeper 1: no keeper leads (see that they run)"} {
--- a/internal/endpointlist/state_test.go
+++ b/internal/endpointlist/state_test.go
@@ -89,7 +89,7 @@
 			}
 			c, ok, err := s.NextChange(received, full)
 			if full && len(received) == 0 && len(want) > 0 {
-				if !BadList.Of(err) {
+				if !BadList.Matches(err) {
 					t.Fatalf("NextChange with an empty full list: error %v, want BadList", err)
 				}
 				continue
@@ -107,7 +107,7 @@
 			}
 			stale := c
 			stale.Base++
-			if err := s.Apply(stale); !StaleChange.Of(err) {
+			if err := s.Apply(stale); !StaleChange.Matches(err) {
 				t.Fatalf("Apply with a stale change: error %v, want StaleChange", err)
 			}
 			for _, state := range []*State{s, twin} {
@@ -205,10 +205,10 @@
 		"too many bytes":      {huge},
 	} {
 		before, _ := s.Snapshot()
-		if _, _, err := s.NextChange(list, true); !BadList.Of(err) || len(apperror.Resolutions(err)) == 0 {
+		if _, _, err := s.NextChange(list, true); !BadList.Matches(err) || len(apperror.Resolutions(err)) == 0 {
 			t.Errorf("%s: NextChange returns %v, want BadList with a resolution", name, err)
 		}
-		if err := s.Apply(Change{s.Number(), list}); !BadChange.Of(err) {
+		if err := s.Apply(Change{s.Number(), list}); !BadChange.Matches(err) {
 			t.Errorf("%s: Apply returns %v, want BadChange", name, err)
 		}
 		after, _ := s.Snapshot()
@@ -221,7 +221,7 @@
 		"terminated endpoint":   `{"number":9,"entries":[{"instanceId":"a","lifecycle":"terminated"}]}`,
 		"empty change":          `{"number":9,"entries":[],"changes":[{"number":9,"entries":[]}]}`,
 	} {
-		if err := s.Restore([]byte(text)); !BrokenSnapshot.Of(err) {
+		if err := s.Restore([]byte(text)); !BrokenSnapshot.Matches(err) {
 			t.Errorf("%s: Restore returns %v, want BrokenSnapshot", name, err)
 		}
 	}
