--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -24,15 +24,15 @@
 		"discovery or something between ended the response: look at discovery's own log; the proxy retries by itself")
 	// notDiscovery: the server sent something other than an HTTP/1.1 response, or an oversized one.
 	notDiscovery = apperror.NewKind("registry/foreign",
-		"what answers there does not speak HTTP/1.1 as discovery does, or sends far too much: see that EDGE_DISCOVERY "+
-			"names discovery")
+		"the server at that address does not speak HTTP/1.1, or its response is too long: check that EDGE_DISCOVERY names "+
+			"discovery")
 	// superseded: the fetched list is older than a list that the watch has received in the meantime.
 	superseded = apperror.NewKind("registry/overtaken",
 		"nothing to do: the watch brought a newer list than the response, which was dropped")
 	// invalidList: the response contains something other than a list, or an invalid list.
 	invalidList = apperror.NewKind("registry/broken",
-		"the last good list stays in use: look at what GET /registry/instances of that discovery answers, and repair "+
-			"there the entry, or the generation, that the line names")
+		"the last good list stays in use: look at the response of that discovery server to GET /registry/instances, and "+
+			"correct there the entry or the generation that the line names")
 )
 
 // ErrInvalidList matches, with errors.Is, the error for a response that contains something other than a list, or an invalid list.
--- a/internal/discovery/times_test.go
+++ b/internal/discovery/times_test.go
@@ -13,8 +13,8 @@
 var pollIntervals = []time.Duration{0, time.Millisecond, time.Second, 10 * time.Second, time.Minute, 24 * time.Hour}
 
 // TestFreshnessBoundAfterAnyFailures checks that a change is known within six seconds after discovery becomes reachable, regardless
-// of which calls failed before and of how long each took. A call that starts after that gets its response within QueueAllowance; earlier calls
-// may still fail.
+// of which calls failed before and of how long each took. A call that starts after that gets its response within QueueAllowance;
+// earlier calls may still fail.
 func TestFreshnessBoundAfterAnyFailures(t *testing.T) {
 	testkit.Property(t, func(t *rapid.T) {
 		times, every := DefaultTimes, rapid.SampledFrom(pollIntervals).Draw(t, "every")
