--- a/internal/evloop/conn.go
+++ b/internal/evloop/conn.go
@@ -8,28 +8,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler is told what happens on a connection, on the loop's goroutine.
+// Handler receives the events of a connection, on the loop's goroutine.
 type Handler interface {
-	// Opened is called when a dialed connection is up.
+	// Opened is called when a dialed connection is established.
 	Opened()
-	// Data passes bytes that came; they are valid during the call only.
+	// Data passes received bytes, which are valid only during the call.
 	Data(data []byte)
-	// EOF is called when the peer has ended its sending.
+	// EOF is called when the peer has closed its sending side. Output can still be sent.
 	EOF()
-	// Drained is called when the kernel has taken all output, after some had to wait.
+	// Drained is called when the kernel has accepted all output, after some output had to wait.
 	Drained()
-	// Closed is called when the connection broke or could not be made. It is not called after Close, Drop,
-	// Abort or Detach.
+	// Closed is called when the connection failed or could not be established. It is not called after Close, Drop, Abort or
+	// Detach.
 	Closed(err error)
 }
 
-// HangupObserver is a Handler that also wants to know that the peer has hung up behind bytes that are not read while the
-// connection is paused. EOF follows once they have been read.
+// HangupObserver is an optional interface of a Handler.
 type HangupObserver interface {
+	// HangupPending is called when the connection is paused and its peer has closed its sending side after bytes that are
+	// still unread. EOF follows once they have been read.
 	HangupPending()
 }
 
-// Events of the poller by what they mean. A broken connection counts as readable and writable: either use finds the error.
+// Masks of epoll events. A broken connection counts as both readable and writable, because either operation returns the error.
 const (
 	errorEvents    = unix.EPOLLERR | unix.EPOLLHUP
 	hangupEvents   = unix.EPOLLRDHUP | errorEvents
@@ -37,7 +38,7 @@
 	writableEvents = unix.EPOLLOUT | errorEvents
 )
 
-// Conn is a stream connection. It is registered with the poller edge-triggered, in both directions, for its whole life.
+// Conn is a stream connection. It stays registered with the poller, edge-triggered for reads and writes, until it is closed.
 type Conn struct {
 	loop    *Loop
 	fd      int
@@ -45,29 +46,29 @@
 	dialing bool
 	closed  bool
 
-	readable       bool // an edge came and the kernel's buffer has not been read to its end
+	readable       bool // the poller reported input, and the kernel's buffer has not been emptied since
 	paused         bool
-	readScheduled  bool // a later turn reads on
-	delivering     bool // its bytes are being passed to the handler
-	hangup         bool // the poller told of an end or an error that has not been read yet
+	readScheduled  bool // a later turn continues reading
+	delivering     bool // received bytes are being passed to the handler
+	hangup         bool // the poller reported an EOF or an error that has not been read yet
 	hangupReported bool // HangupPending was called
-	peerEnded      bool
+	atEOF          bool // the peer has closed its sending side, and all its bytes have been read
 
-	unsent           []byte // output that the kernel would not take yet
+	unsent           []byte // output that the kernel has not accepted yet
 	writable         bool
 	flushScheduled   bool
-	bytesSent        int   // that the kernel took
+	bytesSent        int   // output that the kernel has accepted
 	writeErr         error // of a failed write: unsent output is lost, and Closed follows
-	closeWriteWanted bool  // sending ends once unsent is empty
+	closeWriteWanted bool  // the sending side is closed once unsent is empty
 	writeClosed      bool
 
 	acceptsDescriptors bool
-	descriptors        []int // received, not given out yet
+	descriptors        []int // received, and not returned by TakeDescriptors yet
 }
 
 // register adds the connection to the loop and the poller.
 func (c *Conn) register() error {
-	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // a Unix socket has no such option
+	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // fails on a Unix socket, which has no such option
 	c.loop.conns[c.fd] = c
 	err := c.loop.poller.AddReadWrite(&netpoll.PollAttachment{FD: c.fd}, true)
 	if err != nil {
@@ -76,20 +77,21 @@
 	return err
 }
 
-// SetHandler passes the connection to another handler.
+// SetHandler replaces the connection's handler.
 func (c *Conn) SetHandler(h Handler) { c.handler = h }
 
-// FD is the descriptor. It is not to be read, written or closed.
+// FD returns the connection's descriptor. Callers must not read, write or close it.
 func (c *Conn) FD() int { return c.fd }
 
-// HungUp reports whether the poller told of an end or an error that has yet to be read. Within Opened it means that the peer
-// ended the connection before anything was written, unless the event was of an earlier connection on the same descriptor.
+// HungUp reports whether the poller has reported an EOF or an error that has not been read yet. Within Opened it means that the
+// peer closed the connection before anything was written, unless the event belongs to an earlier connection with the same
+// descriptor.
 func (c *Conn) HungUp() bool { return c.hangup }
 
-// AtEOF reports whether the peer has ended its sending.
-func (c *Conn) AtEOF() bool { return c.peerEnded }
+// AtEOF reports whether the peer has closed its sending side and all its bytes have been read.
+func (c *Conn) AtEOF() bool { return c.atEOF }
 
-// handleEvent is one turn of the connection.
+// handleEvent processes an event of the connection: it first completes the dial, then sends pending output, then reads.
 func (c *Conn) handleEvent(event netpoll.IOEvent) {
 	if c.dialing && !c.finishDial(event) {
 		return
@@ -110,7 +112,7 @@
 	}
 }
 
-// finishDial reports whether the connection is up after an event, and tells the handler that it is or that it failed.
+// finishDial reports whether an event shows that the connection is established. It notifies the handler of success or failure.
 func (c *Conn) finishDial(event netpoll.IOEvent) bool {
 	errno, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && errno != 0 {
@@ -120,13 +122,13 @@
 	case err != nil:
 		c.closeWithError(os.NewSyscallError("connect", err))
 		return false
-	case event&writableEvents == 0: // it is still dialing
+	case event&writableEvents == 0: // still dialing
 		return false
-	case event&unix.EPOLLOUT == 0: // it broke, and the kernel does not say why
+	case event&unix.EPOLLOUT == 0: // failed, and the kernel does not report why
 		c.closeWithError(io.ErrUnexpectedEOF)
 		return false
 	}
-	// The event may be of a connection with the same descriptor that was closed earlier in this batch.
+	// The event may belong to a connection with the same descriptor that was closed earlier in this batch.
 	if _, err := unix.Getpeername(c.fd); err != nil {
 		return false
 	}
@@ -137,7 +139,7 @@
 	return true
 }
 
-// closeWithError closes a connection that broke and tells the handler.
+// closeWithError closes a connection that failed and notifies the handler.
 func (c *Conn) closeWithError(err error) {
 	if c.closed {
 		return
@@ -146,7 +148,7 @@
 	c.handler.Closed(err)
 }
 
-// Close ends the connection at once; output that the kernel has not taken is lost.
+// Close closes the connection immediately. Output that the kernel has not accepted is lost.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -154,15 +156,16 @@
 	c.closed = true
 	c.unsent = nil
 	delete(c.loop.conns, c.fd)
-	_ = unix.Close(c.fd) // the poller forgets the descriptor by itself
+	_ = unix.Close(c.fd) // this also removes the descriptor from the poller
 	for _, fd := range c.descriptors {
 		_ = unix.Close(fd)
 	}
 	c.descriptors = nil
 }
 
-// Drop ends the connection so that nothing which the peer does not have yet arrives any more. After a mere Close the kernel
-// would go on sending what it has taken, for minutes where the peer's machine is slow or cut off.
+// Drop closes the connection so that no further output reaches the peer: it resets the connection if the peer has not
+// acknowledged all output. After Close the kernel would continue to send the output that it has accepted, for minutes if the
+// peer's host is slow or unreachable.
 func (c *Conn) Drop() {
 	if c.closed {
 		return
@@ -175,7 +178,7 @@
 	c.Close()
 }
 
-// Abort ends the connection with a reset.
+// Abort resets the connection.
 func (c *Conn) Abort() {
 	if !c.closed {
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
@@ -183,10 +186,11 @@
 	}
 }
 
-// Detach ends the connection for this process alone: another process has a copy of its descriptor.
+// Detach closes the connection's descriptor in this process only. The connection stays open for another process that holds a
+// copy of the descriptor.
 func (c *Conn) Detach() {
 	if !c.closed {
-		_ = c.loop.poller.Delete(c.fd) // the poller goes by the open file, which closing this descriptor leaves open
+		_ = c.loop.poller.Delete(c.fd) // the poller tracks the open file, which the other process keeps open
 		c.Close()
 	}
 }
--- a/internal/evloop/conn_read.go
+++ b/internal/evloop/conn_read.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// maxReadsPerTurn bounds what one connection may bring in a turn, so that a flood cannot starve the others.
+	// maxReadsPerTurn bounds the reads of one connection in a turn, so that a flooding peer cannot starve other connections.
 	maxReadsPerTurn = 4
-	// nestedReadBytes is the size of a read within another connection's Data, by CheckPeer.
+	// nestedReadBytes is the buffer size of a read that CheckPeer does within another connection's Data, which occupies the
+	// loop's read buffer.
 	nestedReadBytes = 4 << 10
 )
 
-// Pause stops reading; what the peer sends waits in the kernel.
+// Pause stops reading. Bytes that the peer sends stay in the kernel's buffers until Resume.
 func (c *Conn) Pause() { c.paused = true }
 
-// Resume reads again.
+// Resume continues reading after Pause, in a later turn.
 func (c *Conn) Resume() {
 	if c.paused {
 		c.paused = false
@@ -26,11 +27,11 @@
 	}
 }
 
-// CheckPeer reads at once what has come, an end above all, before the poller tells of it: what is about to be done for a peer
-// may have become pointless while other connections had their turn. It may be called from within Data, once that has kept
-// what it was given.
+// CheckPeer reads received bytes, an EOF or an error immediately, without waiting for the poller to report them. Callers use it
+// before they do work for a peer that may have disconnected while other connections were processed. It may be called from
+// within Data, after Data has copied the bytes that it received.
 func (c *Conn) CheckPeer() {
-	if c.closed || c.dialing || c.peerEnded || c.readScheduled {
+	if c.closed || c.dialing || c.atEOF || c.readScheduled {
 		return
 	}
 	if !c.paused {
@@ -38,13 +39,14 @@
 		c.readAvailable()
 		return
 	}
-	if c.writeErr == nil { // else failWrite has the break reported
+	if c.writeErr == nil { // otherwise handleWriteError reports the failure
 		c.checkPausedPeer()
 	}
 }
 
-// scheduleRead reads on in a turn after the sockets that are ready by then. A posted call would not do: the poller runs its
-// queue until that is empty, what is posted meanwhile included, so a flood would be read to its end first.
+// scheduleRead continues reading in a later turn, after the sockets that are ready by then. It uses a timer, not Post, because
+// the poller runs posted functions until its queue is empty, including those posted in the meantime: a flooding peer would be
+// read until it stops.
 func (c *Conn) scheduleRead() { c.scheduleReadAfter(0) }
 
 func (c *Conn) scheduleReadAfter(delay time.Duration) {
@@ -57,19 +59,21 @@
 	}
 }
 
+// readTurn reads in this turn, unless a read is scheduled or in progress. If the handler has paused the connection and the
+// poller reported a hangup, readTurn checks for it.
 func (c *Conn) readTurn() {
 	if c.readScheduled || c.delivering {
-		return // it reads later: what is ready now must not give it a second turn
+		return // a later read handles this event, so that the connection gets no second turn
 	}
 	c.delivering = true
 	c.readAvailable()
 	c.delivering = false
-	if c.paused && c.hangup && !c.closed && !c.peerEnded && c.writeErr == nil {
+	if c.paused && c.hangup && !c.closed && !c.atEOF && c.writeErr == nil {
 		c.checkPausedPeer()
 	}
 }
 
-// readAvailable passes what the kernel has to the handler, maxReadsPerTurn reads at most.
+// readAvailable passes received bytes to the handler, with maxReadsPerTurn reads at most.
 func (c *Conn) readAvailable() {
 	buffer := c.loop.readBuffer
 	nested := c.loop.readBufferInUse
@@ -79,7 +83,7 @@
 	c.loop.readBufferInUse = true
 	defer func() { c.loop.readBufferInUse = nested }()
 	for range maxReadsPerTurn {
-		if c.closed || c.paused || c.peerEnded || !c.readable {
+		if c.closed || c.paused || c.atEOF || !c.readable {
 			return
 		}
 		n, err := c.receive(buffer)
@@ -87,18 +91,19 @@
 		case errors.Is(err, unix.EINTR):
 		case errors.Is(err, unix.EAGAIN):
 			c.readable = false
-		case isTransient(err):
-			c.scheduleReadAfter(transientRetryDelay) // no edge comes for what is there already
+		case isTransientError(err):
+			c.scheduleReadAfter(transientRetryDelay) // the poller does not report input again that has already arrived
 			return
 		case err != nil:
 			c.closeWithError(os.NewSyscallError("read", err))
-		case n == 0 && c.writeErr != nil: // no end: reads look so after a write that failed
+		case n == 0 && c.writeErr != nil: // not an EOF of the peer: reads return 0 after a failed write
 			c.closeWithError(c.writeErr)
 		case n == 0:
-			c.peerEnded = true
+			c.atEOF = true
 			c.handler.EOF()
 		default:
-			// A short read does not say that the kernel has no more: a signal may have ended it. Only EAGAIN does.
+			// A short read does not mean that the kernel has no more bytes, because a signal may have interrupted it. Only
+			// EAGAIN does.
 			c.handler.Data(buffer[:n])
 		}
 	}
@@ -107,13 +112,13 @@
 	}
 }
 
-// checkPausedPeer finds out whether the peer of a paused connection has gone. A reset is told at once, and so is an end with
-// nothing before it; of an end behind unread bytes the handler can only be warned. The kernel is asked, since the event that
-// told of an end may have been of another connection with the same descriptor, closed earlier in its batch.
+// checkPausedPeer checks whether the peer of a paused connection has disconnected. It reports a reset, or an EOF without unread
+// bytes before it, at once; for an EOF after unread bytes it calls HangupPending. It polls the socket, because the poller's
+// hangup event may belong to another connection with the same descriptor that was closed earlier in the batch.
 func (c *Conn) checkPausedPeer() {
 	poll := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLRDHUP}}
 	if _, err := unix.Poll(poll, 0); err != nil {
-		return // interrupted; a later event or CheckPeer asks again
+		return // interrupted; a later event or CheckPeer polls again
 	}
 	events := poll[0].Revents
 	if events&unix.POLLERR != 0 && c.closeIfBroken() {
@@ -126,7 +131,7 @@
 	c.reportHangup()
 }
 
-// closeIfBroken closes a connection for which the kernel has an error, and reports whether it had.
+// closeIfBroken closes the connection if the kernel has a pending error for it, and reports whether it did.
 func (c *Conn) closeIfBroken() bool {
 	errno, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil || errno == 0 {
@@ -136,16 +141,17 @@
 	return true
 }
 
-// reportHangup tells the handler of a paused connection's end, by what is before it.
+// reportHangup notifies the handler that the peer of a paused connection has hung up: by Closed after a reset, by EOF if no
+// bytes are unread, or by HangupPending once.
 func (c *Conn) reportHangup() {
 	var first [1]byte
 	n, _, err := unix.Recvfrom(c.fd, first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
 	case errors.Is(err, unix.ECONNRESET):
 		c.closeWithError(os.NewSyscallError("read", err))
-	case err != nil: // reading finds it
+	case err != nil: // a later read reports the error
 	case n == 0:
-		c.peerEnded = true
+		c.atEOF = true
 		c.handler.EOF()
 	case !c.hangupReported:
 		c.hangupReported = true
--- a/internal/evloop/conn_test.go
+++ b/internal/evloop/conn_test.go
@@ -14,11 +14,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// testTimeout bounds the wait for an event that must come; no test depends on its length.
+// testTimeout bounds the wait for an event that must occur. No test depends on its length.
 const testTimeout = 60 * time.Second
 
-// rig is a running loop and the events that the handlers of its connections were told of, in order.
-type rig struct {
+// loopFixture contains a running loop and the events of its connections' handlers, in order.
+type loopFixture struct {
 	t        *testing.T
 	loop     *Loop
 	listener *Listener
@@ -27,45 +27,47 @@
 	onEvent  func(*Conn, string) // called on the loop before an event is recorded; may be nil
 }
 
+// recordingHandler is a Handler that records its calls as events.
 type recordingHandler struct {
-	rig  *rig
-	conn *Conn
+	fixture *loopFixture
+	conn    *Conn
 }
 
 func (h *recordingHandler) record(what string) {
-	if h.rig.onEvent != nil {
-		h.rig.onEvent(h.conn, what)
+	if h.fixture.onEvent != nil {
+		h.fixture.onEvent(h.conn, what)
 	}
-	h.rig.events <- what
+	h.fixture.events <- what
 }
 
 func (h *recordingHandler) Opened()      { h.record("opened") }
-func (h *recordingHandler) EOF()         { h.record("ended") }
+func (h *recordingHandler) EOF()         { h.record("eof") }
 func (h *recordingHandler) Drained()     { h.record("drained") }
 func (h *recordingHandler) Closed(error) { h.record("closed") }
 func (h *hangupRecorder) HangupPending() { h.record("hangup pending") }
 
 func (h *recordingHandler) Data(b []byte) {
 	text := func() string { return "data " + string(b[:min(len(b), 8)]) }
-	if h.rig.onEvent != nil {
-		h.rig.onEvent(h.conn, text())
+	if h.fixture.onEvent != nil {
+		h.fixture.onEvent(h.conn, text())
 	}
-	h.rig.events <- text() // the bytes must have lasted
+	h.fixture.events <- text() // fails if onEvent overwrote the bytes
 }
 
-// hangupRecorder is a recordingHandler that is a HangupObserver too.
+// hangupRecorder is a recordingHandler that also implements HangupObserver.
 type hangupRecorder struct{ recordingHandler }
 
-func newRig(t *testing.T, onto func(*Conn, string)) *rig {
+// newLoopFixture starts a loop with a listener. The loop stops at the end of the test.
+func newLoopFixture(t *testing.T, onEvent func(*Conn, string)) *loopFixture {
 	t.Helper()
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, loop: l, events: make(chan string, 4096), conns: make(chan *Conn, 16), onEvent: onto}
-	r.listener, err = l.Listen("127.0.0.1:0", func(c *Conn) Handler {
-		r.conns <- c
-		return &hangupRecorder{recordingHandler{r, c}}
+	lf := &loopFixture{t: t, loop: l, events: make(chan string, 4096), conns: make(chan *Conn, 16), onEvent: onEvent}
+	lf.listener, err = l.Listen("127.0.0.1:0", func(c *Conn) Handler {
+		lf.conns <- c
+		return &hangupRecorder{recordingHandler{lf, c}}
 	}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
@@ -80,54 +82,55 @@
 			t.Error(err)
 		}
 	})
-	return r
+	return lf
 }
 
+// receiveWithin returns the next value of a channel. It fails the test after testTimeout.
 func receiveWithin[V any](t *testing.T, c <-chan V) (v V) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came in time")
+		t.Fatal("no value was received in time")
 	}
 	return v
 }
 
-// expect fails the test unless these events come next, in this order.
-func (r *rig) expect(want ...string) {
-	r.t.Helper()
+// expect fails the test unless these are the next events, in this order.
+func (lf *loopFixture) expect(want ...string) {
+	lf.t.Helper()
 	for _, w := range want {
-		if got := receiveWithin(r.t, r.events); got != w {
-			r.t.Fatalf("got event %q, want %q", got, w)
+		if got := receiveWithin(lf.t, lf.events); got != w {
+			lf.t.Fatalf("got event %q, want %q", got, w)
 		}
 	}
 }
 
 // runOnLoop runs f on the loop and waits for it.
-func (r *rig) runOnLoop(f func()) {
-	r.t.Helper()
+func (lf *loopFixture) runOnLoop(f func()) {
+	lf.t.Helper()
 	done := make(chan bool)
-	_ = r.loop.Post(func() { f(); close(done) }) // receiveWithin fails the test if it did not run
-	receiveWithin(r.t, done)
+	_ = lf.loop.Post(func() { f(); close(done) }) // receiveWithin fails the test if it did not run
+	receiveWithin(lf.t, done)
 }
 
-// whileBlocked runs f while the loop is blocked, so that the loop sees what f causes in one batch.
-func (r *rig) whileBlocked(f func()) {
-	begun, over := make(chan bool), make(chan bool)
-	_ = r.loop.Post(func() { close(begun); <-over })
-	receiveWithin(r.t, begun)
+// whileBlocked runs f while the loop is blocked, so that the poller reports all events that f causes in one batch.
+func (lf *loopFixture) whileBlocked(f func()) {
+	blocked, unblock := make(chan bool), make(chan bool)
+	_ = lf.loop.Post(func() { close(blocked); <-unblock })
+	receiveWithin(lf.t, blocked)
 	f()
-	close(over)
+	close(unblock)
 }
 
 // post runs f on the loop in a later turn.
-func (r *rig) post(f func()) {
-	if err := r.loop.Post(f); err != nil {
-		r.t.Error(err)
+func (lf *loopFixture) post(f func()) {
+	if err := lf.loop.Post(f); err != nil {
+		lf.t.Error(err)
 	}
 }
 
-// stopLoop ends a loop's Run.
+// stopLoop makes a loop's Run return.
 func stopLoop(t *testing.T, l *Loop) {
 	t.Helper()
 	if err := l.Stop(); err != nil {
@@ -135,42 +138,44 @@
 	}
 }
 
-func (r *rig) dial() (*net.TCPConn, *Conn) {
-	r.t.Helper()
-	p, err := net.Dial("tcp", r.listener.Addr())
+// dial connects a client to the listener and returns both sides of the connection.
+func (lf *loopFixture) dial() (*net.TCPConn, *Conn) {
+	lf.t.Helper()
+	p, err := net.Dial("tcp", lf.listener.Addr())
 	if err != nil {
-		r.t.Fatal(err)
+		lf.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { p.Close() })
-	return p.(*net.TCPConn), receiveWithin(r.t, r.conns)
+	lf.t.Cleanup(func() { p.Close() })
+	return p.(*net.TCPConn), receiveWithin(lf.t, lf.conns)
 }
 
-func (r *rig) send(p io.Writer, text string) {
-	r.t.Helper()
+// send writes text to p and fails the test if that fails.
+func (lf *loopFixture) send(p io.Writer, text string) {
+	lf.t.Helper()
 	if _, err := io.WriteString(p, text); err != nil {
-		r.t.Fatal(err)
+		lf.t.Fatal(err)
 	}
 }
 
-// reset ends a connection with a reset.
+// reset closes a connection with a reset.
 func reset(p *net.TCPConn) {
 	p.SetLinger(0)
 	p.Close()
 }
 
-// awaitEvents waits until a held loop's side has had that.
-func (r *rig) awaitEvents(c *Conn, events int16) {
-	r.t.Helper()
+// awaitEvents waits until the kernel reports one of the poll events for the connection, independently of the loop.
+func (lf *loopFixture) awaitEvents(c *Conn, events int16) {
+	lf.t.Helper()
 	fds := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLRDHUP}}
 	for fds[0].Revents&events == 0 {
 		if n, err := unix.Poll(fds, int(testTimeout/time.Millisecond)); err != unix.EINTR && (err != nil || n == 0) {
-			r.t.Fatalf("poll: %v", err)
+			lf.t.Fatalf("poll: %v", err)
 		}
 	}
 }
 
-// pauseAtX pauses a connection whose peer sends x.
-func pauseAtX() func(*Conn, string) {
+// pauseOnX returns an event callback that pauses a connection when its peer sends x.
+func pauseOnX() func(*Conn, string) {
 	return func(c *Conn, event string) {
 		if event == "data x" {
 			c.Pause()
@@ -178,165 +183,167 @@
 	}
 }
 
-// TestResetWhilePaused: a reset is reported at once, although nothing is read and bytes wait before it.
+// TestResetWhilePaused checks that a reset is reported while reading is paused, with and without unread bytes before it.
 func TestResetWhilePaused(t *testing.T) {
 	for _, more := range []string{"", "more"} {
-		r := newRig(t, pauseAtX())
-		p, _ := r.dial()
-		r.send(p, "x")
-		r.expect("data x")
-		r.send(p, more)
+		lf := newLoopFixture(t, pauseOnX())
+		p, _ := lf.dial()
+		lf.send(p, "x")
+		lf.expect("data x")
+		lf.send(p, more)
 		reset(p)
-		r.expect("closed")
+		lf.expect("closed")
 	}
 }
 
-// TestResetInOneEventWithPause: a reset that comes in one event with the bytes at which reading is paused has no event of its own.
-func TestResetInOneEventWithPause(t *testing.T) {
-	r := newRig(t, pauseAtX())
-	p, c := r.dial()
-	r.whileBlocked(func() {
-		r.send(p, "x")
+// TestResetInSameEventAsPausingData checks that a reset is reported if the poller reports it in one event with the bytes that
+// make the handler pause reading. No separate event follows for the reset.
+func TestResetInSameEventAsPausingData(t *testing.T) {
+	lf := newLoopFixture(t, pauseOnX())
+	p, c := lf.dial()
+	lf.whileBlocked(func() {
+		lf.send(p, "x")
 		reset(p)
-		r.awaitEvents(c, unix.POLLERR)
+		lf.awaitEvents(c, unix.POLLERR)
 	})
-	r.expect("data x", "closed")
+	lf.expect("data x", "closed")
 }
 
-func TestEndWhilePaused(t *testing.T) {
-	r := newRig(t, pauseAtX())
-	p, _ := r.dial()
-	r.send(p, "x")
-	r.expect("data x")
+func TestEOFWhilePaused(t *testing.T) {
+	lf := newLoopFixture(t, pauseOnX())
+	p, _ := lf.dial()
+	lf.send(p, "x")
+	lf.expect("data x")
 	p.CloseWrite()
-	r.expect("ended")
+	lf.expect("eof")
 }
 
-// TestEndBehindUnreadBytesWhilePaused: unread bytes are delivered before an end; an observer is told that it is pending.
-func TestEndBehindUnreadBytesWhilePaused(t *testing.T) {
-	r := newRig(t, pauseAtX())
-	p, c := r.dial()
-	r.send(p, "x")
-	r.expect("data x")
-	r.send(p, "more")
+// TestEOFAfterUnreadBytesWhilePaused checks that HangupPending is called for an EOF after unread bytes, and that the bytes are
+// delivered before the EOF.
+func TestEOFAfterUnreadBytesWhilePaused(t *testing.T) {
+	lf := newLoopFixture(t, pauseOnX())
+	p, c := lf.dial()
+	lf.send(p, "x")
+	lf.expect("data x")
+	lf.send(p, "more")
 	p.CloseWrite()
-	r.expect("hangup pending")
-	r.runOnLoop(c.Resume)
-	r.expect("data more", "ended")
+	lf.expect("hangup pending")
+	lf.runOnLoop(c.Resume)
+	lf.expect("data more", "eof")
 }
 
-// TestEventOfReusedDescriptor: an event may be of a connection with the same descriptor that was closed earlier in the batch. It
-// must not pass for an end of the connection that has the descriptor now.
+// TestEventOfReusedDescriptor checks that an event of a connection that was closed earlier in the batch is not taken for an EOF
+// of a new connection with the same descriptor.
 func TestEventOfReusedDescriptor(t *testing.T) {
-	var old, fresh *Conn
-	var r *rig
+	var old, reused *Conn
+	var lf *loopFixture
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r = newRig(t, func(_ *Conn, event string) {
+	lf = newLoopFixture(t, func(_ *Conn, event string) {
 		if event != "data x" {
 			return
 		}
-		number := old.fd
+		fd := old.fd
 		old.Close()
-		if err := unix.Dup3(pair[0], number, unix.O_CLOEXEC); err != nil {
+		if err := unix.Dup3(pair[0], fd, unix.O_CLOEXEC); err != nil {
 			t.Error(err)
 		}
-		h := &hangupRecorder{recordingHandler{rig: r}}
-		if fresh, err = r.loop.Adopt(number, h); err != nil {
+		h := &hangupRecorder{recordingHandler{fixture: lf}}
+		if reused, err = lf.loop.Adopt(fd, h); err != nil {
 			t.Error(err)
 		}
-		h.conn = fresh
-		fresh.Pause()
+		h.conn = reused
+		reused.Pause()
 	})
-	p1, _ := r.dial()
-	p2, c2 := r.dial()
-	r.whileBlocked(func() {
+	p1, _ := lf.dial()
+	p2, c2 := lf.dial()
+	lf.whileBlocked(func() {
 		old = c2
-		r.send(p1, "x")
+		lf.send(p1, "x")
 		if _, err := unix.Write(pair[1], []byte("early")); err != nil {
 			t.Error(err)
 		}
 		p2.Close()
-		r.awaitEvents(c2, unix.POLLRDHUP)
+		lf.awaitEvents(c2, unix.POLLRDHUP)
 	})
-	r.expect("data x")
-	r.runOnLoop(func() {}) // the batch is over
-	r.runOnLoop(fresh.Resume)
-	r.expect("data early")
+	lf.expect("data x")
+	lf.runOnLoop(func() {}) // after this the batch has been processed
+	lf.runOnLoop(reused.Resume)
+	lf.expect("data early")
 	if err := unix.Close(pair[1]); err != nil {
 		t.Error(err)
 	}
-	r.expect("ended")
+	lf.expect("eof")
 }
 
-// TestBrokenConnectionIsNotDrained: output that was lost with the connection has not been drained.
+// TestBrokenConnectionIsNotDrained checks that Drained is not called for output that was lost with the connection.
 func TestBrokenConnectionIsNotDrained(t *testing.T) {
-	r := newRig(t, nil)
-	p, c := r.dial()
-	r.runOnLoop(func() { c.Write(make([]byte, 32<<20)) })
+	lf := newLoopFixture(t, nil)
+	p, c := lf.dial()
+	lf.runOnLoop(func() { c.Write(make([]byte, 32<<20)) })
 	reset(p)
-	r.expect("closed")
+	lf.expect("closed")
 }
 
-// TestWriteAfterReset: a failed write is reported once, in a later turn, after what the peer had sent before, and not to a handler
-// that has closed the connection by then.
+// TestWriteAfterReset checks that a failed write is reported once, in a later turn and after the bytes that the peer had sent,
+// and that it is not reported to a handler that has closed the connection by then.
 func TestWriteAfterReset(t *testing.T) {
-	r := newRig(t, nil)
-	p, c := r.dial()
-	q, d := r.dial()
-	r.whileBlocked(func() {
-		r.send(p, "late")
+	lf := newLoopFixture(t, nil)
+	p, c := lf.dial()
+	q, d := lf.dial()
+	lf.whileBlocked(func() {
+		lf.send(p, "late")
 		reset(p)
-		r.awaitEvents(c, unix.POLLERR)
-		r.send(q, "late")
+		lf.awaitEvents(c, unix.POLLERR)
+		lf.send(q, "late")
 		reset(q)
-		r.awaitEvents(d, unix.POLLERR)
-		r.post(func() {
+		lf.awaitEvents(d, unix.POLLERR)
+		lf.post(func() {
 			c.Write([]byte("a"))
 			c.Write([]byte("b"))
 			d.Write([]byte("a"))
 			d.Close()
-			r.events <- "wrote"
+			lf.events <- "wrote"
 		})
 	})
-	r.expect("wrote", "data late", "closed")
-	r.runOnLoop(func() {
-		if len(r.events) > 0 {
-			t.Errorf("then %q", <-r.events)
+	lf.expect("wrote", "data late", "closed")
+	lf.runOnLoop(func() {
+		if len(lf.events) > 0 {
+			t.Errorf("got the additional event %q", <-lf.events)
 		}
 	})
 }
 
-// TestCheckPeer: CheckPeer finds an end that the poller has yet to report, also from within another connection's Data, which
-// keeps its bytes.
+// TestCheckPeer checks that CheckPeer finds an EOF that the poller has not reported yet, also from within another connection's
+// Data, whose bytes it does not overwrite.
 func TestCheckPeer(t *testing.T) {
 	var other *Conn
-	r := newRig(t, func(_ *Conn, event string) {
+	lf := newLoopFixture(t, func(_ *Conn, event string) {
 		if event == "data x" {
 			other.CheckPeer()
 		}
 	})
-	p1, _ := r.dial()
-	p2, c2 := r.dial()
-	r.whileBlocked(func() {
+	p1, _ := lf.dial()
+	p2, c2 := lf.dial()
+	lf.whileBlocked(func() {
 		other = c2
-		r.send(p1, "x")
-		r.send(p2, "last")
+		lf.send(p1, "x")
+		lf.send(p2, "last")
 		p2.CloseWrite()
-		r.awaitEvents(c2, unix.POLLRDHUP)
+		lf.awaitEvents(c2, unix.POLLRDHUP)
 	})
-	r.expect("data last")
-	if got := []string{receiveWithin(t, r.events), receiveWithin(t, r.events)}; strings.Join(got, " ") != "data x ended" && strings.Join(got, " ") != "ended data x" {
+	lf.expect("data last")
+	if got := []string{receiveWithin(t, lf.events), receiveWithin(t, lf.events)}; strings.Join(got, " ") != "data x eof" && strings.Join(got, " ") != "eof data x" {
 		t.Errorf("got events %q", got)
 	}
 }
 
-// generousBounds are never reached by a test that passes.
-var generousBounds = LingerLimits{IdleTimeout: testTimeout, TotalTimeout: testTimeout, MaxBytes: 64 << 20}
+// generousLimits are limits that a passing test never reaches.
+var generousLimits = LingerLimits{IdleTimeout: testTimeout, TotalTimeout: testTimeout, MaxBytes: 64 << 20}
 
-// lingerAfterX sends the last message to a peer that sends x, and lingers.
+// lingerAfterX returns an event callback that sends a last message and lingers when the peer sends x.
 func lingerAfterX(b LingerLimits, closed chan bool) func(*Conn, string) {
 	return func(c *Conn, event string) {
 		if event == "data x" {
@@ -346,13 +353,13 @@
 	}
 }
 
-// TestLingerReadsOn: a peer that still sends gets the last message and an end, not a reset.
-func TestLingerReadsOn(t *testing.T) {
+// TestLingerDiscardsInput checks that a peer that still sends receives the last message and an EOF, not a reset.
+func TestLingerDiscardsInput(t *testing.T) {
 	closed := make(chan bool)
-	r := newRig(t, lingerAfterX(generousBounds, closed))
-	p, _ := r.dial()
-	r.send(p, "x")
-	r.expect("data x")
+	lf := newLoopFixture(t, lingerAfterX(generousLimits, closed))
+	p, _ := lf.dial()
+	lf.send(p, "x")
+	lf.expect("data x")
 	for range 16 {
 		if _, err := p.Write(make([]byte, 1<<20)); err != nil {
 			t.Fatal(err)
@@ -365,59 +372,60 @@
 	receiveWithin(t, closed)
 }
 
-// TestLingerSendsPendingOutput: pending output goes first, and once it has gone the peer is still read.
+// TestLingerSendsPendingOutput checks that pending output is sent first, and that input is still read afterward.
 func TestLingerSendsPendingOutput(t *testing.T) {
 	closed := make(chan bool)
-	r := newRig(t, nil)
-	p, c := r.dial()
+	lf := newLoopFixture(t, nil)
+	p, c := lf.dial()
 	all := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
-	r.runOnLoop(func() {
+	lf.runOnLoop(func() {
 		c.Write(all)
-		c.Linger(generousBounds, func() { close(closed) })
+		c.Linger(generousLimits, func() { close(closed) })
 	})
 	if b, err := io.ReadAll(p); !bytes.Equal(b, all) || err != nil {
 		t.Errorf("%d bytes of %d, %v", len(b), len(all), err)
 	}
 	select {
 	case <-closed:
-		t.Error("closed before the peer has ended")
+		t.Error("the connection was closed before the peer closed it")
 	default:
 	}
-	r.send(p, "more")
+	lf.send(p, "more")
 	p.Close()
 	receiveWithin(t, closed)
 }
 
-// TestLingerAtBothEnds: both sides may end in the same turn, and a peer may reset a connection that lingers.
-func TestLingerAtBothEnds(t *testing.T) {
-	for name, end := range map[string]func(r *rig, p *net.TCPConn, c *Conn){
-		"end":   func(r *rig, p *net.TCPConn, c *Conn) { p.CloseWrite(); r.awaitEvents(c, unix.POLLRDHUP) },
-		"reset": func(r *rig, p *net.TCPConn, c *Conn) { reset(p); r.awaitEvents(c, unix.POLLERR) },
+// TestLingerWhenPeerEndsInSameTurn checks that a lingering connection is closed if its peer closes or resets it in the same
+// turn.
+func TestLingerWhenPeerEndsInSameTurn(t *testing.T) {
+	for name, end := range map[string]func(lf *loopFixture, p *net.TCPConn, c *Conn){
+		"end":   func(lf *loopFixture, p *net.TCPConn, c *Conn) { p.CloseWrite(); lf.awaitEvents(c, unix.POLLRDHUP) },
+		"reset": func(lf *loopFixture, p *net.TCPConn, c *Conn) { reset(p); lf.awaitEvents(c, unix.POLLERR) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan bool)
-			r := newRig(t, nil)
-			p, c := r.dial()
-			r.whileBlocked(func() {
-				end(r, p, c)
-				r.post(func() {
+			lf := newLoopFixture(t, nil)
+			p, c := lf.dial()
+			lf.whileBlocked(func() {
+				end(lf, p, c)
+				lf.post(func() {
 					c.Write([]byte("last"))
-					c.Linger(generousBounds, func() { close(closed) })
+					c.Linger(generousLimits, func() { close(closed) })
 					c.CloseWrite()
 				})
 			})
 			receiveWithin(t, closed)
-			r.runOnLoop(func() {
-				if len(r.loop.conns) > 0 || len(r.events) > 0 {
-					t.Errorf("%d connections, %d events", len(r.loop.conns), len(r.events))
+			lf.runOnLoop(func() {
+				if len(lf.loop.conns) > 0 || len(lf.events) > 0 {
+					t.Errorf("%d connections and %d events are left, want none", len(lf.loop.conns), len(lf.events))
 				}
 			})
 		})
 	}
 }
 
-// TestLingerBounds: each bound ends a connection whose peer does not.
-func TestLingerBounds(t *testing.T) {
+// TestLingerLimits checks that each limit closes a connection whose peer does not close it.
+func TestLingerLimits(t *testing.T) {
 	for name, b := range map[string]LingerLimits{
 		"idle":  {IdleTimeout: time.Millisecond, TotalTimeout: testTimeout, MaxBytes: 64 << 20},
 		"total": {IdleTimeout: 100 * time.Millisecond, TotalTimeout: 300 * time.Millisecond, MaxBytes: 1 << 60},
@@ -425,10 +433,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan bool)
-			r := newRig(t, lingerAfterX(b, closed))
-			p, _ := r.dial()
-			r.send(p, "x")
-			r.expect("data x")
+			lf := newLoopFixture(t, lingerAfterX(b, closed))
+			p, _ := lf.dial()
+			lf.send(p, "x")
+			lf.expect("data x")
 			var wg sync.WaitGroup
 			defer wg.Wait()
 			defer p.Close()
@@ -446,16 +454,17 @@
 	}
 }
 
-// TestLingerEnd: a connection that is ended early is not reset for bytes that came by then.
-func TestLingerEnd(t *testing.T) {
-	r := newRig(t, nil)
-	p, c := r.dial()
+// TestLingeringCloseReadsInputFirst checks that Lingering.Close does not reset a connection because of bytes that had already
+// arrived.
+func TestLingeringCloseReadsInputFirst(t *testing.T) {
+	lf := newLoopFixture(t, nil)
+	p, c := lf.dial()
 	closed := false
-	r.whileBlocked(func() {
-		r.send(p, strings.Repeat("y", 100<<10))
-		r.post(func() {
+	lf.whileBlocked(func() {
+		lf.send(p, strings.Repeat("y", 100<<10))
+		lf.post(func() {
 			c.Write([]byte("last"))
-			l := c.Linger(generousBounds, func() { closed = true })
+			l := c.Linger(generousLimits, func() { closed = true })
 			l.Close()
 			l.Close()
 		})
@@ -463,19 +472,19 @@
 	if b, err := io.ReadAll(p); string(b) != "last" || err != nil {
 		t.Errorf("%q, %v", b, err)
 	}
-	r.runOnLoop(func() {
-		if !closed || len(r.loop.conns) > 0 {
-			t.Error("not closed")
+	lf.runOnLoop(func() {
+		if !closed || len(lf.loop.conns) > 0 {
+			t.Error("the connection was not closed")
 		}
 	})
-	// A peer that has read an end would not notice a reset behind it, so its socket is asked.
+	// Reads of the peer do not return a reset that follows an EOF, so its socket's error is checked.
 	raw, err := p.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = raw.Control(func(fd uintptr) {
 		if errno, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR); errno != 0 || err != nil {
-			t.Errorf("the peer's socket has %v, %v", unix.Errno(errno), err)
+			t.Errorf("the peer's socket has the error %v, %v", unix.Errno(errno), err)
 		}
 	})
 	if err != nil {
@@ -483,7 +492,8 @@
 	}
 }
 
-// TestAcceptWithoutDescriptors: accepting when no descriptor is left neither spins nor gives up.
+// TestAcceptWithoutDescriptors checks that accepting pauses between attempts while the process is out of descriptors, and
+// succeeds afterward.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	var failed, accepted int
 	l, err := New()
@@ -509,23 +519,23 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	// The limit is the process's: what is open stays, nothing more comes.
-	var was, now unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+	// With this limit open descriptors stay valid, but the process cannot open another one.
+	var original, reduced unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &original); err != nil {
 		t.Fatal(err)
 	}
-	now = was
-	now.Cur = 0
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &now); err != nil {
+	reduced = original
+	reduced.Cur = 0
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &reduced); err != nil {
 		t.Fatal(err)
 	}
-	const pauses = 10
-	began := l.Now()
-	l.After(pauses*acceptRetryDelay, func() {
-		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+	const retries = 10
+	startedAt := l.Now()
+	l.After(retries*acceptRetryDelay, func() {
+		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &original); err != nil {
 			t.Error(err)
 		}
-		if most := int((l.Now()-began)/acceptRetryDelay) + 1; failed == 0 || failed > most {
+		if most := int((l.Now()-startedAt)/acceptRetryDelay) + 1; failed == 0 || failed > most {
 			t.Errorf("tried %d times, want 1 to %d", failed, most)
 		}
 	})
@@ -533,6 +543,6 @@
 		t.Error(err)
 	}
 	if accepted != 1 {
-		t.Errorf("%d accepted", accepted)
+		t.Errorf("%d connections were accepted, want 1", accepted)
 	}
 }
--- a/internal/evloop/conn_write.go
+++ b/internal/evloop/conn_write.go
@@ -9,12 +9,12 @@
 )
 
 var (
-	errOutputPending = errors.New("earlier output has yet to be sent")
+	errOutputPending = errors.New("earlier output is still pending")
 	errClosed        = errors.New("the connection is closed")
 )
 
-// Write sends data and keeps what the kernel will not take now. A failure is reported through Closed, in a later turn only,
-// so that callers need not expect the connection to be closed during the call.
+// Write sends data and buffers what the kernel does not accept yet. A failure is reported through Handler.Closed in a later
+// turn, so that the connection is never closed during the call.
 func (c *Conn) Write(data []byte) {
 	if c.closed || c.closeWriteWanted || len(data) == 0 {
 		return
@@ -22,7 +22,7 @@
 	if len(c.unsent) == 0 && c.writable {
 		n, err := c.send(data)
 		if err != nil {
-			c.failWrite(err)
+			c.handleWriteError(err)
 			return
 		}
 		data = data[n:]
@@ -32,7 +32,7 @@
 	}
 }
 
-// CloseWrite ends this side's sending once all output has gone.
+// CloseWrite closes the sending side of the connection once all output has been sent.
 func (c *Conn) CloseWrite() {
 	if !c.closed && !c.closeWriteWanted {
 		c.closeWriteWanted = true
@@ -40,17 +40,17 @@
 	}
 }
 
-// Pending is how many bytes of output the kernel has not taken.
+// Pending returns the number of output bytes that the kernel has not accepted yet.
 func (c *Conn) Pending() int { return len(c.unsent) }
 
-// PendingOutput is the output that the kernel has not taken. It is valid until the next call.
+// PendingOutput returns the output that the kernel has not accepted yet. It is valid until the next call of a Conn method.
 func (c *Conn) PendingOutput() []byte { return c.unsent }
 
-// Sent reports whether the kernel has taken all that was written. Where it is false and nothing is pending, a write failed
-// or the connection is closed.
+// Sent reports whether the kernel has accepted all output. If it returns false although no output is pending, a write failed or
+// the connection is closed.
 func (c *Conn) Sent() bool { return len(c.unsent) == 0 && c.writeErr == nil && !c.closed }
 
-// send writes until the kernel takes no more.
+// send writes data until the kernel accepts no more, and returns the number of bytes that it accepted.
 func (c *Conn) send(data []byte) (sent int, err error) {
 	for sent < len(data) {
 		n, err := c.loop.system.Write(c.fd, data[sent:])
@@ -62,7 +62,7 @@
 		case errors.Is(err, unix.EAGAIN):
 			c.writable = false
 			return sent, nil
-		case isTransient(err):
+		case isTransientError(err):
 			c.writable = false
 			c.scheduleFlush()
 			return sent, nil
@@ -73,10 +73,10 @@
 	return sent, nil
 }
 
-// transientRetryDelay is when a call is repeated for which the kernel had no memory.
+// transientRetryDelay is the delay before a system call is retried for which the kernel was out of memory.
 const transientRetryDelay = 10 * time.Millisecond
 
-// scheduleFlush sends what is pending later: the poller tells of room, but not of memory.
+// scheduleFlush retries sending after transientRetryDelay, because the poller reports free buffer space but not free memory.
 func (c *Conn) scheduleFlush() {
 	if c.flushScheduled {
 		return
@@ -91,22 +91,23 @@
 	})
 }
 
-// flushTurn sends pending output after the kernel has made room, and tells the handler when all has gone.
+// flushTurn sends pending output when the connection is writable again, and calls Drained once all output has been sent.
 func (c *Conn) flushTurn() {
 	hadOutput := len(c.unsent) > 0
 	if c.flush(); c.closed {
 		return
 	}
-	if hadOutput && c.Sent() { // output that a failed write lost has not gone
+	if hadOutput && c.Sent() { // Sent is false if a failed write lost output
 		c.handler.Drained()
 	}
 }
 
+// flush sends pending output as far as the kernel accepts it, and then closes the sending side if CloseWrite was called.
 func (c *Conn) flush() {
 	if len(c.unsent) > 0 && c.writable {
 		n, err := c.send(c.unsent)
 		if err != nil {
-			c.failWrite(err)
+			c.handleWriteError(err)
 			return
 		}
 		if n == len(c.unsent) {
@@ -117,20 +118,20 @@
 	}
 	if c.closeWriteWanted && !c.writeClosed && len(c.unsent) == 0 {
 		c.writeClosed = true
-		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails where the peer has reset the connection, which reading finds
+		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails if the peer has reset the connection, which a read reports
 	}
 }
 
-// failWrite handles a failed write. The kernel tells of the failure once; to reads that follow it looks like an end. What the
-// peer had sent before is read first all the same.
-func (c *Conn) failWrite(err error) {
+// handleWriteError discards pending output and schedules the close of the connection. Bytes that the peer sent before are read
+// first. The kernel reports the failure only once: later reads return EOF, so writeErr keeps the error.
+func (c *Conn) handleWriteError(err error) {
 	c.writable = false
 	c.unsent = nil
 	if c.writeErr != nil {
 		return
 	}
 	c.writeErr = err
-	_ = c.loop.Post(func() { // cannot fail, see Post
+	_ = c.loop.Post(func() { // does not fail in practice, see Post
 		c.CheckPeer()
 		c.closeWithError(err)
 	})
--- a/internal/evloop/conn_write_test.go
+++ b/internal/evloop/conn_write_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// countingHandler counts the calls of Drained and Closed.
+// countingHandler is a Handler that counts the calls of Drained and Closed.
 type countingHandler struct{ drained, closed int }
 
 func (*countingHandler) Opened()        {}
@@ -17,7 +17,7 @@
 func (n *countingHandler) Drained()     { n.drained++ }
 func (n *countingHandler) Closed(error) { n.closed++ }
 
-// connectedPair returns a connection on a loop that does not run and its other end.
+// connectedPair returns a loop that does not run, a connection on it, the connection's handler and its peer.
 func connectedPair(t *testing.T) (*Loop, *Conn, *countingHandler, *net.TCPConn) {
 	t.Helper()
 	l, err := New()
@@ -49,14 +49,15 @@
 	return l, c, h, peer.(*net.TCPConn)
 }
 
-// fillSendBuffer writes until the kernel takes no more.
+// fillSendBuffer writes until the kernel accepts no more.
 func fillSendBuffer(c *Conn) {
 	for c.Pending() == 0 {
 		c.Write(make([]byte, 1<<20))
 	}
 }
 
-// TestFailedWriteIsNotSent: output that the kernel refused has not been sent, though none of it is pending any more.
+// TestFailedWriteIsNotSent checks that Sent is false after a failed write, although no output is pending, and that Closed is
+// not called during the write.
 func TestFailedWriteIsNotSent(t *testing.T) {
 	_, c, h, peer := connectedPair(t)
 	peer.SetLinger(0)
@@ -70,12 +71,12 @@
 	}
 }
 
-// TestLostOutputIsNotDrained: Drained would tell the handler that output had gone which was lost with the connection.
+// TestLostOutputIsNotDrained checks that Drained is not called for output that was lost because the peer reset the connection.
 func TestLostOutputIsNotDrained(t *testing.T) {
 	l, c, h, peer := connectedPair(t)
 	fillSendBuffer(c)
 	if c.Sent() {
-		t.Error("sent while bytes are pending")
+		t.Error("Sent is true while output is pending")
 	}
 	peer.SetLinger(0)
 	peer.Close()
@@ -94,7 +95,8 @@
 	}
 }
 
-// TestDropRevokesUnacknowledgedOutput: after Drop the peer gets what had arrived by then, and a reset.
+// TestDropRevokesUnacknowledgedOutput checks that after Drop the peer receives only the output that had arrived by then, and a
+// reset.
 func TestDropRevokesUnacknowledgedOutput(t *testing.T) {
 	_, c, _, peer := connectedPair(t)
 	fillSendBuffer(c)
@@ -115,16 +117,17 @@
 	}
 }
 
-// TestWriteWithDescriptorsFails: nothing is sent behind pending output, nor on a closed connection; the error says which.
+// TestWriteWithDescriptorsFails checks the errors of WriteWithDescriptors with earlier output pending and on a closed
+// connection.
 func TestWriteWithDescriptorsFails(t *testing.T) {
 	_, c, _, _ := connectedPair(t)
 	fillSendBuffer(c)
 	if err := c.WriteWithDescriptors([]byte("x")); !errors.Is(err, errOutputPending) {
-		t.Errorf("behind pending output: %v", err)
+		t.Errorf("with pending output: %v", err)
 	}
 	c.Close()
 	if err := c.WriteWithDescriptors([]byte("x")); !errors.Is(err, errClosed) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("on a closed connection: %v", err)
 	}
 }
 
--- a/internal/evloop/descriptors.go
+++ b/internal/evloop/descriptors.go
@@ -10,13 +10,15 @@
 // maxDescriptorsPerRead bounds how many descriptors one read can receive.
 const maxDescriptorsPerRead = 8
 
-const descriptorBytes = 4 // of one descriptor in a control message
+// descriptorBytes is the size of one descriptor in a control message.
+const descriptorBytes = 4
 
-// ControlMessageBytes is the size of a control message (SCM_RIGHTS) with so many descriptors.
+// ControlMessageBytes returns the size in bytes of a control message (SCM_RIGHTS) that carries this number of descriptors.
 func ControlMessageBytes(descriptors int) int { return unix.CmsgSpace(descriptors * descriptorBytes) }
 
-// WriteWithDescriptors sends data, which must not be empty, over a Unix socket, with copies of the descriptors at its first
-// byte. It fails, and has sent nothing, where earlier output waits or the kernel takes nothing now.
+// WriteWithDescriptors sends data, which must not be empty, over a Unix socket, with copies of the descriptors attached to its
+// first byte. It returns an error and sends nothing if the connection is closed, earlier output is pending or the kernel accepts
+// no data at present.
 func (c *Conn) WriteWithDescriptors(data []byte, descriptors ...int) error {
 	switch {
 	case c.closed:
@@ -35,11 +37,11 @@
 	return nil
 }
 
-// AcceptDescriptors makes the connection receive descriptors that come along with bytes.
+// AcceptDescriptors makes the connection receive descriptors that are attached to data. TakeDescriptors returns them.
 func (c *Conn) AcceptDescriptors() { c.acceptsDescriptors = true }
 
-// TakeDescriptors gives the first count descriptors that came and were not given out yet, nil where fewer did. Those of a
-// message have come when its first byte has.
+// TakeDescriptors removes and returns the oldest count received descriptors, or returns nil if there are fewer. The descriptors
+// of a message are received with its first byte.
 func (c *Conn) TakeDescriptors(count int) (descriptors []int) {
 	if len(c.descriptors) >= count {
 		descriptors, c.descriptors = c.descriptors[:count:count], c.descriptors[count:]
@@ -47,7 +49,7 @@
 	return descriptors
 }
 
-// receive reads bytes, and descriptors where they are accepted.
+// receive reads bytes, and also descriptors after AcceptDescriptors.
 func (c *Conn) receive(buffer []byte) (int, error) {
 	if !c.acceptsDescriptors {
 		return c.loop.system.Read(c.fd, buffer)
@@ -60,7 +62,7 @@
 	return n, err
 }
 
-// ParseDescriptors gives the descriptors in a control message (SCM_RIGHTS), none where it is malformed.
+// ParseDescriptors returns the descriptors in a control message (SCM_RIGHTS), or none if the message is malformed.
 func ParseDescriptors(control []byte) (descriptors []int) {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
--- a/internal/evloop/dial.go
+++ b/internal/evloop/dial.go
@@ -9,20 +9,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// refusedError is an error of connect, as opposed to a lack of resources in this process.
-type refusedError struct{ error }
+// remoteConnectError is an error of connect that was caused by the peer or the network, not by this host.
+type remoteConnectError struct{ error }
 
-// Unwrap gives the error that connect returned.
-func (e refusedError) Unwrap() error { return e.error }
+// Unwrap returns the error of connect.
+func (e remoteConnectError) Unwrap() error { return e.error }
 
-// IsRemoteConnectError reports whether a failed Dial met the network's own refusal, not a lack of descriptors here.
+// IsRemoteConnectError reports whether Dial failed because of the peer or the network, as opposed to a lack of resources on
+// this host, such as descriptors.
 func IsRemoteConnectError(err error) bool {
-	var refused refusedError
-	return errors.As(err, &refused)
+	var remoteErr remoteConnectError
+	return errors.As(err, &remoteErr)
 }
 
-// Dial starts a connection. It never blocks: the handler's Opened or Closed is called later. An error means that nothing was
-// started, as where no descriptor is left. The address must be numeric: a name would make the loop wait for a resolver.
+// Dial starts to connect to a TCP address and does not block. The handler's Opened or Closed is called later. If Dial returns an
+// error, no connection was started and the handler is not called, for example because the process is out of descriptors. The
+// address must be a numeric host and a port, because resolving a name would block the loop.
 func (l *Loop) Dial(addr string, handler Handler) (*Conn, error) {
 	if !isNumericAddr(addr) {
 		return nil, fmt.Errorf("dial %q: not a numeric address and port", addr)
@@ -37,11 +39,11 @@
 	}
 	if err := l.system.Connect(fd, sockaddr); err != nil && !isConnecting(err) {
 		_ = unix.Close(fd)
-		failure := os.NewSyscallError("connect", err)
+		connectErr := os.NewSyscallError("connect", err)
 		if isLocalConnectError(err) {
-			return nil, failure
+			return nil, connectErr
 		}
-		return nil, refusedError{failure}
+		return nil, remoteConnectError{connectErr}
 	}
 	conn := &Conn{loop: l, fd: fd, handler: handler, dialing: true}
 	if err := conn.register(); err != nil {
@@ -51,7 +53,7 @@
 	return conn, nil
 }
 
-// Adopt serves a stream socket that is already connected. Where it fails the descriptor is closed.
+// Adopt adds a stream socket that is already connected to the loop. If it returns an error, it has closed the descriptor.
 func (l *Loop) Adopt(fd int, handler Handler) (*Conn, error) {
 	err := unix.SetNonblock(fd, true)
 	conn := &Conn{loop: l, fd: fd, handler: handler, writable: true}
--- a/internal/evloop/holdup.go
+++ b/internal/evloop/holdup.go
@@ -6,43 +6,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file keeps order after the loop was held up: by a long turn of its own, or by its host.
+// A hold-up is a time in which the loop processed nothing, because a turn took too long or the host did not run the process.
 //
-// What came meanwhile is handled in the order of the poller, which says nothing of its meaning: the end of a client may come
-// behind the work that is done for it, an answer behind the timer that gives it up. The loop is then held up until all that was
-// ready has been handled once, and what depends on the order waits for that (AfterCatchUp).
+// Events that arrive during a hold-up are handled in the poller's order, not in the order in which they arrived: a client's
+// disconnect may be handled after work that is done for that client, and a response after the timer that gives up on it. The
+// loop therefore counts as held up until every event that was ready has been handled once. Calls that depend on the order of
+// events wait until then (AfterCatchUp).
 
 const (
-	// holdUpThreshold is how late a timer is, or how long a turn takes, from which on the loop was held up. It lies above the
-	// delays of a busy host's scheduler and below what a request can lose unnoticed.
+	// holdUpThreshold is the lateness of a timer, or the length of a turn, above which the loop was held up. It is longer than
+	// scheduling delays on a busy host and shorter than a delay that matters to a request.
 	holdUpThreshold = 20 * time.Millisecond
-	// catchUpRounds is for how many turns of the timer nothing must wait in the accept queues. A timer that is set in one turn
-	// comes behind all that was ready by its end.
+	// catchUpRounds is the number of consecutive rounds in which no accept queue may hold connections before the hold-up ends.
+	// Each round is a timer that is set in one turn and runs after all events that were ready by the end of that turn.
 	catchUpRounds = 2
-	// maxCatchUpRounds and maxCatchUpTime bound what is waited for: neither a flood of connections nor a host that holds the loop up
-	// again and again may keep requests waiting.
+	// maxCatchUpRounds and maxCatchUpTime bound the catch-up, so that neither a flood of connections nor a host that
+	// repeatedly holds up the loop can delay requests indefinitely.
 	maxCatchUpRounds = 256
 	maxCatchUpTime   = 100 * time.Millisecond
-	// deferredCallsPerTurn bounds how many calls that waited one turn makes.
+	// deferredCallsPerTurn bounds how many deferred calls one turn runs.
 	deferredCallsPerTurn = 8
-	// minDataAge is the least age of received bytes that is believed: the kernel counts it in ticks of up to 10 ms.
+	// minDataAge is the smallest age of received data that is trusted. The kernel measures the age in ticks of up to 10 ms.
 	minDataAge = 12 * time.Millisecond
 )
 
-// holdUp is the state of a loop that was held up. The zero value was not.
+// holdUp is the state of the latest hold-up. Its zero value means that the loop is not held up.
 type holdUp struct {
-	since      time.Duration // from when on nothing was attended to; 0: the loop is not held up
-	notedAt    time.Duration // when that was found
-	rounds     int           // that are left without an accept queue
-	maxRounds  int           // that are left at most
-	deferred   []func()      // calls that wait, in order
-	scheduling bool          // a timer for the next round is set
+	since           time.Duration // when the hold-up began; 0 if the loop is not held up
+	detectedAt      time.Duration // when the hold-up was detected
+	emptyRoundsLeft int           // rounds with empty accept queues that are still needed
+	roundsLeft      int           // rounds until the catch-up ends regardless
+	deferred        []func()      // calls that wait for the end of the catch-up, in order
+	roundScheduled  bool          // the timer for the next round is set
 }
 
-// HeldUp reports whether the loop was held up and has not handled all that came meanwhile.
+// HeldUp reports whether the loop was held up and has not yet handled every event that arrived during the hold-up.
 func (l *Loop) HeldUp() bool { return l.holdUp.since != 0 || len(l.holdUp.deferred) > 0 }
 
-// AfterCatchUp calls f now, or where the loop was held up as soon as all that came meanwhile has been handled.
+// AfterCatchUp calls f at once, or, if the loop is held up, after it has handled every event that arrived during the hold-up.
 func (l *Loop) AfterCatchUp(f func()) {
 	if !l.HeldUp() {
 		f()
@@ -52,46 +53,47 @@
 	l.scheduleCatchUp()
 }
 
-// noteHoldUp notes that nothing was attended to since a time.
-func (l *Loop) noteHoldUp(since time.Duration) {
+// recordHoldUp starts or restarts the catch-up after a hold-up that began at since.
+func (l *Loop) recordHoldUp(since time.Duration) {
 	if l.holdUp.since == 0 {
 		l.holdUp.since = since
-		l.holdUp.notedAt = l.clock() // l.now may be the beginning of a long turn
-		l.holdUp.maxRounds = maxCatchUpRounds
+		l.holdUp.detectedAt = l.clock() // l.now may be the start of a long turn
+		l.holdUp.roundsLeft = maxCatchUpRounds
 	}
-	l.holdUp.rounds = catchUpRounds
+	l.holdUp.emptyRoundsLeft = catchUpRounds
 	l.scheduleCatchUp()
 }
 
-// detectLateTimer notes a hold-up where the first timer should have run long ago. A loop that was held up for longer than the
-// time to its next timer always has one.
+// detectLateTimer records a hold-up if the earliest timer is overdue by more than holdUpThreshold. This detects hold-ups that
+// extend past a timer's deadline by more than the threshold.
 func (l *Loop) detectLateTimer() {
 	if len(l.timers.timers) == 0 || l.holdUp.since != 0 {
 		return
 	}
 	if due := l.timers.timers[0].deadline; l.now-due > holdUpThreshold {
-		l.noteHoldUp(due)
+		l.recordHoldUp(due)
 	}
 }
 
+// scheduleCatchUp sets the timer for the next round, unless it is set.
 func (l *Loop) scheduleCatchUp() {
-	if !l.holdUp.scheduling {
-		l.holdUp.scheduling = true
+	if !l.holdUp.roundScheduled {
+		l.holdUp.roundScheduled = true
 		l.After(0, l.catchUp)
 	}
 }
 
-// catchUp is one round: it ends the hold-up once enough of them have passed, and then makes the calls that waited.
+// catchUp runs one round. After the last round it ends the hold-up and starts to run the deferred calls.
 func (l *Loop) catchUp() {
 	h := &l.holdUp
-	h.scheduling = false
-	h.maxRounds--
+	h.roundScheduled = false
+	h.roundsLeft--
 	if l.acceptsScheduled > 0 {
-		h.rounds = catchUpRounds
+		h.emptyRoundsLeft = catchUpRounds
 	} else {
-		h.rounds--
+		h.emptyRoundsLeft--
 	}
-	if h.since != 0 && h.rounds > 0 && h.maxRounds > 0 && l.now-h.notedAt < maxCatchUpTime {
+	if h.since != 0 && h.emptyRoundsLeft > 0 && h.roundsLeft > 0 && l.now-h.detectedAt < maxCatchUpTime {
 		l.scheduleCatchUp()
 		return
 	}
@@ -111,8 +113,9 @@
 	}
 }
 
-// ReceivedAt returns when the latest bytes of the peer reached this host: before the loop's present time where they had to wait
-// for it. Where the kernel does not say it is the earliest time that can be.
+// ReceivedAt returns the time at which the latest bytes from the peer reached this host. It is earlier than Now if the bytes
+// waited to be read. If the kernel does not report it, ReceivedAt returns the earliest possible time: the start of the
+// hold-up, or Now without one.
 func (c *Conn) ReceivedAt() time.Duration {
 	now := c.loop.now
 	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/evloop/holdup_test.go
+++ b/internal/evloop/holdup_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// TestCallsWaitUntilCaughtUp holds the loop up while data comes on one connection and the end of many others: a call that the data
-// causes must wait for all the ends, whatever the order of the poller.
+// TestCallsWaitUntilCaughtUp checks that a call which depends on the order of events waits until the loop has handled all
+// events of a hold-up, whatever the poller's order: during the hold-up one client sends data and many others disconnect.
 func TestCallsWaitUntilCaughtUp(t *testing.T) {
-	const others = 300 // more than the poller reports at once, or one turn accepts
+	const otherClients = 300 // more events than the poller reports at once, and more connections than one turn accepts
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := 0
-	endedAtCall := -1
+	disconnects := 0
+	disconnectsAtCall := -1
 	listener, err := l.Listen("127.0.0.1:0", func(c *Conn) Handler {
-		return &endCounter{conn: c, ended: &ended, onData: func() {
+		return &disconnectCounter{conn: c, disconnects: &disconnects, onData: func() {
 			l.AfterCatchUp(func() {
-				endedAtCall = ended
+				disconnectsAtCall = disconnects
 				stopLoop(t, l)
 			})
 		}}
@@ -38,7 +38,7 @@
 	first := dialTest(t, listener.Addr())
 	defer func() { _ = first.Close() }()
 	writeAll(t, first, []byte("request"))
-	for range others {
+	for range otherClients {
 		_ = dialTest(t, listener.Addr()).Close()
 	}
 	select {
@@ -49,23 +49,23 @@
 	case <-time.After(testTimeout):
 		t.Fatal("the call was never made")
 	}
-	if endedAtCall != others {
-		t.Errorf("%d of %d connections had ended for the loop at the call", endedAtCall, others)
+	if disconnectsAtCall != otherClients {
+		t.Errorf("the loop had handled %d of %d disconnects at the call", disconnectsAtCall, otherClients)
 	}
 	if l.HeldUp() {
 		t.Error("the loop is still held up")
 	}
 }
 
-// TestFloodDoesNotKeepCallsWaiting: connections that go on coming must not put off for ever what waits for the loop to catch up.
-func TestFloodDoesNotKeepCallsWaiting(t *testing.T) {
+// TestFloodDoesNotDelayCallsForever checks that deferred calls run even if accept queues never become empty.
+func TestFloodDoesNotDelayCallsForever(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	postLoop(t, l, func() {
-		l.noteHoldUp(l.Now())
-		l.acceptsScheduled++ // as if a queue never ran dry
+		l.recordHoldUp(l.Now())
+		l.acceptsScheduled++ // as if an accept queue never became empty
 		l.AfterCatchUp(func() { stopLoop(t, l) })
 	})
 	done := make(chan error)
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestReceivedAtIsBeforeHoldUp: bytes that came while the loop was held up are as old as they are.
-func TestReceivedAtIsBeforeHoldUp(t *testing.T) {
+// TestReceivedAtDuringHoldUp checks that ReceivedAt includes the time that bytes waited while the loop did not run.
+func TestReceivedAtDuringHoldUp(t *testing.T) {
 	const heldUpFor = 300 * time.Millisecond
 	l, err := New()
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 	var age time.Duration
 	listener, err := l.Listen("127.0.0.1:0", func(c *Conn) Handler {
-		return &endCounter{conn: c, ended: new(int), onData: func() {
+		return &disconnectCounter{conn: c, disconnects: new(int), onData: func() {
 			age = l.Now() - c.ReceivedAt()
 			stopLoop(t, l)
 		}}
@@ -97,28 +97,29 @@
 	client := dialTest(t, listener.Addr())
 	defer func() { _ = client.Close() }()
 	writeAll(t, client, []byte("request"))
-	time.Sleep(heldUpFor) // the loop does not run yet
+	time.Sleep(heldUpFor) // the loop does not run during this time
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
 	if age < heldUpFor-50*time.Millisecond || age > heldUpFor+500*time.Millisecond {
-		t.Errorf("the bytes were taken to be %v old, they waited %v", age, heldUpFor)
+		t.Errorf("ReceivedAt reports that the bytes are %v old, but they waited %v", age, heldUpFor)
 	}
 }
 
-// endCounter counts the ends of connections and calls onData for data.
-type endCounter struct {
-	conn   *Conn
-	ended  *int
-	onData func()
+// disconnectCounter is a Handler that counts disconnects and calls onData for received data.
+type disconnectCounter struct {
+	conn        *Conn
+	disconnects *int
+	onData      func()
 }
 
-func (h *endCounter) Opened()      {}
-func (h *endCounter) Data([]byte)  { h.onData() }
-func (h *endCounter) EOF()         { *h.ended++; h.conn.Close() }
-func (h *endCounter) Drained()     {}
-func (h *endCounter) Closed(error) { *h.ended++ }
+func (h *disconnectCounter) Opened()      {}
+func (h *disconnectCounter) Data([]byte)  { h.onData() }
+func (h *disconnectCounter) EOF()         { *h.disconnects++; h.conn.Close() }
+func (h *disconnectCounter) Drained()     {}
+func (h *disconnectCounter) Closed(error) { *h.disconnects++ }
 
+// postLoop posts f to the loop and fails the test if that fails.
 func postLoop(t *testing.T, l *Loop, f func()) {
 	t.Helper()
 	if err := l.Post(f); err != nil {
@@ -126,6 +127,7 @@
 	}
 }
 
+// dialTest connects to addr and fails the test if that fails.
 func dialTest(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
--- a/internal/evloop/linger.go
+++ b/internal/evloop/linger.go
@@ -8,69 +8,71 @@
 )
 
 const (
-	// maxFinalReads bounds what End reads before it closes: a peer that floods is reset.
+	// maxFinalReads bounds how many reads Lingering.Close does before it closes, so that it does not wait for a flooding peer,
+	// which receives a reset.
 	maxFinalReads  = 16
 	finalReadBytes = 16 << 10
 )
 
 // LingerLimits limit a lingering close.
 type LingerLimits struct {
-	IdleTimeout  time.Duration // without a byte either way; progress is checked this often
+	IdleTimeout  time.Duration // without a byte in either direction; this is also the interval of the check
 	TotalTimeout time.Duration
-	MaxBytes     int // of the peer's, which are discarded
+	MaxBytes     int // received bytes, which are discarded
 }
 
-// Lingering is a connection that has had its last message and is read to its end (lingering close). It is its connection's
-// Handler.
+// Lingering is a connection in a lingering close: its last message has been written, and its input is discarded until the peer
+// closes. It is the connection's Handler.
 type Lingering struct {
 	conn         *Conn
-	bounds       LingerLimits
+	limits       LingerLimits
 	startedAt    time.Duration
 	bytesRead    int
-	lastProgress int // bytes either way at the latest check
+	lastProgress int // bytes in both directions at the latest check
 	timer        *Timer
 	onClosed     func()
 }
 
 var _ Handler = (*Lingering)(nil)
 
-// Linger ends the connection so that what was written arrives: sending ends once all output has gone, and the peer is read
-// and its bytes discarded until it ends too or the bounds are reached. Closing over unread bytes would reset the connection
-// and take along what the peer has yet to read (RFC 2525, 2.17). The connection's handler is not called any more; onClosed is
-// called once the connection is closed. Linger returns nil, and onClosed is not called, where nothing was left to wait for.
-func (c *Conn) Linger(bounds LingerLimits, onClosed func()) *Lingering {
+// Linger closes the connection gracefully, so that pending output reaches the peer. It closes the sending side after all output
+// is sent, and discards input until the peer closes too or a limit is reached. Closing with unread input would reset the
+// connection and destroy output that the peer has not read yet (RFC 2525, section 2.17). The connection's previous handler is
+// not called anymore; onClosed, unless it is nil, is called once the connection is closed. If there is nothing to wait for,
+// Linger closes the connection at once, returns nil and does not call onClosed.
+func (c *Conn) Linger(limits LingerLimits, onClosed func()) *Lingering {
 	if c.closed {
 		return nil
 	}
-	if c.peerEnded && len(c.unsent) == 0 || c.dialing {
+	if c.atEOF && len(c.unsent) == 0 || c.dialing {
 		c.Close()
 		return nil
 	}
-	lingering := &Lingering{conn: c, bounds: bounds, startedAt: c.loop.now, lastProgress: c.bytesSent, onClosed: onClosed}
+	lingering := &Lingering{conn: c, limits: limits, startedAt: c.loop.now, lastProgress: c.bytesSent, onClosed: onClosed}
 	c.handler = lingering
-	lingering.timer = c.loop.After(bounds.IdleTimeout, lingering.checkProgress)
+	lingering.timer = c.loop.After(limits.IdleTimeout, lingering.checkProgress)
 	c.Resume()
 	c.CloseWrite()
 	return lingering
 }
 
-// Opened is never called: a connection that is still dialing does not linger.
+// Opened is never called, because Linger closes a connection that is still dialing.
 func (l *Lingering) Opened() {}
 
-// Drained closes the connection if the peer has ended too.
+// Drained closes the connection if the peer has closed its sending side.
 func (l *Lingering) Drained() { l.closeIfComplete() }
 
-// EOF closes the connection if all output has gone.
+// EOF closes the connection if all output has been sent.
 func (l *Lingering) EOF() { l.closeIfComplete() }
 
-// Data discards what the peer sends, up to the bound.
+// Data discards received bytes. It closes the connection when they exceed MaxBytes.
 func (l *Lingering) Data(data []byte) {
-	if l.bytesRead += len(data); l.bytesRead > l.bounds.MaxBytes {
+	if l.bytesRead += len(data); l.bytesRead > l.limits.MaxBytes {
 		l.Close()
 	}
 }
 
-// Closed finishes a connection that broke.
+// Closed stops the progress checks and calls onClosed.
 func (l *Lingering) Closed(error) {
 	l.conn.loop.Cancel(l.timer)
 	if l.onClosed != nil {
@@ -79,36 +81,37 @@
 }
 
 func (l *Lingering) closeIfComplete() {
-	if l.conn.peerEnded && len(l.conn.unsent) == 0 {
+	if l.conn.atEOF && len(l.conn.unsent) == 0 {
 		l.Close()
 	}
 }
 
+// checkProgress closes the connection if no bytes were transferred since the last check or if TotalTimeout has passed.
 func (l *Lingering) checkProgress() {
 	progress := l.bytesRead + l.conn.bytesSent
-	if progress == l.lastProgress || l.conn.loop.now-l.startedAt >= l.bounds.TotalTimeout {
+	if progress == l.lastProgress || l.conn.loop.now-l.startedAt >= l.limits.TotalTimeout {
 		l.Close()
 		return
 	}
 	l.lastProgress = progress
-	l.timer = l.conn.loop.After(l.bounds.IdleTimeout, l.checkProgress)
+	l.timer = l.conn.loop.After(l.limits.IdleTimeout, l.checkProgress)
 }
 
-// Close closes the connection before its bounds are reached. What has come by then is read first, so that only later bytes
-// reset it.
+// Close closes the connection before a limit is reached. It first reads what has already arrived, because closing with unread
+// input would reset the connection.
 func (l *Lingering) Close() {
 	conn := l.conn
 	if conn.closed {
 		return
 	}
-	if !conn.peerEnded {
+	if !conn.atEOF {
 		conn.discardUnread()
 	}
 	conn.Close()
 	l.Closed(nil)
 }
 
-// discardUnread reads what the kernel has, up to a bound.
+// discardUnread reads and discards received bytes, with maxFinalReads reads at most.
 func (c *Conn) discardUnread() {
 	buffer := make([]byte, finalReadBytes)
 	for range maxFinalReads {
--- a/internal/evloop/listener.go
+++ b/internal/evloop/listener.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// maxAcceptsPerTurn bounds what one turn accepts, so that earlier connections are read in between.
+	// maxAcceptsPerTurn bounds the connections that one turn accepts, so that established connections are read in between.
 	maxAcceptsPerTurn = 16
-	// acceptRetryDelay is how long accepting pauses when descriptors or kernel memory have run out. Connections wait in the
-	// kernel's queue meanwhile.
+	// acceptRetryDelay is the delay before accepting is retried when descriptors or kernel memory have run out. Connections
+	// wait in the kernel's accept queue meanwhile.
 	acceptRetryDelay = 10 * time.Millisecond
-	// maxCloseAttempts is how often a queue is read at the end while descriptors or kernel memory have run out.
+	// maxCloseAttempts is how often a closing listener tries to empty its accept queue while descriptors or kernel memory have
+	// run out.
 	maxCloseAttempts = 10
-	// maxCloseBatches bounds what is accepted at the end in one turn: more than a queue holds.
+	// maxCloseBatches bounds the batches that a closing listener accepts in one turn. It covers more connections than an accept
+	// queue holds.
 	maxCloseBatches = 512
 )
 
-// maxRegisterAttempts is how often an accepted connection is offered to the poller.
+// maxRegisterAttempts bounds the attempts to register an accepted connection with the poller.
 const maxRegisterAttempts = 100
 
-var errNotRegistered = errors.New("the poller has no memory for the connection")
+var errNotRegistered = errors.New("registering the connection with the poller failed: the kernel is out of memory")
 
 // Listener accepts connections.
 type Listener struct {
-	// CanAccept reports whether one more connection may be accepted; nil: always.
+	// CanAccept reports whether one more connection may be accepted. If it is nil, there is no limit.
 	CanAccept func() bool
 
 	loop     *Loop
@@ -40,15 +42,16 @@
 	onError  func(error)
 
 	acceptScheduled bool // a later turn accepts
-	queueHasMore    bool // that turn comes at once, since more connections may wait
+	queueHasMore    bool // more connections may wait, so that turn is scheduled without a delay
 	paused          bool // another process accepts from the same queue
-	acceptFailed    bool // for a lack of descriptors or memory
-	closing         bool // it stops listening once the queue is empty
+	acceptFailed    bool // because descriptors or kernel memory have run out
+	closing         bool // the listener stops listening once the queue is empty
 	closeAttempts   int
 }
 
-// Listen accepts connections at addr and passes each to onAccept, which returns its handler. A failure to accept, such as a
-// lack of descriptors, goes to onError; the listener then tries again by itself.
+// Listen accepts connections at a TCP address and passes each to onAccept, which returns its handler. Errors of accept, such as
+// a lack of descriptors, are passed to onError, and the listener retries after acceptRetryDelay. Listen returns the errors of
+// the system calls that create the listening socket.
 func (l *Loop) Listen(addr string, onAccept func(*Conn) Handler, onError func(error)) (*Listener, error) {
 	options := []socket.Option[int]{
 		{SetSockOpt: socket.SetReuseAddr, Opt: 1},
@@ -69,7 +72,8 @@
 	return listener, nil
 }
 
-// ListenFD is Listen on a listening descriptor. On an error it stays the caller's.
+// ListenFD is like Listen for a descriptor that is already listening. The listener owns the descriptor, unless ListenFD returns
+// an error.
 func (l *Loop) ListenFD(fd int, onAccept func(*Conn) Handler, onError func(error)) (*Listener, error) {
 	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
@@ -90,13 +94,13 @@
 	return listener, nil
 }
 
-// Addr is the address that the listener is bound to.
+// Addr returns the address that the listener is bound to.
 func (listener *Listener) Addr() string { return listener.addr }
 
-// FD is the listening descriptor, to be passed to a successor process.
+// FD returns the listening descriptor, for transfer to a successor process.
 func (listener *Listener) FD() int { return listener.fd }
 
-// SetPaused leaves the queue to another process that has the same descriptor, or accepts from it again.
+// SetPaused pauses or resumes accepting. While it is paused, connections are left to another process with the same descriptor.
 func (listener *Listener) SetPaused(paused bool) {
 	if listener.paused != paused && listener.listening() {
 		listener.paused = paused
@@ -104,16 +108,16 @@
 	}
 }
 
-// Detach stops listening. Connections that wait in the queue are left to other processes that have the same descriptor.
+// Detach stops listening. Connections in the accept queue are left to other processes with the same descriptor.
 func (listener *Listener) Detach() {
 	if listener.listening() {
 		delete(listener.loop.listeners, listener.fd)
-		_ = listener.loop.poller.Delete(listener.fd) // else it stays registered while another process has the descriptor
+		_ = listener.loop.poller.Delete(listener.fd) // otherwise it stays registered while another process holds the descriptor
 		_ = unix.Close(listener.fd)
 	}
 }
 
-// Close accepts what still waits in the queue, then stops listening.
+// Close accepts the connections that wait in the accept queue, then stops listening.
 func (listener *Listener) Close() {
 	if !listener.listening() {
 		return
@@ -123,8 +127,9 @@
 	listener.closeTurn()
 }
 
-// closeTurn accepts what waits, and stops listening unless a lack of descriptors or memory has left something: a connection in the
-// queue would be reset, with a request in it maybe.
+// closeTurn accepts the connections in the accept queue, then stops listening. If descriptors or memory have run out, a later
+// turn retries, maxCloseAttempts times at most, because the kernel resets connections that are left in the queue, and they may
+// already carry a request.
 func (listener *Listener) closeTurn() {
 	for range maxCloseBatches {
 		listener.acceptFailed = false
@@ -138,15 +143,17 @@
 	}
 }
 
+// listening reports whether the listener has been neither closed nor detached.
 func (listener *Listener) listening() bool { return listener.loop.listeners[listener.fd] == listener }
 
+// acceptTurn accepts one batch of connections, unless accepting is paused or a later turn does it.
 func (listener *Listener) acceptTurn() {
 	if !listener.acceptScheduled && !listener.paused && listener.acceptBatch() {
 		listener.scheduleAccept(0)
 	}
 }
 
-// scheduleAccept accepts in a later turn, once the delay has passed.
+// scheduleAccept accepts connections in a later turn, once the delay has passed.
 func (listener *Listener) scheduleAccept(delay time.Duration) {
 	listener.acceptScheduled = true
 	if delay == 0 && !listener.queueHasMore {
@@ -171,7 +178,7 @@
 
 // acceptBatch accepts up to maxAcceptsPerTurn connections and reports whether more may wait.
 func (listener *Listener) acceptBatch() (more bool) {
-	var connectionErr error // of the latest connection that was gone
+	var connectionErr error // why the latest connection in the queue could not be accepted
 	for range maxAcceptsPerTurn {
 		if listener.CanAccept != nil && !listener.CanAccept() {
 			listener.scheduleAccept(acceptRetryDelay)
@@ -184,7 +191,7 @@
 			listener.serve(fd)
 		case errors.Is(err, unix.EAGAIN):
 			return false
-		case isAcceptedError(err):
+		case isQueuedConnError(err):
 			connectionErr = err
 		default: // EMFILE, ENFILE, ENOBUFS, ENOMEM
 			listener.acceptFailed = true
@@ -193,7 +200,7 @@
 			return false
 		}
 	}
-	if connectionErr != nil { // it goes on in this way, perhaps for ever
+	if connectionErr != nil { // accept may continue to fail like this
 		listener.onError(connectionErr)
 		listener.scheduleAccept(acceptRetryDelay)
 		return false
@@ -201,18 +208,18 @@
 	return true
 }
 
-// serve hands an accepted connection to its handler.
+// serve gets a handler for an accepted connection and registers the connection with the poller.
 func (listener *Listener) serve(fd int) {
 	conn := &Conn{loop: listener.loop, fd: fd, writable: true}
 	if conn.handler = listener.onAccept(conn); conn.closed {
 		return
 	}
-	conn.registerOrRetry(maxRegisterAttempts)
+	conn.registerWithRetry(maxRegisterAttempts)
 }
 
-// registerOrRetry registers an accepted connection, later where the kernel has no memory for it now: it may have a request, which is
-// owed an answer.
-func (c *Conn) registerOrRetry(attempts int) {
+// registerWithRetry registers an accepted connection with the poller. While the kernel is out of memory it retries, because the
+// connection may already carry a request, which needs a response.
+func (c *Conn) registerWithRetry(attempts int) {
 	if c.closed || c.register() == nil {
 		return
 	}
@@ -220,6 +227,6 @@
 		c.closeWithError(errNotRegistered)
 		return
 	}
-	c.loop.conns[c.fd] = c // it still counts, and is found by nobody else
-	c.loop.After(acceptRetryDelay, func() { c.registerOrRetry(attempts - 1) })
+	c.loop.conns[c.fd] = c // it still counts as a connection, and no event can reach it before it is registered
+	c.loop.After(acceptRetryDelay, func() { c.registerWithRetry(attempts - 1) })
 }
--- a/internal/evloop/loop.go
+++ b/internal/evloop/loop.go
@@ -1,9 +1,10 @@
-// Package evloop serves stream sockets and timers from one goroutine. The proxy's connections, listeners and timers all live
-// on one Loop, so its state needs no locks; handlers are called one at a time and must not block.
+// Package evloop serves stream sockets and timers from one goroutine. The proxy's connections, listeners and timers all belong
+// to one Loop, so their state needs no locks. Handlers are called one at a time and must not block. A turn is the processing
+// of one event: of a connection, a listener, the timers or a posted function.
 //
-// It is built on gnet's poller and socket helpers, not on gnet's engine, which cannot keep three of the proxy's limits: its
-// acceptor ends the whole engine when descriptors run out, a peer that ends only its sending is cut off before its answer is
-// sent, and its output buffers have no bound.
+// The package uses gnet's poller and socket helpers but not its engine, which has three faults for the proxy: its acceptor
+// stops the whole engine when the process runs out of descriptors, it closes a half-closed connection before the response is
+// sent, and its output buffers are unbounded.
 package evloop
 
 import (
@@ -17,37 +18,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBufferBytes is the size of the buffer that all connections read into.
+// readBufferBytes is the size of the read buffer that all connections share.
 const readBufferBytes = 64 << 10
 
-// Loop is an event loop. All methods but Post and Stop must be called from the loop's own goroutine, or before Run. It keeps
-// its own descriptors for as long as the process lives.
+// Loop is an event loop. All methods except Post and Stop must be called on the loop's goroutine, or before Run. The poller's
+// and the timer's descriptors are never closed.
 type Loop struct {
 	system    System
 	poller    *netpoll.Poller
 	conns     map[int]*Conn     // by descriptor
 	listeners map[int]*Listener // by descriptor
 
-	timers    timerHeap
-	timerFD   int
-	timerFDAt time.Duration // when timerFD fires; 0: not armed
+	timers          timerHeap
+	timerFD         int
+	timerFDDeadline time.Duration // when timerFD fires; 0 if it is not armed
 
 	startedAt time.Time
 	startUnix time.Duration // Unix time at startedAt
-	now       time.Duration // of this turn
+	now       time.Duration // the clock at the start of this turn
 
-	observer  Observer // nil: none
-	turnCause Cause
-	turnNamed bool // by SetTurnCause
+	observer     Observer // may be nil
+	turnCause    Cause
+	turnCauseSet bool // SetTurnCause was called in this turn
 
 	holdUp           holdUp
-	acceptsScheduled int // listeners whose queue may hold more and which accept in a later turn
+	acceptsScheduled int // listeners whose queue may hold more connections, which a later turn accepts
 
 	readBuffer      []byte
 	readBufferInUse bool
 }
 
-// New makes a loop whose clock starts at the wall clock's present time.
+// New returns a loop whose clock starts at the current wall-clock time. Its errors are those of the system calls that create
+// the poller and the timer descriptor.
 func New() (*Loop, error) {
 	poller, err := netpoll.OpenPoller()
 	if err != nil {
@@ -71,23 +73,25 @@
 	return l, poller.AddRead(&netpoll.PollAttachment{FD: fd}, false)
 }
 
-// updateClock reads the clock for a turn. The wall clock is read only once, at the start: the balancers' epochs are shared
-// with other proxies and must not jump when a clock is set.
+// updateClock reads the clock for a turn. Only New reads the wall clock, because the balancers' epochs are shared with other
+// proxies and must not jump when the wall clock is set.
 func (l *Loop) updateClock() {
 	l.now = l.clock()
 }
 
+// clock returns the current time of the loop's clock.
 func (l *Loop) clock() time.Duration {
 	return l.startUnix + time.Since(l.startedAt).Truncate(time.Microsecond)
 }
 
-// ClockReading is the loop's clock at a moment, with the host's monotonic clock, which all its processes share.
+// ClockReading is a simultaneous reading of a loop's clock and of the host's monotonic clock, which all processes on the host
+// share.
 type ClockReading struct {
 	Loop      time.Duration
 	Monotonic time.Duration
 }
 
-// ReadClock returns the present reading. Its error is that of the system's clock.
+// ReadClock returns a reading of the current time. Its error is that of clock_gettime.
 func (l *Loop) ReadClock() (ClockReading, error) {
 	var monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
@@ -96,29 +100,31 @@
 	return ClockReading{Loop: l.clock(), Monotonic: time.Duration(monotonic.Nano())}, nil
 }
 
-// ContinueClock has the clock go on from a reading of another process on this host, whatever the wall clock has been set to since. It
-// must be called before any timer is set. Its error is that of the system's clock.
+// ContinueClock synchronizes the loop's clock with that of another process on this host, from which the reading comes,
+// regardless of changes to the wall clock since the reading. It must be called before any timer is set. Its error is that of
+// clock_gettime.
 func (l *Loop) ContinueClock(reading ClockReading) error {
-	present, err := l.ReadClock()
+	current, err := l.ReadClock()
 	if err != nil {
 		return err
 	}
-	elapsed := present.Monotonic - reading.Monotonic
-	l.startUnix += (reading.Loop + elapsed - present.Loop).Truncate(time.Microsecond)
+	elapsed := current.Monotonic - reading.Monotonic
+	l.startUnix += (reading.Loop + elapsed - current.Loop).Truncate(time.Microsecond)
 	l.updateClock()
 	return nil
 }
 
-// Now is the time of this turn: Unix time at the start plus monotonic time, in whole microseconds.
+// Now returns the time at the start of this turn: the Unix time at which the loop was created plus the monotonic time since
+// then, in whole microseconds.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// WallClock is the time that the host's clock shows now. It may jump; deadlines and waits go by Now.
+// WallClock returns the current time of the host's wall clock. It may jump; use Now for deadlines and waits.
 func (l *Loop) WallClock() time.Time { return l.system.WallClock() }
 
-// ConnCount is how many connections the loop has, those that are still dialing included.
+// ConnCount returns the number of connections, including those that are still dialing.
 func (l *Loop) ConnCount() int { return len(l.conns) }
 
-// Run serves until Stop. An error is the poller's, which then cannot go on.
+// Run processes events until Stop. It returns nil after Stop, or the error with which the poller failed.
 func (l *Loop) Run() error {
 	err := l.poller.Polling(l.handleEvent)
 	if errors.Is(err, gneterrors.ErrEngineShutdown) {
@@ -127,13 +133,13 @@
 	return err
 }
 
-// Stop ends Run after the present turn. It may be called from any goroutine. Its error is that of Post.
+// Stop makes Run return after the current turn. It may be called from any goroutine. Its error is like that of Post.
 func (l *Loop) Stop() error {
 	return l.poller.Trigger(queue.LowPriority, func(any) error { return gneterrors.ErrEngineShutdown }, nil)
 }
 
-// Post runs f in a turn of its own, or never where the loop stops before. It may be called from any goroutine. An error says
-// that the loop could not be woken up, which does not happen: the descriptor for that is the loop's own, and stays open.
+// Post schedules f to run in a separate turn, unless the loop stops before. It may be called from any goroutine. An error means
+// that the loop could not be woken up, which does not happen in practice, because its wake-up descriptor is never closed.
 func (l *Loop) Post(f func()) error {
 	return l.poller.Trigger(queue.HighPriority, func(any) error {
 		l.beginTurn(CausePosted)
@@ -143,8 +149,8 @@
 	}, nil)
 }
 
-// handleEvent is one turn: it hands a descriptor's event to whoever owns the descriptor. An event of a descriptor that was
-// closed earlier in the same batch has no owner.
+// handleEvent runs one turn: it passes an event to the connection, listener or timer with the descriptor. It ignores events of
+// descriptors that were closed earlier in the same batch.
 func (l *Loop) handleEvent(fd int, event netpoll.IOEvent, _ netpoll.IOFlags) error {
 	if conn := l.conns[fd]; conn != nil {
 		l.beginTurn(CauseConnection)
--- a/internal/evloop/loop_test.go
+++ b/internal/evloop/loop_test.go
@@ -9,6 +9,7 @@
 
 type dataFunc func(*Conn)
 
+// funcHandler is a Handler that calls onData for received data.
 type funcHandler struct {
 	conn   *Conn
 	onData dataFunc
@@ -27,8 +28,8 @@
 	}
 }
 
-// TestFloodDoesNotStarveOthers: a connection that always has more to read must not keep the loop from the others. Each read of
-// the flood brings the next, so it never runs dry.
+// TestFloodDoesNotStarveOthers checks that the loop serves a second connection while the first always has more to read. Each
+// read of the first causes the next write, so its input never ends.
 func TestFloodDoesNotStarveOthers(t *testing.T) {
 	l, err := New()
 	if err != nil {
@@ -43,7 +44,7 @@
 		}
 		return &funcHandler{c, func(*Conn) {
 			writeAll(t, peers[0], make([]byte, len(l.readBuffer)))
-			if reads++; reads == 20 { // far beyond one turn
+			if reads++; reads == 20 { // many more reads than one turn does
 				writeAll(t, peers[1], []byte("x"))
 			}
 		}}
--- a/internal/evloop/system.go
+++ b/internal/evloop/system.go
@@ -9,18 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// System are the calls of the operating system on stream sockets that can fail in many ways. Tests replace them to cause each.
+// System contains the operating system's calls for stream sockets and its wall clock. Tests replace them to inject failures.
 type System struct {
 	Accept  func(fd int) (int, unix.Sockaddr, error)
 	Socket  func(family int) (int, error)
 	Connect func(fd int, addr unix.Sockaddr) error
 	Read    func(fd int, buffer []byte) (int, error)
 	Write   func(fd int, data []byte) (int, error)
-	// WallClock may be set by seconds or hours at any time. The loop reads it once, at its start.
+	// WallClock may jump by seconds or hours at any time, so the loop's clock reads it only at the start.
 	WallClock func() time.Time
 }
 
-// DefaultSystem is what new loops use: Linux itself, unless a test has replaced it before.
+// DefaultSystem is the System of new loops. It calls Linux, unless a test replaces it before it creates a loop.
 var DefaultSystem = System{
 	Accept: socket.Accept,
 	Socket: func(family int) (int, error) {
@@ -33,14 +33,15 @@
 	WallClock: time.Now,
 }
 
-// isTransient reports whether a call on a socket that is up may succeed soon: the kernel had no memory for it (ENOBUFS, ENOMEM).
-func isTransient(err error) bool {
+// isTransientError reports whether a call on an established connection failed because the kernel was out of memory (ENOBUFS,
+// ENOMEM) and may succeed soon.
+func isTransientError(err error) bool {
 	return errors.Is(err, unix.ENOBUFS) || errors.Is(err, unix.ENOMEM)
 }
 
-// isAcceptedError reports whether accept failed because of the connection that it took from the queue, which is gone then: Linux
-// passes on what the network has reported for it (accept(2)).
-func isAcceptedError(err error) bool {
+// isQueuedConnError reports whether accept failed because of the connection that it removed from the queue, or was interrupted.
+// Linux returns pending network errors of that connection as errors of accept (accept(2)).
+func isQueuedConnError(err error) bool {
 	for _, errno := range []unix.Errno{
 		unix.EINTR, unix.ECONNABORTED, unix.ECONNRESET, unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
 		unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EPERM,
@@ -52,8 +53,8 @@
 	return false
 }
 
-// isLocalConnectError reports whether connect failed for a lack of resources on this host, such as local ports, which says nothing
-// of the peer.
+// isLocalConnectError reports whether connect failed because of this host, for example because it has no free local ports. Such
+// an error is no evidence that the peer is down.
 func isLocalConnectError(err error) bool {
 	for _, errno := range []unix.Errno{
 		unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.EACCES,
@@ -65,12 +66,12 @@
 	return false
 }
 
-// isConnecting reports whether connect goes on by itself.
+// isConnecting reports whether connect continues in the background after this error.
 func isConnecting(err error) bool {
 	return errors.Is(err, unix.EINPROGRESS) || errors.Is(err, unix.EINTR)
 }
 
-// isNumericAddr reports whether an address has a numeric host and a port.
+// isNumericAddr reports whether an address consists of a numeric host and a port.
 func isNumericAddr(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	return err == nil && net.ParseIP(host) != nil
--- a/internal/evloop/system_test.go
+++ b/internal/evloop/system_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// failing returns a function that reports each of the errors once, and then none.
-func failing(errnos ...unix.Errno) func() error {
+// errorSequence returns a function that returns each of the errors once, in order, and then nil.
+func errorSequence(errnos ...unix.Errno) func() error {
 	return func() error {
 		if len(errnos) == 0 {
 			return nil
@@ -23,7 +23,7 @@
 	}
 }
 
-// runUntilStopped runs the loop until something stops it.
+// runUntilStopped runs the loop until Stop is called. It fails the test after testTimeout.
 func runUntilStopped(t *testing.T, l *Loop) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -38,13 +38,14 @@
 	}
 }
 
-// TestAcceptSurvivesEveryError has accept fail in each way that Linux documents before each connection: all are served.
+// TestAcceptSurvivesEveryError checks that all connections are served after accept has failed with each error that Linux
+// documents.
 func TestAcceptSurvivesEveryError(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := failing(unix.EINTR, unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.ENETDOWN,
+	next := errorSequence(unix.EINTR, unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.ENETDOWN,
 		unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.EPERM, unix.ETIMEDOUT)
 	accept := l.system.Accept
 	l.system.Accept = func(fd int) (int, unix.Sockaddr, error) {
@@ -72,11 +73,12 @@
 	}
 	runUntilStopped(t, l)
 	if reported == 0 {
-		t.Error("no lack of descriptors or memory was reported")
+		t.Error("a lack of descriptors or memory was not reported to onError")
 	}
 }
 
-// TestPersistentAcceptErrorDoesNotSpin has accept fail for ever in a way that is a connection's own: the loop pauses in between.
+// TestPersistentAcceptErrorDoesNotSpin checks that the loop pauses between attempts if accept always fails with an error that
+// belongs to a connection.
 func TestPersistentAcceptErrorDoesNotSpin(t *testing.T) {
 	l, err := New()
 	if err != nil {
@@ -91,7 +93,7 @@
 	conn := dialTest(t, listener.Addr())
 	defer func() { _ = conn.Close() }()
 	l.After(10*acceptRetryDelay, func() {
-		listener.Close() // ends too
+		listener.Close() // must return although accept still fails
 		stopLoop(t, l)
 	})
 	runUntilStopped(t, l)
@@ -100,14 +102,14 @@
 	}
 }
 
-// TestCloseAcceptsWhatWaitsOnceItCan closes a listener while the system has no descriptors: the connection in its queue is accepted
-// as soon as there is one.
-func TestCloseAcceptsWhatWaitsOnceItCan(t *testing.T) {
+// TestCloseRetriesFailedAccepts checks that a listener that is closed while the system is out of descriptors accepts the
+// connection in its queue as soon as one is available.
+func TestCloseRetriesFailedAccepts(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := failing(unix.ENFILE, unix.ENFILE, unix.EMFILE)
+	next := errorSequence(unix.ENFILE, unix.ENFILE, unix.EMFILE)
 	accept := l.system.Accept
 	l.system.Accept = func(fd int) (int, unix.Sockaddr, error) {
 		if err := next(); err != nil {
@@ -128,15 +130,15 @@
 	runUntilStopped(t, l)
 }
 
-// TestDialTellsLocalErrorsFromThePeers: a lack of ports or memory here must not count against an endpoint, and an interrupted
-// connect goes on.
-func TestDialTellsLocalErrorsFromThePeers(t *testing.T) {
+// TestDialDistinguishesLocalErrors checks that a lack of local ports or memory is not reported as an error of the peer, which
+// would count against an endpoint, and that an interrupted connect continues.
+func TestDialDistinguishesLocalErrors(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	for errno, refused := range map[unix.Errno]bool{
+	for errno, remote := range map[unix.Errno]bool{
 		unix.EADDRNOTAVAIL: false, unix.EADDRINUSE: false, unix.EAGAIN: false, unix.ENOBUFS: false, unix.ENOMEM: false,
 		unix.ECONNREFUSED: true, unix.ENETUNREACH: true, unix.EHOSTUNREACH: true, unix.ETIMEDOUT: true,
 	} {
@@ -145,8 +147,8 @@
 			t.Fatal(err)
 		}
 		l.system.Connect = func(int, unix.Sockaddr) error { return errno }
-		if _, err := l.Dial(server.Addr().String(), &funcHandler{}); !errors.Is(err, errno) || IsRemoteConnectError(err) != refused {
-			t.Errorf("%v: the error is %v, and the network's own refusal: %v", errno, err, IsRemoteConnectError(err))
+		if _, err := l.Dial(server.Addr().String(), &funcHandler{}); !errors.Is(err, errno) || IsRemoteConnectError(err) != remote {
+			t.Errorf("%v: the error is %v, IsRemoteConnectError is %v", errno, err, IsRemoteConnectError(err))
 		}
 	}
 	l, err := New()
@@ -163,6 +165,7 @@
 	runUntilStopped(t, l)
 }
 
+// openedHandler is a Handler that calls opened once its connection is established.
 type openedHandler struct {
 	funcHandler
 	opened func()
@@ -170,27 +173,27 @@
 
 func (h *openedHandler) Opened() { h.opened() }
 
-// TestReadsAndWritesSurviveFailures relays bytes over a connection whose reads and writes are short, interrupted and without
-// memory in turns: all arrive, in order.
+// TestReadsAndWritesSurviveFailures checks that all bytes arrive in order over a connection whose reads and writes are short,
+// are interrupted and fail for lack of memory.
 func TestReadsAndWritesSurviveFailures(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	turn := 0
-	fails := func() error {
-		turn++
-		return map[int]error{1: unix.EINTR, 2: unix.ENOBUFS, 3: unix.ENOMEM}[turn%5]
+	calls := 0
+	nextError := func() error {
+		calls++
+		return map[int]error{1: unix.EINTR, 2: unix.ENOBUFS, 3: unix.ENOMEM}[calls%5]
 	}
 	read, write := l.system.Read, l.system.Write
 	l.system.Read = func(fd int, buffer []byte) (int, error) {
-		if err := fails(); err != nil {
+		if err := nextError(); err != nil {
 			return -1, err
 		}
 		return read(fd, buffer[:3])
 	}
 	l.system.Write = func(fd int, data []byte) (int, error) {
-		if err := fails(); err != nil {
+		if err := nextError(); err != nil {
 			return -1, err
 		}
 		return write(fd, data[:1])
@@ -214,7 +217,7 @@
 	runUntilStopped(t, l)
 }
 
-// echoHandler writes back what comes.
+// echoHandler is a Handler that sends received bytes back.
 type echoHandler struct{ conn *Conn }
 
 func (h *echoHandler) Opened()          {}
--- a/internal/evloop/timer.go
+++ b/internal/evloop/timer.go
@@ -7,18 +7,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// notPending is the index of a timer that is not in the heap.
-const notPending = -1
+// notInHeap is the index of a timer that has run or was canceled.
+const notInHeap = -1
 
-// Timer is a call that is due at a time.
+// Timer is a pending call of a callback. Loop.After returns one.
 type Timer struct {
-	deadline time.Duration
-	seq      uint64 // timers of one deadline run in the order in which they were set
-	index    int    // in the heap, or notPending
+	deadline time.Duration // on the loop's clock
+	seq      uint64        // timers with equal deadlines run in the order in which they were set
+	index    int           // in the heap, or notInHeap
 	callback func()
 }
 
-// timerHeap implements heap.Interface, the earliest deadline first.
+// timerHeap is a heap.Interface with the earliest deadline at the top.
 type timerHeap struct {
 	timers  []*Timer
 	lastSeq uint64
@@ -36,24 +36,24 @@
 	h.timers[i].index, h.timers[j].index = i, j
 }
 
-// Push is heap.Interface's; use heap.Push.
+// Push implements heap.Interface. Use heap.Push to add a timer.
 func (h *timerHeap) Push(x any) {
 	timer := x.(*Timer)
 	timer.index = len(h.timers)
 	h.timers = append(h.timers, timer)
 }
 
-// Pop is heap.Interface's; use heap.Pop.
+// Pop implements heap.Interface. Use heap.Pop to remove the earliest timer.
 func (h *timerHeap) Pop() any {
 	last := len(h.timers) - 1
 	timer := h.timers[last]
 	h.timers[last] = nil
 	h.timers = h.timers[:last]
-	timer.index = notPending
+	timer.index = notInHeap
 	return timer
 }
 
-// After calls callback once the delay has passed, in a later turn.
+// After schedules callback to run in a later turn, once the delay has passed.
 func (l *Loop) After(delay time.Duration, callback func()) *Timer {
 	l.timers.lastSeq++
 	timer := &Timer{deadline: l.now + max(delay, time.Microsecond), seq: l.timers.lastSeq, callback: callback}
@@ -62,36 +62,36 @@
 	return timer
 }
 
-// Cancel revokes a timer. It does nothing for nil and for timers that have run.
+// Cancel stops a timer. It does nothing if the timer is nil or has already run.
 func (l *Loop) Cancel(timer *Timer) {
-	if timer != nil && timer.index != notPending {
+	if timer != nil && timer.index != notInHeap {
 		heap.Remove(&l.timers, timer.index)
 	}
 }
 
-// armTimerFD sets the descriptor for the first timer, unless it already fires early enough.
+// armTimerFD sets the timer descriptor to fire at the earliest deadline, unless it already fires by then.
 func (l *Loop) armTimerFD() {
 	if len(l.timers.timers) == 0 {
 		return
 	}
 	deadline := l.timers.timers[0].deadline
-	if l.timerFDAt != 0 && l.timerFDAt <= deadline {
+	if l.timerFDDeadline != 0 && l.timerFDDeadline <= deadline {
 		return
 	}
-	l.timerFDAt = deadline
+	l.timerFDDeadline = deadline
 	wait := max(deadline-l.now, time.Microsecond)
 	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(wait))}
-	_ = unix.TimerfdSettime(l.timerFD, 0, &spec, nil) // cannot fail: descriptor and time are valid
+	_ = unix.TimerfdSettime(l.timerFD, 0, &spec, nil) // cannot fail: the descriptor and the time are valid
 }
 
-// maxTimersPerTurn bounds how many timers one turn runs: after a hold-up many are due.
+// maxTimersPerTurn bounds how many timers one turn runs, because many are due after a hold-up.
 const maxTimersPerTurn = 64
 
-// runTimers runs those that are due, up to a bound. Timers set meanwhile wait for a later turn.
+// runTimers runs up to maxTimersPerTurn due timers. Timers that their callbacks set wait for a later turn.
 func (l *Loop) runTimers() {
 	var expirations [8]byte
 	_, _ = unix.Read(l.timerFD, expirations[:])
-	l.timerFDAt = 0
+	l.timerFDDeadline = 0
 	lastSeq := l.timers.lastSeq
 	for range maxTimersPerTurn {
 		if len(l.timers.timers) == 0 {
--- a/internal/evloop/turn.go
+++ b/internal/evloop/turn.go
@@ -2,12 +2,10 @@
 
 import "time"
 
-// This file measures turns: what each is for, and how long it keeps the others waiting.
-
-// Cause is what a turn is for.
+// Cause names what a turn processes.
 type Cause string
 
-// Causes of turns that the loop knows by itself. SetTurnCause replaces them by what the owner of a handler knows better.
+// Causes that the loop assigns. Handlers can replace them with a more specific cause (SetTurnCause).
 const (
 	CauseConnection Cause = "connection"
 	CauseAccept     Cause = "accept"
@@ -15,46 +13,47 @@
 	CausePosted     Cause = "posted"
 )
 
-// Turn is a turn that has ended.
+// Turn describes a turn that has ended.
 type Turn struct {
 	Cause    Cause
-	EndedAt  time.Duration // by the loop's clock
-	Duration time.Duration // on the monotonic clock, pauses by the host included
+	EndedAt  time.Duration // on the loop's clock
+	Duration time.Duration // on the monotonic clock, including times when the host did not run the process
 }
 
-// Observer is told of the loop's turns, at the end of each. It must be quick.
+// Observer receives measurements of the loop's turns. Its methods run on the loop's goroutine and must be fast.
 type Observer interface {
 	// TurnEnded is called after every turn.
 	TurnEnded(turn Turn)
-	// CaughtUp is called when all that came during a hold-up has been handled. heldUp is the time from its beginning.
+	// CaughtUp is called when all events that arrived during a hold-up have been handled. heldUp is the time since the
+	// hold-up began.
 	CaughtUp(heldUp time.Duration)
 }
 
-// SetObserver sets the observer.
+// SetObserver sets the loop's only observer; nil removes it.
 func (l *Loop) SetObserver(observer Observer) { l.observer = observer }
 
-// SetTurnCause says what the present turn is for, where that is more than the loop can know. The first name of a turn stays.
+// SetTurnCause replaces the cause of the current turn with a more specific one. Only the first call in a turn has an effect.
 func (l *Loop) SetTurnCause(cause Cause) {
-	if !l.turnNamed {
-		l.turnNamed = true
+	if !l.turnCauseSet {
+		l.turnCauseSet = true
 		l.turnCause = cause
 	}
 }
 
-// beginTurn reads the clock for a turn.
+// beginTurn updates the clock and the cause for a new turn, and checks for a hold-up.
 func (l *Loop) beginTurn(cause Cause) {
 	l.updateClock()
 	l.turnCause = cause
-	l.turnNamed = false
+	l.turnCauseSet = false
 	l.detectLateTimer()
 }
 
-// endTurn notes a turn that has held up the others.
+// endTurn reports the turn to the observer, and records a hold-up if the turn was longer than holdUpThreshold.
 func (l *Loop) endTurn() {
 	endedAt := l.clock()
 	length := endedAt - l.now
 	if length > holdUpThreshold {
-		l.noteHoldUp(l.now)
+		l.recordHoldUp(l.now)
 	}
 	if l.observer != nil {
 		l.observer.TurnEnded(Turn{Cause: l.turnCause, EndedAt: endedAt, Duration: length})
