--- a/internal/httpresponse/parser.go
+++ b/internal/httpresponse/parser.go
@@ -1,6 +1,6 @@
 // Package httpresponse parses HTTP/1.1 responses (RFC 9112) incrementally, as their bytes arrive on the event loop.
-// internal/discovery and internal/controlclient read with it. net/http would add 4 MiB of resident memory to the proxy, and
-// goroutines that the loop does not need.
+// internal/discovery and internal/controlclient use it. net/http would add 4 MiB of resident memory to the proxy, and goroutines
+// that the loop does not need.
 package httpresponse
 
 import (
@@ -14,65 +14,66 @@
 const (
 	// DefaultMaxBodyBytes is the default limit on a body, or on one chunk of it, in bytes.
 	DefaultMaxBodyBytes = 8 << 20
-	// maxHeadBytes bounds the head, and the line of a chunk's size.
+	// maxHeadBytes bounds the response head, and the line with a chunk's size.
 	maxHeadBytes = 16 << 10
 
 	headEnd = "\r\n\r\n"
 	lineEnd = "\r\n"
-	// untilConnectionEnds is the value of Parser.remaining where the response does not say how long its body is.
-	untilConnectionEnds = -1
+	// lengthUnknown is the value of Parser.remaining if the response does not state the length of its body.
+	lengthUnknown = -1
 )
 
-// The status codes that HTTP allows. Those below firstFinalStatus are of interim responses, which a final one follows.
+// Range of valid HTTP status codes. Codes below firstFinalStatus belong to interim responses, which precede the final response.
 const (
 	minStatus        = 100
 	firstFinalStatus = 200
 	maxStatus        = 999
 )
 
-// ErrTooLong means that a response exceeds a bound.
-var ErrTooLong = errors.New("the answer is too long")
+// ErrTooLong means that the response's head, its body or one of its chunks exceeds a limit.
+var ErrTooLong = errors.New("the response is too long")
 
-// Parser parses one response, in any pieces, and passes the body's bytes on. It is not safe for concurrent use.
+// Parser parses one response, which may arrive in pieces of any size, and passes on the body. It is not safe for concurrent use.
 type Parser struct {
 	buffer    []byte // received and not parsed yet
 	state     state
 	status    int
-	remaining int64 // bytes of the body or of the current chunk that are to come, or untilConnectionEnds
-	limit     int64 // on the bytes of the body, or of one chunk
+	remaining int64 // bytes of the body or of the current chunk that have not arrived yet, or lengthUnknown
+	limit     int64 // maximum bytes of the body, or of one chunk
 	chunked   bool
 	done      bool
 	onBody    func([]byte) error
 }
 
-// state parses the next part of a response from the buffer. It reports whether to go on with the state that it has set; if not,
-// further bytes are awaited, or the response is done.
+// state parses the next part of a response from the buffer. It reports whether parsing can continue with the state that it has
+// set; otherwise the parser needs more bytes, or the response is complete.
 type state func(*Parser) (more bool, err error)
 
-// New returns a parser that passes the body's bytes to onBody, which must not retain them and whose error ends the parsing. The
-// limit is DefaultMaxBodyBytes.
+// New returns a parser that passes the body's bytes to onBody, which must not retain them. An error of onBody stops the parser.
+// The limit on the body, or on each chunk, is DefaultMaxBodyBytes.
 func New(onBody func([]byte) error) *Parser { return NewWithLimit(DefaultMaxBodyBytes, onBody) }
 
-// NewWithLimit is New with another limit on the body, or on each chunk, in bytes. Neither the sum of all chunks nor a body that
-// ends with the connection is limited here; whoever takes the bytes limits them.
+// NewWithLimit is like New with a different limit on the body, or on each chunk, in bytes. The limit applies neither to the total
+// size of all chunks nor to a close-delimited body; onBody must limit these.
 func NewWithLimit(limit int64, onBody func([]byte) error) *Parser {
 	return &Parser{state: (*Parser).parseHead, onBody: onBody, limit: limit}
 }
 
-// Status is the response's status code, 0 until its head has come.
+// Status returns the response's status code, or 0 until the head is complete.
 func (p *Parser) Status() int { return p.status }
 
-// Remaining is how many bytes of the body, or of its current chunk, are to come; below 0 where the response does not say.
+// Remaining returns the number of bytes of the body, or of its current chunk, that have not arrived yet. It is negative if the
+// response does not state the length.
 func (p *Parser) Remaining() int64 { return p.remaining }
 
-// Done reports whether the whole body has come. A body that ends with the connection is never done.
+// Done reports whether the body is complete. It is never true for a close-delimited body.
 func (p *Parser) Done() bool { return p.done }
 
-// CloseDelimited reports whether the body ends with the connection.
+// CloseDelimited reports whether the body ends when the connection is closed.
 func (p *Parser) CloseDelimited() bool { return p.remaining < 0 && !p.chunked }
 
-// Feed takes the next bytes of the connection. Bytes after the response are ignored. An error is final: the response is not
-// valid, exceeds a bound (ErrTooLong), or onBody returned it.
+// Feed parses the next bytes of the connection. Bytes after the response are ignored. It returns an error if the response is
+// invalid, exceeds a limit (ErrTooLong) or onBody fails. Feed must not be called again after an error.
 func (p *Parser) Feed(data []byte) error {
 	p.buffer = append(p.buffer, data...)
 	for !p.done {
@@ -90,10 +91,10 @@
 	return nil
 }
 
-// readLine takes the next line off the buffer, without its end. ok is false until the whole line has come.
+// readLine removes the next line from the buffer and returns it without its line end. ok is false until the line is complete.
 func (p *Parser) readLine() (line string, ok bool, err error) {
 	end := bytes.IndexByte(p.buffer, '\n')
-	if end > maxHeadBytes || end < 0 && len(p.buffer) > maxHeadBytes { // the same bound in whatever pieces the line comes
+	if end > maxHeadBytes || end < 0 && len(p.buffer) > maxHeadBytes { // the bound does not depend on how the line is split into pieces
 		return "", false, ErrTooLong
 	}
 	if end < 0 {
@@ -104,7 +105,7 @@
 	return line, true, nil
 }
 
-// parseHead is the first state.
+// parseHead is the initial state, which parses the status line and the header fields.
 func (p *Parser) parseHead() (more bool, err error) {
 	end := bytes.Index(p.buffer, []byte(headEnd))
 	if end > maxHeadBytes || end < 0 && len(p.buffer) >= maxHeadBytes+len(headEnd) {
@@ -120,16 +121,16 @@
 		return false, err
 	}
 	if status < firstFinalStatus {
-		return true, nil // an interim response; the final one follows
+		return true, nil // an interim response, which the final response follows
 	}
 	p.status = status
-	p.remaining = untilConnectionEnds
+	p.remaining = lengthUnknown
 	for _, line := range lines[1:] {
-		if err := p.parseField(line); err != nil {
+		if err := p.parseHeaderField(line); err != nil {
 			return false, err
 		}
 	}
-	p.state = (*Parser).readPlainBody
+	p.state = (*Parser).readUnchunkedBody
 	if p.chunked {
 		p.state = (*Parser).readChunkSize
 	}
@@ -147,8 +148,8 @@
 	return status, nil
 }
 
-// parseField reads from a header field how the body is sent.
-func (p *Parser) parseField(line string) error {
+// parseHeaderField evaluates the header fields that determine how the body is delimited, and ignores others.
+func (p *Parser) parseHeaderField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok {
 		return fmt.Errorf("invalid header field %q", line)
@@ -170,8 +171,8 @@
 	return nil
 }
 
-// readPlainBody is the state within a body that is not chunked.
-func (p *Parser) readPlainBody() (more bool, err error) {
+// readUnchunkedBody is the state in a body without chunked encoding.
+func (p *Parser) readUnchunkedBody() (more bool, err error) {
 	part := p.buffer
 	if p.remaining >= 0 {
 		part = part[:min(int64(len(part)), p.remaining)]
@@ -204,7 +205,7 @@
 	return true, nil
 }
 
-// readChunk is the state within a chunk, and before the line end after it.
+// readChunk is the state in a chunk and before the line end that follows it.
 func (p *Parser) readChunk() (more bool, err error) {
 	if n := min(int64(len(p.buffer)), p.remaining); n > 0 {
 		part := p.buffer[:n]
@@ -218,14 +219,14 @@
 		return false, nil
 	}
 	if !bytes.HasPrefix(p.buffer, []byte(lineEnd)) {
-		return false, errors.New("a chunk does not end where it should")
+		return false, errors.New("invalid chunk: its data is not followed by CRLF")
 	}
 	p.buffer = p.buffer[len(lineEnd):]
 	p.state = (*Parser).readChunkSize
 	return true, nil
 }
 
-// readTrailer is the state after the last chunk: trailer fields, which are ignored, and an empty line.
+// readTrailer is the state after the last chunk. It skips trailer fields until the empty line that ends the response.
 func (p *Parser) readTrailer() (more bool, err error) {
 	line, ok, err := p.readLine()
 	p.done = ok && line == ""
--- a/internal/httpresponse/parser_test.go
+++ b/internal/httpresponse/parser_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzParserInPieces: a response gives the same body or the same error in whatever pieces it comes.
+// FuzzParserInPieces checks that the result of parsing does not depend on how a response is split into pieces.
 func FuzzParserInPieces(f *testing.F) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, s := range []string{head + "5\r\nhello\r\n0\r\n\r\n", head + "5;x=y\r\nhel", head + "zz\r\n", head + "5\r\nhelloX\r\n",
@@ -13,7 +13,7 @@
 		"HTTP/1.1 200 OK\r\n\r\nuntil the end", "SSH-2.0\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n"} {
 		f.Add([]byte(s), 3)
 	}
-	for _, n := range []int{maxHeadBytes - 1, maxHeadBytes, maxHeadBytes + 1, maxHeadBytes + 2, maxHeadBytes + 3, maxHeadBytes + 4} { // bytes of a head, and of a chunk's line
+	for _, n := range []int{maxHeadBytes - 1, maxHeadBytes, maxHeadBytes + 1, maxHeadBytes + 2, maxHeadBytes + 3, maxHeadBytes + 4} { // lengths of a head, and of a line with a chunk's size
 		f.Add([]byte("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", n-20)+"\r\n\r\nabc"), 1)
 		f.Add([]byte(head+"3;"+strings.Repeat("x", n-3)+"\r\nabc\r\n"), 1)
 	}
@@ -35,7 +35,7 @@
 		whole, status, failed := read(max(len(response), 1))
 		pieces, statusInPieces, failedInPieces := read(piece)
 		if status != statusInPieces || failed != failedInPieces || string(whole) != string(pieces) {
-			t.Errorf("whole: %q, status %d, failed %v; in pieces of %d: %q, status %d, failed %v", whole, status, failed, piece, pieces, statusInPieces, failedInPieces)
+			t.Errorf("in one piece: %q, status %d, failed %v; in pieces of %d: %q, status %d, failed %v", whole, status, failed, piece, pieces, statusInPieces, failedInPieces)
 		}
 	})
 }
--- a/internal/lineprotocol/lineprotocol_test.go
+++ b/internal/lineprotocol/lineprotocol_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// FuzzParseOpen: a line that is accepted is forwarded as it came but for its wait, and its fields are those of the line.
+// FuzzParseOpen checks that a valid line is forwarded unchanged except for its timeout, and that the parsed class is in the
+// line.
 func FuzzParseOpen(f *testing.F) {
 	for _, s := range []string{"OPEN id key c=feed,d=20\r\n", "OPEN a b c=,g=x,at=s,r=1,h=1e3,mid=1\r\n", "OPEN  \r\n", "PING\r\n"} {
 		f.Add([]byte(s))
@@ -32,19 +33,19 @@
 			return
 		}
 		if class, ok := o.Field("c"); !ok || !strings.Contains(string(text), "c="+class) {
-			t.Fatalf("class %q %v of %q", class, ok, text)
+			t.Fatalf("%q has class %q, %v", text, class, ok)
 		}
 		forwarded, err := ParseOpen(o.AppendForwarded(nil, time.Second))
 		if err != nil || forwarded.ID != o.ID || forwarded.Key != o.Key || forwarded.Class != o.Class || forwarded.Group != o.Group {
-			t.Fatalf("%q became %q: %v", text, forwarded.Raw, err)
+			t.Fatalf("%q was forwarded as %q: %v", text, forwarded.Raw, err)
 		}
 		if !o.HasTimeout && !bytes.Equal(forwarded.Raw, text) {
-			t.Fatalf("%q became %q", text, forwarded.Raw)
+			t.Fatalf("%q, which has no timeout, was forwarded as %q", text, forwarded.Raw)
 		}
 	})
 }
 
-func TestParseReport(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	for _, c := range []struct {
 		line string
 		want map[string]float64
@@ -66,8 +67,8 @@
 	}
 }
 
-// FuzzParseReport: every figure of a report that is accepted is finite and not negative.
-func FuzzParseReport(f *testing.F) {
+// FuzzParseLoadReport checks that every value of a valid report is finite and not negative.
+func FuzzParseLoadReport(f *testing.F) {
 	for _, s := range []string{"PONG x0=1,inflight=2\r\n", "ERR\r\n", "PONG x0=1e400\r\n"} {
 		f.Add([]byte(s))
 	}
@@ -75,13 +76,13 @@
 		values, ok := ParseLoadReport(text)
 		for name, x := range values {
 			if !ok || name == "" || !(x >= 0) || x > 1e308*1.7 {
-				t.Fatalf("%q gave %q=%v, %v", text, name, x, ok)
+				t.Fatalf("%q was parsed as %q=%v, valid: %v", text, name, x, ok)
 			}
 		}
 	})
 }
 
-// FuzzParseAnswer: every line has one of the known meanings, and a load is finite and not negative, or invalid.
+// FuzzParseAnswer checks that every line has a known type, and that a load is either finite and not negative, or invalid.
 func FuzzParseAnswer(f *testing.F) {
 	for _, s := range []string{"UP r\r\n", "UP", "LOAD 1e400\r\n", "LOAD -0\r\n", "LOAD 0x1p-2\r\n", "BUSY 5\r\n", "UPX\r\n", " UP r\r\n", "\n", ""} {
 		f.Add([]byte(s))
@@ -89,7 +90,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		a, x := ParseAnswer(text)
 		if a < Other || a > Load || x < -1 || x > 1e308*1.7 || x != x || a != Load && x != 0 {
-			t.Fatalf("%q is %v, %v", text, a, x)
+			t.Fatalf("%q was parsed as answer %v with load %v", text, a, x)
 		}
 	})
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -13,9 +13,9 @@
 	"go.uber.org/zap"
 )
 
-// blockedWriter blocks its writes until it is opened.
+// blockedWriter blocks writes until opened is closed.
 type blockedWriter struct {
-	started chan struct{} // gets one for each write, before it blocks
+	started chan struct{} // receives a value when a write begins, unless its buffer is full
 	opened  chan struct{}
 	mu      sync.Mutex
 	buf     bytes.Buffer
@@ -32,15 +32,15 @@
 	return w.buf.Write(p)
 }
 
-func TestForms(t *testing.T) {
-	for form, want := range map[Format]string{Plain: "it happened\t{\"n\": 3, \"in\": \"2s\"}\n", Console: "\tinfo\tit happened\t{\"n\": 3, \"in\": \"2s\"}\n"} {
+func TestFormats(t *testing.T) {
+	for format, want := range map[Format]string{Plain: "it happened\t{\"n\": 3, \"in\": \"2s\"}\n", Console: "\tinfo\tit happened\t{\"n\": 3, \"in\": \"2s\"}\n"} {
 		var b bytes.Buffer
-		l := New(&b, form, zap.InfoLevel)
+		l := New(&b, format, zap.InfoLevel)
 		l.Debug("not this")
 		l.Info("it happened", zap.Int("n", 3), zap.Duration("in", 2*time.Second))
 		testkit.Equal(t, "close", nil, l.Close())
 		if !strings.HasSuffix(b.String(), want) {
-			t.Errorf("form %d: %q", form, b.String())
+			t.Errorf("format %d: got %q", format, b.String())
 		}
 	}
 	var b bytes.Buffer
@@ -64,45 +64,46 @@
 	testkit.Equal(t, "set", nil, l.SetLevel("error"))
 	l.Warn("three")
 	if err := l.SetLevel("loud"); err == nil {
-		t.Error("an unknown level was accepted")
+		t.Error("the unknown level loud was accepted")
 	}
 	testkit.Equal(t, "close", nil, l.Close())
 	testkit.Equal(t, "lines", "two\n", b.String())
 }
 
-// TestNeverBlocks: a reader that reads nothing blocks nobody; dropped lines are counted, and reported once it reads again. Lines
-// are written only once the first one blocks the writer: until then the number of dropped lines would depend on timing.
+// TestNeverBlocks checks that a logger does not block its callers while the reader does not read, and that dropped lines are
+// counted and logged once it reads again. The test waits until the first line blocks the writer, because otherwise the number of
+// dropped lines would depend on timing.
 func TestNeverBlocks(t *testing.T) {
 	w := &blockedWriter{started: make(chan struct{}, 1), opened: make(chan struct{})}
 	l := New(w, Plain, zap.InfoLevel)
 	l.Info("line")
 	<-w.started
 	big := strings.Repeat("x", maxQueuedBytes/2+1)
-	for range 3 { // two of them are over the bound of bytes
+	for range 3 { // two of them exceed maxQueuedBytes
 		if _, err := io.WriteString(l, big); err != nil {
 			t.Error(err)
 		}
 	}
-	testkit.Equal(t, "dropped for their bytes", int64(2), l.DroppedLines())
-	for range maxQueuedLines - 1 + 500 { // the big line takes one place
+	testkit.Equal(t, "lines dropped because of maxQueuedBytes", int64(2), l.DroppedLines())
+	for range maxQueuedLines - 1 + 500 { // the big line occupies one place in the queue
 		l.Info("line")
 	}
-	testkit.Equal(t, "dropped for their number too", int64(502), l.DroppedLines())
+	testkit.Equal(t, "lines dropped because of maxQueuedBytes and maxQueuedLines", int64(502), l.DroppedLines())
 	if err := l.Close(); err == nil {
-		t.Error("Close succeeded though nothing was read")
+		t.Error("Close succeeded although nothing was read")
 	}
 	close(w.opened)
 	<-l.queue.done
 	text := w.buf.String()
 	if !strings.HasSuffix(text, "log lines dropped: the reader of standard error is too slow\t{\"lines\": 502}\n") || strings.Count(text, "line\n") != maxQueuedLines {
-		t.Errorf("%d lines, %.80q", strings.Count(text, "line\n"), text[max(0, len(text)-80):])
+		t.Errorf("got %d lines, ending in %.80q", strings.Count(text, "line\n"), text[max(0, len(text)-80):])
 	}
 }
 
 func TestParse(t *testing.T) {
-	form, level, err := Parse("json,debug")
-	testkit.Equal(t, "read", []any{JSON, zap.DebugLevel, nil}, []any{form, level, err})
+	format, level, err := Parse("json,debug")
+	testkit.Equal(t, "parsed", []any{JSON, zap.DebugLevel, nil}, []any{format, level, err})
 	if _, _, err := Parse("xml"); err == nil {
-		t.Error("form xml was accepted")
+		t.Error("the unknown format xml was accepted")
 	}
 }
