--- a/internal/apperror/apperror_test.go
+++ b/internal/apperror/apperror_test.go
@@ -15,36 +15,36 @@
 		t.Errorf("resolutions %q", got)
 	}
 	if !errors.Is(err, b.New("", "")) || !a.Matches(err) || b.Matches(errors.New("other")) || !b.Matches(a.Wrap("file", inner)) {
-		t.Error("kinds are not told apart")
+		t.Error("errors.Is or Matches confuses kinds")
 	}
 	if got := a.Wrap("file", inner).Error(); got != `file: route r: no pool "p"` {
 		t.Errorf("error text %q", got)
 	}
-	if typed, plain := b.WrapUntyped("x", fmt.Errorf("in words: %w", inner)), a.WrapUntyped("x", errors.New("y")); typed != inner ||
-		plain.Kind != a || plain.Error() != "x: y" {
-		t.Errorf("typed as %v and %v", typed, plain)
+	if typed, wrapped := b.WrapUntyped("x", fmt.Errorf("in words: %w", inner)), a.WrapUntyped("x", errors.New("y")); typed != inner ||
+		wrapped.Kind != a || wrapped.Error() != "x: y" {
+		t.Errorf("WrapUntyped returned %v and %v", typed, wrapped)
 	}
 	if Resolutions(nil) != nil || a.New("", "").Error() != "x/a" {
-		t.Error("an error of nothing")
+		t.Error("wrong resolutions of a nil error, or wrong text of an empty one")
 	}
 }
 
-func TestKindsAreDeclaredOnce(t *testing.T) {
+func TestNewKindRejectsInvalidKinds(t *testing.T) {
 	registered := kinds
-	t.Cleanup(func() { kinds = registered }) // the registry outlives a run of the test
-	before := len(Kinds())
+	t.Cleanup(func() { kinds = registered }) // with -count the test runs more than once in a process
+	kindsBefore := len(Kinds())
 	NewKind("apperror-test/one", "nothing to do")
-	for _, bad := range [][2]string{{"apperror-test/one", "again"}, {"", "x"}, {"apperror-test/two", ""}} {
+	for _, invalid := range [][2]string{{"apperror-test/one", "again"}, {"", "x"}, {"apperror-test/two", ""}} {
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%q was accepted", bad)
+					t.Errorf("NewKind accepted %q", invalid)
 				}
 			}()
-			NewKind(bad[0], bad[1])
+			NewKind(invalid[0], invalid[1])
 		}()
 	}
-	if len(Kinds()) != before+1 {
-		t.Error("refused kinds were registered")
+	if len(Kinds()) != kindsBefore+1 {
+		t.Error("rejected kinds were registered")
 	}
 }
--- a/internal/apperror/oncall/golden_test.go
+++ b/internal/apperror/oncall/golden_test.go
@@ -9,24 +9,27 @@
 	"example.org/micafront/internal/apperror"
 )
 
-// Kinds that the programs send, store and log keep their names: kinds.txt lists each on a line. Those of packages that only
-// tests use are left out, as no program sends them. Further kinds may come.
+// goldenKindCount is the number of kinds in kinds.txt. It detects lines that were removed from the file.
+const goldenKindCount = 98
+
+// TestGoldenKinds checks that all kinds in kinds.txt still exist, because programs send, store and log their names. The file
+// does not list kinds of packages that only tests use. New kinds need not be added.
 func TestGoldenKinds(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join("testdata", "golden", "kinds.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := map[string]bool{}
+	registered := map[string]bool{}
 	for _, kind := range apperror.Kinds() {
-		known[kind.Name] = true
+		registered[kind.Name] = true
 	}
 	names := strings.Fields(string(golden))
-	if len(names) != 98 {
-		t.Errorf("kinds.txt has %d kinds, not 98", len(names))
+	if len(names) != goldenKindCount {
+		t.Errorf("kinds.txt lists %d kinds, want %d", len(names), goldenKindCount)
 	}
 	for _, name := range names {
-		if !known[name] {
-			t.Errorf("no package declares the kind %s any more", name)
+		if !registered[name] {
+			t.Errorf("no package declares the kind %s anymore", name)
 		}
 	}
 }
--- a/internal/apperror/oncall/oncall_test.go
+++ b/internal/apperror/oncall/oncall_test.go
@@ -1,4 +1,4 @@
-// Package oncall has no code: its tests compare docs/ON-CALL.md with the kinds of errors that the programs declare.
+// Package oncall contains only tests, which compare docs/ON-CALL.md with the error kinds that the programs declare.
 package oncall
 
 import (
@@ -14,7 +14,7 @@
 	"example.org/micafront/internal/apperror"
 	"example.org/micafront/internal/testing/testkit"
 
-	// Every package that declares kinds.
+	// All packages that declare kinds.
 	_ "example.org/micafront/internal/catalog"
 	_ "example.org/micafront/internal/config"
 	_ "example.org/micafront/internal/consensus"
@@ -36,11 +36,14 @@
 	page  = root + "/docs/ON-CALL.md"
 	begin = "<!-- written by: go test ./internal/apperror/oncall -update -->\n"
 	end   = "<!-- to here -->\n"
+
+	// minResolutionBytes is the length below which a resolution cannot state anything useful.
+	minResolutionBytes = 12
 )
 
 var update = flag.Bool("update", false, "write the table of errors into "+page)
 
-// TestPageListsAllKinds: the page lists each kind of error with its resolution, and no others.
+// TestPageListsAllKinds checks that the page lists exactly the declared kinds, each with its resolution.
 func TestPageListsAllKinds(t *testing.T) {
 	var table strings.Builder
 	table.WriteString("| kind | what can be done |\n| --- | --- |\n")
@@ -54,7 +57,7 @@
 	before, rest, opened := strings.Cut(string(text), begin)
 	got, after, closed := strings.Cut(rest, end)
 	if !opened || !closed {
-		t.Fatalf("%s has no place for the table: it goes between %q and %q", page, begin, end)
+		t.Fatalf("%s lacks the markers of the table: %q and %q", page, begin, end)
 	}
 	if *update && got != table.String() {
 		if err := os.WriteFile(page, []byte(before+begin+table.String()+end+after), 0o644); err != nil {
@@ -62,18 +65,20 @@
 		}
 		return
 	}
-	testkit.Equal(t, "the table; go test ./internal/apperror/oncall -update writes it anew", strings.Split(table.String(), "\n"), strings.Split(got, "\n"))
+	testkit.Equal(t, "the table of kinds; go test ./internal/apperror/oncall -update rewrites it", strings.Split(table.String(), "\n"), strings.Split(got, "\n"))
 }
 
+// declaration matches the declaration of a kind. Its submatch is the kind's name.
 var declaration = regexp.MustCompile(`apperror\.NewKind\(\s*"([^"]+)"`)
 
-// TestAllKindsAreImported: every kind that a source file declares is registered here, so its package is imported above.
+// TestAllKindsAreImported checks that every kind that a source file declares is registered in this test, which means that its
+// package is imported above. It also checks that each kind has a family and a resolution.
 func TestAllKindsAreImported(t *testing.T) {
-	known, found := map[string]bool{}, 0
+	registered, found := map[string]bool{}, 0
 	for _, k := range apperror.Kinds() {
-		known[k.Name] = true
-		if family, _, ok := strings.Cut(k.Name, "/"); !ok || family == "" || len(k.Resolution) < 12 {
-			t.Errorf("kind %q, %q: it has no family, or its resolution says nothing", k.Name, k.Resolution)
+		registered[k.Name] = true
+		if family, _, ok := strings.Cut(k.Name, "/"); !ok || family == "" || len(k.Resolution) < minResolutionBytes {
+			t.Errorf("kind %q has no family, or its resolution %q is too short", k.Name, k.Resolution)
 		}
 	}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -82,14 +87,14 @@
 		}
 		text, err := os.ReadFile(path)
 		for _, m := range declaration.FindAllSubmatch(text, -1) {
-			if found++; !known[string(m[1])] {
-				t.Errorf("%s declares the kind %s: import its package here", path, m[1])
+			if found++; !registered[string(m[1])] {
+				t.Errorf("%s declares the kind %s: import its package in this test", path, m[1])
 			}
 		}
 		return err
 	})
-	testkit.Equal(t, "walk", nil, err)
-	if found != len(known) {
-		t.Errorf("%d kinds are declared in sources, %d are known", found, len(known))
+	testkit.Equal(t, "error of walking the source tree", nil, err)
+	if found != len(registered) {
+		t.Errorf("source files declare %d kinds, but %d are registered", found, len(registered))
 	}
 }
