--- a/internal/evloop/conn_read.go
+++ b/internal/evloop/conn_read.go
@@ -49,6 +49,7 @@
 // read until it stops.
 func (c *Conn) scheduleRead() { c.scheduleReadAfter(0) }
 
+// scheduleReadAfter continues reading in a later turn, once the delay has passed. It does nothing if a read is scheduled.
 func (c *Conn) scheduleReadAfter(delay time.Duration) {
 	if !c.readScheduled {
 		c.readScheduled = true
--- a/internal/evloop/dial.go
+++ b/internal/evloop/dial.go
@@ -22,9 +22,9 @@
 	return errors.As(err, &remoteErr)
 }
 
-// Dial starts to connect to a TCP address and does not block. The handler's Opened or Closed is called later. If Dial returns an
-// error, no connection was started and the handler is not called, for example because the process is out of descriptors. The
-// address must be a numeric host and a port, because resolving a name would block the loop.
+// Dial starts to connect to a TCP address and does not block. The handler's Opened or Closed is called later. After an error, such
+// as a lack of descriptors, no connection exists and the handler is not called. The address must be a numeric host and a port,
+// because resolving a name would block the loop.
 func (l *Loop) Dial(addr string, handler Handler) (*Conn, error) {
 	if !isNumericAddr(addr) {
 		return nil, fmt.Errorf("dial %q: not a numeric address and port", addr)
--- a/internal/evloop/holdup.go
+++ b/internal/evloop/holdup.go
@@ -44,6 +44,7 @@
 func (l *Loop) HeldUp() bool { return l.holdUp.since != 0 || len(l.holdUp.deferred) > 0 }
 
 // AfterCatchUp calls f at once, or, if the loop is held up, after it has handled every event that arrived during the hold-up.
+// maxCatchUpRounds and maxCatchUpTime limit the wait.
 func (l *Loop) AfterCatchUp(f func()) {
 	if !l.HeldUp() {
 		f()
@@ -64,8 +65,8 @@
 	l.scheduleCatchUp()
 }
 
-// detectLateTimer records a hold-up if the earliest timer is overdue by more than holdUpThreshold. This detects hold-ups that
-// extend past a timer's deadline by more than the threshold.
+// detectLateTimer records a hold-up if the earliest timer is overdue by more than holdUpThreshold. Every hold-up that lasts that
+// much longer than the time to the next timer is detected this way.
 func (l *Loop) detectLateTimer() {
 	if len(l.timers.timers) == 0 || l.holdUp.since != 0 {
 		return
--- a/internal/evloop/linger.go
+++ b/internal/evloop/linger.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// maxFinalReads bounds how many reads Lingering.Close does before it closes, so that it does not wait for a flooding peer,
-	// which receives a reset.
-	maxFinalReads  = 16
+	// maxFinalReads bounds the reads of Lingering.Close before it closes the connection. A peer that floods the connection
+	// receives a reset.
+	maxFinalReads = 16
+	// finalReadBytes is the buffer size of these reads.
 	finalReadBytes = 16 << 10
 )
 
-// LingerLimits limit a lingering close.
+// LingerLimits contains the limits of a lingering close.
 type LingerLimits struct {
 	IdleTimeout  time.Duration // without a byte in either direction; this is also the interval of the check
-	TotalTimeout time.Duration
-	MaxBytes     int // received bytes, which are discarded
+	TotalTimeout time.Duration // since the start of the lingering close
+	MaxBytes     int           // received bytes, which are discarded
 }
 
 // Lingering is a connection in a lingering close: its last message has been written, and its input is discarded until the peer
--- a/internal/evloop/listener.go
+++ b/internal/evloop/listener.go
@@ -14,8 +14,8 @@
 const (
 	// maxAcceptsPerTurn bounds the connections that one turn accepts, so that established connections are read in between.
 	maxAcceptsPerTurn = 16
-	// acceptRetryDelay is the delay before accepting is retried when descriptors or kernel memory have run out. Connections
-	// wait in the kernel's accept queue meanwhile.
+	// acceptRetryDelay is the delay before accepting is retried when descriptors or kernel memory have run out, or CanAccept
+	// returned false. Connections wait in the kernel's accept queue meanwhile.
 	acceptRetryDelay = 10 * time.Millisecond
 	// maxCloseAttempts is how often a closing listener tries to empty its accept queue while descriptors or kernel memory have
 	// run out.
@@ -32,7 +32,7 @@
 
 // Listener accepts connections.
 type Listener struct {
-	// CanAccept reports whether one more connection may be accepted. If it is nil, there is no limit.
+	// CanAccept reports whether one more connection may be accepted. If it is nil, every connection is accepted.
 	CanAccept func() bool
 
 	loop     *Loop
@@ -42,7 +42,7 @@
 	onError  func(error)
 
 	acceptScheduled bool // a later turn accepts
-	queueHasMore    bool // more connections may wait, so that turn is scheduled without a delay
+	queueHasMore    bool // the scheduled turn has no delay, because more connections may wait
 	paused          bool // another process accepts from the same queue
 	acceptFailed    bool // because descriptors or kernel memory have run out
 	closing         bool // the listener stops listening once the queue is empty
@@ -85,6 +85,7 @@
 	return l.listen(fd, socket.SockaddrToTCPOrUnixAddr(sockaddr).String(), onAccept, onError)
 }
 
+// listen registers a listening descriptor with the poller.
 func (l *Loop) listen(fd int, addr string, onAccept func(*Conn) Handler, onError func(error)) (*Listener, error) {
 	listener := &Listener{loop: l, fd: fd, addr: addr, onAccept: onAccept, onError: onError}
 	if err := l.poller.AddRead(&netpoll.PollAttachment{FD: fd}, true); err != nil {
@@ -100,7 +101,7 @@
 // FD returns the listening descriptor, for transfer to a successor process.
 func (listener *Listener) FD() int { return listener.fd }
 
-// SetPaused pauses or resumes accepting. While it is paused, connections are left to another process with the same descriptor.
+// SetPaused pauses or resumes accepting. During a pause, connections are left to another process with the same descriptor.
 func (listener *Listener) SetPaused(paused bool) {
 	if listener.paused != paused && listener.listening() {
 		listener.paused = paused
@@ -143,7 +144,7 @@
 	}
 }
 
-// listening reports whether the listener has been neither closed nor detached.
+// listening reports whether the listener is still registered with the loop.
 func (listener *Listener) listening() bool { return listener.loop.listeners[listener.fd] == listener }
 
 // acceptTurn accepts one batch of connections, unless accepting is paused or a later turn does it.
@@ -227,6 +228,6 @@
 		c.closeWithError(errNotRegistered)
 		return
 	}
-	c.loop.conns[c.fd] = c // it still counts as a connection, and no event can reach it before it is registered
+	c.loop.conns[c.fd] = c // counted as a connection, but receives no events until it is registered
 	c.loop.After(acceptRetryDelay, func() { c.registerWithRetry(attempts - 1) })
 }
--- a/internal/evloop/loop.go
+++ b/internal/evloop/loop.go
@@ -138,7 +138,7 @@
 	return l.poller.Trigger(queue.LowPriority, func(any) error { return gneterrors.ErrEngineShutdown }, nil)
 }
 
-// Post schedules f to run in a separate turn, unless the loop stops before. It may be called from any goroutine. An error means
+// Post schedules f to run in a separate turn, unless the loop stops first. It may be called from any goroutine. An error means
 // that the loop could not be woken up, which does not happen in practice, because its wake-up descriptor is never closed.
 func (l *Loop) Post(f func()) error {
 	return l.poller.Trigger(queue.HighPriority, func(any) error {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -92,7 +92,7 @@
 }
 
 // Write writes text that an operator requested, such as the counters, regardless of the level. It writes the text unchanged, or
-// in format JSON as the message of a line. It never returns an error in the other formats.
+// in format JSON as the message of a line.
 func (l *Logger) Write(p []byte) (int, error) {
 	if l.format != JSON {
 		return l.queue.Write(p)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -102,7 +102,7 @@
 
 func TestParse(t *testing.T) {
 	format, level, err := Parse("json,debug")
-	testkit.Equal(t, "parsed", []any{JSON, zap.DebugLevel, nil}, []any{format, level, err})
+	testkit.Equal(t, "read", []any{JSON, zap.DebugLevel, nil}, []any{format, level, err})
 	if _, _, err := Parse("xml"); err == nil {
 		t.Error("the unknown format xml was accepted")
 	}
