--- a/cmd/micafrontctl/bench.go
+++ b/cmd/micafrontctl/bench.go
@@ -15,7 +15,8 @@
 	Check   benchCheckCommand   `cmd:"" help:"Measure the check of a large site."`
 }
 
-// printHeading prints the command, the seed and the environment, by which the measurements below it can be reproduced.
+// printHeading prints the command, seed, number of processors and Go version, which are needed to reproduce the
+// measurements that follow.
 func printHeading(seed uint64) {
 	fmt.Printf("command: micafront %s\nseed: %d, processors: %d, %s\n\n", strings.Join(os.Args[1:], " "), seed, runtime.NumCPU(), runtime.Version())
 }
--- a/cmd/micafrontctl/bench_routing.go
+++ b/cmd/micafrontctl/bench_routing.go
@@ -16,7 +16,7 @@
 }
 
 const (
-	decisionsPerRound  = 2_000_000 // per round and table
+	decisionsPerRound  = 2_000_000 // for each table
 	allocationSamples  = 10_000    // decisions over which allocations are counted
 	benchRoutingLines  = 4096
 	benchRoutingStream = 3 // PCG stream of the connections
--- a/cmd/micafrontctl/demo.go
+++ b/cmd/micafrontctl/demo.go
@@ -53,7 +53,7 @@
 	started   int // number of endpoints started so far, for their ids
 }
 
-// drainingEndpoint is an endpoint that drains and is being replaced.
+// drainingEndpoint is an endpoint that drains because another one replaces it.
 type drainingEndpoint struct {
 	endpoint *fakes.Endpoint
 	removal  *time.Timer // marks the endpoint as terminated in discovery and stops it
--- a/internal/sitelang/cue_messages.go
+++ b/internal/sitelang/cue_messages.go
@@ -52,7 +52,7 @@
 	{regexp.MustCompile(`division by zero`), "it divides by 0", ""},
 	{regexp.MustCompile(`incomplete|non-concrete|not concrete`), "it cannot be evaluated because a part of it has no value", ""},
 	{regexp.MustCompile(`^unreferenced alias or let clause (.+)`), "let %1 is never used", "remove it"},
-	{regexp.MustCompile(`^package name`), "the files of one configuration have different package names", "remove the package clauses"},
+	{regexp.MustCompile(`^package name`), "the files of one configuration have different package names", ""},
 }
 
 // translateCUEMessage returns the message and the resolution of a finding for a message of CUE.
--- a/internal/sitelang/doc.go
+++ b/internal/sitelang/doc.go
@@ -10,8 +10,8 @@
 // skipped.
 //
 //  1. readSources reads the files as one consistent set and parses them (sources.go, includes.go).
-//  2. evaluate merges them into one tree of nodes. It uses CUE's evaluator only for files that do not consist of
-//     literals alone (evaluate.go, literal.go, node.go).
+//  2. evaluate merges them into one tree of nodes. It uses CUE's evaluator only if a file contains more than literals
+//     (evaluate.go, literal.go, node.go).
 //  3. checker checks each value against the schema, and referenceChecker checks the references and limits between the
 //     parts of the site (schema.cue, schema.go, check.go, references.go, limits.go).
 //  4. newSite encodes the tree in the JSON form and decodes that as a proxy does (encode.go, site.go).
--- a/internal/sitelang/evaluate.go
+++ b/internal/sitelang/evaluate.go
@@ -15,8 +15,8 @@
 // maxDepth is the maximum nesting depth of structs and lists.
 const maxDepth = 32
 
-// evaluate merges the parsed files into one tree. If there is none, it reports the errors and returns nil. Files that
-// consist of literals alone, as most do, bypass CUE's evaluator, which is far slower.
+// evaluate merges the parsed files into one tree. If that fails as a whole, it reports the errors and returns nil. If all
+// files consist of literals alone, as most do, it bypasses CUE's evaluator, which is far slower.
 func (s *sourceSet) evaluate() *node {
 	s.reportDuplicates()
 	var literals []*node
--- a/internal/sitelang/from_json.go
+++ b/internal/sitelang/from_json.go
@@ -48,7 +48,7 @@
 // cueWriter converts the JSON form to the site language. It removes each member that it has written from the JSON form.
 type cueWriter struct {
 	buf  bytes.Buffer
-	site jsonObject // the whole JSON form, since parallel lists are outside the records that they belong to
+	site jsonObject // the whole JSON form; it holds parallel lists outside the records that they belong to
 }
 
 // parallelLists maps the names of fields with layoutParallel to their lists in the JSON form.
--- a/internal/sitelang/golden_test.go
+++ b/internal/sitelang/golden_test.go
@@ -44,7 +44,7 @@
 	for name, record := range schema() {
 		for _, f := range record.fields {
 			if !seen[f] && f.name != "include" {
-				t.Errorf("the fixture doesn't set %s of %s", f.name, name)
+				t.Errorf("%s: the fixture does not set %s", name, f.name)
 			}
 		}
 	}
--- a/internal/sitelang/limits.go
+++ b/internal/sitelang/limits.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Scales of a share.
+// Factors that convert a share to ppm and to percent.
 var (
 	partsPerMillion = mustRational("1000000") // a share of a split is a whole number of these
 	percent         = mustRational("100")
--- a/internal/sitelang/site.go
+++ b/internal/sitelang/site.go
@@ -21,7 +21,7 @@
 	Files          []string           // all files that were read, the root first
 	RoutingSet     routing.Set        // pools, policies and routes, with the defaults that a proxy applies
 	RoutingTable   *routing.Table     // compiled from RoutingSet
-	MatchSpace     routing.MatchSpace // the attributes that a connection can have, to compare routing tables
+	MatchSpace     routing.MatchSpace // the attribute values that a connection can have; routing tables are compared over them
 	Settings       balancer.Settings
 	KnownEndpoints discovery.List // the endpoints that the configuration itself lists
 }
--- a/internal/sitelang/sitelang_test.go
+++ b/internal/sitelang/sitelang_test.go
@@ -37,7 +37,7 @@
 			t.Errorf("%s: no finding", file)
 		}
 		if (site == nil) != findings.HasErrors() {
-			t.Errorf("%s: site returned: %v, errors found: %v", file, site != nil, findings.HasErrors())
+			t.Errorf("%s: Load returned a site: %v, which contradicts its findings", file, site != nil)
 		}
 		wantFile := strings.TrimSuffix(file, ".cue") + ".want"
 		if *update {
--- a/internal/sitelang/suggest.go
+++ b/internal/sitelang/suggest.go
@@ -15,7 +15,7 @@
 // closestName returns the known name that is most similar to a mistyped one; "" if none is similar enough.
 func closestName(name string, known []string) string {
 	closest := ""
-	closestDistance := len(name)/3 + 2 // the distance is at most a third of the name's bytes plus one
+	closestDistance := len(name)/3 + 2 // accepts a distance of up to a third of the name's bytes plus one
 	for _, candidate := range known {
 		distance := editDistance(strings.ToLower(name), strings.ToLower(candidate))
 		if distance < closestDistance || distance == closestDistance && closest != "" && candidate < closest {
--- a/internal/sitelang/units.go
+++ b/internal/sitelang/units.go
@@ -36,7 +36,7 @@
 // one is the number 1, which is also the sum of the shares of a split. It must not be modified.
 var one = mustRational("1")
 
-// The quantities, whose base units are second, per second, MiB and ratio.
+// The base units of these quantities are second, per second, MiB and ratio.
 var (
 	durationQuantity = &quantity{
 		description: "a time",
@@ -83,7 +83,7 @@
 	}
 )
 
-// quantities are the quantities by the names of their definitions in the schema.
+// quantities maps the names of definitions in the schema to quantities.
 var quantities = map[string]*quantity{
 	"#Duration": durationQuantity,
 	"#Rate":     rateQuantity,
@@ -100,7 +100,7 @@
 // baseJSONUnit is the base unit, which applies to a field whose @json attribute names no unit.
 var baseJSONUnit = &jsonUnit{factor: one}
 
-// jsonUnits are the units by their names in @json attributes.
+// jsonUnits maps the names of units in @json attributes to units.
 var jsonUnits = map[string]*jsonUnit{
 	"num":   baseJSONUnit,
 	"s":     baseJSONUnit,
--- a/internal/sitereport/diff.go
+++ b/internal/sitereport/diff.go
@@ -82,9 +82,9 @@
 	for i, pool := range current.Pools {
 		switch successor := successors[i]; {
 		case successor < 0:
-			out = append(out, fmt.Sprintf("pool %q is dropped: its connections have %s to leave", pool.Name, proposed.EffectiveDrainTimeout()))
+			out = append(out, fmt.Sprintf("pool %q is removed: its connections drain within %s", pool.Name, proposed.EffectiveDrainTimeout()))
 		case proposed.Pools[successor].Name != pool.Name:
-			out = append(out, fmt.Sprintf("pool %q goes on as %q, with all that it knows", pool.Name, proposed.Pools[successor].Name))
+			out = append(out, fmt.Sprintf("pool %q continues as %q and keeps its state", pool.Name, proposed.Pools[successor].Name))
 		}
 	}
 	for i, pool := range proposed.Pools {
