--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -193,7 +193,7 @@
 			return
 		}
 		if strings.TrimSpace(line) == "MOVE" {
-			c.Checker.Count(func(counts *Counts) { counts.MoveRequests++ })
+			c.Checker.UpdateCounts(func(counts *Counts) { counts.MoveRequests++ })
 			return
 		}
 	}
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -127,7 +127,7 @@
 	defer e.checker.AttemptEnded(request, e.ID)
 	setupTime, ok := e.reserve()
 	if !ok {
-		e.checker.Count(func(c *Counts) { c.EndpointBusy++ })
+		e.checker.UpdateCounts(func(c *Counts) { c.EndpointBusy++ })
 		e.checker.AttemptEnded(request, e.ID)   // before BUSY is sent: after it the proxy may send the next attempt
 		_, _ = io.WriteString(conn, "BUSY\r\n") // the proxy may have left
 		return
@@ -137,7 +137,7 @@
 	if _, err := fmt.Fprintf(conn, "UP %s-%s\r\n", e.ID, request); err != nil {
 		return
 	}
-	e.checker.Count(func(c *Counts) { c.Established++ })
+	e.checker.UpdateCounts(func(c *Counts) { c.Established++ })
 	e.echo(conn, reader)
 }
 
--- a/internal/fakes/protocol_checker.go
+++ b/internal/fakes/protocol_checker.go
@@ -126,8 +126,8 @@
 	c.addViolation("request %s has no final answer", request)
 }
 
-// Count has change update the counts. It must not call other methods of the checker.
-func (c *ProtocolChecker) Count(change func(*Counts)) {
+// UpdateCounts has change update the counts. It must not call other methods of the checker.
+func (c *ProtocolChecker) UpdateCounts(change func(*Counts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.counts)
--- a/internal/testing/faultinject/conn.go
+++ b/internal/testing/faultinject/conn.go
@@ -47,12 +47,12 @@
 	}
 }
 
-// dial connects to the target, once no Mute keeps the client's bytes from it. If the target does not answer, the client
+// dial connects to the target, once no Blackhole keeps the client's bytes from it. If the target does not answer, the client
 // is reset.
 func (c *conn) dial() bool {
 	for {
 		faults, changed := c.link.activeFaults(c.number, Up)
-		if _, muted := faults[Mute]; !muted {
+		if _, muted := faults[Blackhole]; !muted {
 			break
 		}
 		select {
--- a/internal/testing/faultinject/fault.go
+++ b/internal/testing/faultinject/fault.go
@@ -7,7 +7,7 @@
 
 var (
 	directions = []Direction{"", Both, Up, Down}
-	kinds      = []Kind{Delay, Mute, Refuse, Reset, HalfEnd, Rate, Garble, Split}
+	kinds      = []Kind{Delay, Blackhole, Refuse, Reset, HalfClose, Rate, Corrupt, Split}
 )
 
 // check returns an error if the fault makes no sense.
@@ -24,7 +24,7 @@
 		problem = "neither for nor jitter is set"
 	case f.Kind == Rate && f.BytesPerSecond == 0:
 		problem = "bytes_per_second is not set"
-	case f.Kind == Garble && f.Every == 0:
+	case f.Kind == Corrupt && f.Every == 0:
 		problem = "every is not set"
 	case !slices.Contains(kinds, f.Kind):
 		problem = "there is no such kind"
--- a/internal/testing/faultinject/faultinject.go
+++ b/internal/testing/faultinject/faultinject.go
@@ -17,10 +17,10 @@
 	// forwarded yet.
 	Set(pattern string, f Fault) error
 	// Clear removes faults of a kind from matching links; the kinds "" and "all" are all kinds. A connection that lost bytes
-	// or its end to a Mute is reset then, like a connection to a host that has restarted. All others go on.
+	// or its end to a Blackhole is reset then, like a connection to a host that has restarted. All others go on.
 	Clear(pattern string, kind Kind) error
-	// Play executes a schedule and returns after its last step, or with the error of the context that ended before.
-	Play(steps []Step) error
+	// RunSchedule executes a schedule and returns after its last step, or with the error of the context that ended before.
+	RunSchedule(steps []Step) error
 	// Log returns what was injected so far, sorted by link, connection, direction and offset.
 	Log() []LogEntry
 	// Tap passes all bytes that matching links receive to observe, before any fault applies. It takes effect for new
@@ -38,8 +38,8 @@
 	Addr() string
 	// Retarget sets the address for new connections. Open connections stay.
 	Retarget(addr string)
-	// Open returns the number of connections through the relay now.
-	Open() int
+	// OpenConns returns the number of connections through the relay now.
+	OpenConns() int
 }
 
 // Kind is a kind of fault.
@@ -49,18 +49,18 @@
 const (
 	// Delay forwards each chunk Fault.Duration later, plus up to Fault.Jitter, in order.
 	Delay Kind = "delay"
-	// Mute discards bytes and ends; connections stay open, and new ones are accepted.
-	Mute Kind = "mute"
+	// Blackhole discards bytes and ends; connections stay open, and new ones are accepted.
+	Blackhole Kind = "mute"
 	// Refuse closes the listener, so that the system refuses new connections.
 	Refuse Kind = "refuse"
 	// Reset resets connections at offset Fault.Offset of the direction, or at once.
 	Reset Kind = "reset"
-	// HalfEnd ends the direction at offset Fault.Offset, even within a line; the other direction goes on.
-	HalfEnd Kind = "half-end"
+	// HalfClose ends the direction at offset Fault.Offset, even within a line; the other direction goes on.
+	HalfClose Kind = "half-end"
 	// Rate limits the direction to Fault.BytesPerSecond.
 	Rate Kind = "rate"
-	// Garble changes one byte in Fault.Every on average.
-	Garble Kind = "garble"
+	// Corrupt changes one byte in Fault.Every on average.
+	Corrupt Kind = "garble"
 	// Split forwards bytes one by one.
 	Split Kind = "split"
 )
@@ -84,8 +84,8 @@
 	Direction      Direction     `json:"direction,omitempty"`        // "": both
 	Duration       time.Duration `json:"for,omitempty"`              // of Delay
 	Jitter         time.Duration `json:"jitter,omitempty"`           // of Delay
-	Offset         int64         `json:"at,omitempty"`               // offset in the direction, of Reset and HalfEnd; 0: at once
-	Every          int64         `json:"every,omitempty"`            // of Garble: bytes for each changed one
+	Offset         int64         `json:"at,omitempty"`               // offset in the direction, of Reset and HalfClose; 0: at once
+	Every          int64         `json:"every,omitempty"`            // of Corrupt: bytes for each changed one
 	BytesPerSecond int64         `json:"bytes_per_second,omitempty"` // of Rate
 	Connection     int           `json:"connection,omitempty"`       // number of the only connection, from 1; 0: all
 }
@@ -116,7 +116,7 @@
 	Link       string
 	Connection int
 	Direction  Direction
-	Byte       int64 // offset of the first byte in the direction
+	Offset     int64 // offset of the first byte in the direction
 	// At is when the kernel received the bytes, however late this process read them. It is comparable with other times
 	// of this process.
 	At   time.Time
--- a/internal/testing/faultinject/forward.go
+++ b/internal/testing/faultinject/forward.go
@@ -18,7 +18,7 @@
 	// The intervals at which awaitDelivery asks the kernel.
 	deliveryCheckStep        = 50 * time.Microsecond
 	maxDeliveryCheckInterval = 5 * time.Millisecond
-	// swallowedFaultID is the id of the reset that follows a Mute; no fault that was set has it.
+	// swallowedFaultID is the id of the reset that follows a Blackhole; no fault that was set has it.
 	swallowedFaultID = ^uint64(0)
 )
 
@@ -72,7 +72,7 @@
 	if p.conn.isReset() { // the head may be the error that the reset caused
 		return 0, true
 	}
-	if mute, muted := faults[Mute]; muted {
+	if mute, muted := faults[Blackhole]; muted {
 		if !hasHead {
 			return untilEvent, false
 		}
@@ -87,7 +87,7 @@
 	if !connected {
 		return untilEvent, false
 	}
-	if halfEnd, ok := faults[HalfEnd]; ok && !p.writeEnded && forwarded >= halfEnd.Offset {
+	if halfEnd, ok := faults[HalfClose]; ok && !p.writeEnded && forwarded >= halfEnd.Offset {
 		p.logFault(halfEnd)
 		p.writeEnded = true
 		_ = p.destination().CloseWrite() // it may be closed already
@@ -109,7 +109,7 @@
 	return p.forward(faults, head.data), false
 }
 
-// swallow discards the head under a Mute.
+// swallow discards the head under a Blackhole.
 func (p *pipe) swallow(mute activeFault, head chunk) {
 	p.logFault(mute)
 	p.swallowed = true
@@ -131,7 +131,7 @@
 // forward writes as much of data as the faults allow, and returns how long to wait before the next step.
 func (p *pipe) forward(faults map[Kind]activeFault, data []byte) time.Duration {
 	forwarded := p.forwardedBytes.Load()
-	for _, kind := range []Kind{Reset, HalfEnd} {
+	for _, kind := range []Kind{Reset, HalfClose} {
 		if f, ok := faults[kind]; ok {
 			data = data[:min(int64(len(data)), f.Offset-forwarded)]
 		}
@@ -149,7 +149,7 @@
 		data = data[:min(int64(len(data)), max(1, rate.BytesPerSecond/rateSlices))]
 	}
 	out := data
-	if garble, ok := faults[Garble]; ok {
+	if garble, ok := faults[Corrupt]; ok {
 		out = p.garble(data, forwarded, uint64(garble.Every))
 	}
 	n, err := p.destination().Write(out)
@@ -184,8 +184,8 @@
 			continue
 		}
 		out[i] ^= byte(1 + (random>>32)%255)
-		if p.loggedGarbles++; p.loggedGarbles <= MaxLoggedGarbles {
-			p.addLogEntry(offset+int64(i), Garble)
+		if p.loggedGarbles++; p.loggedGarbles <= MaxLoggedCorruptions {
+			p.addLogEntry(offset+int64(i), Corrupt)
 		}
 	}
 	return out
--- a/internal/testing/faultinject/link.go
+++ b/internal/testing/faultinject/link.go
@@ -41,8 +41,8 @@
 	l.target = addr
 }
 
-// Open returns the number of connections.
-func (l *link) Open() int {
+// OpenConns returns the number of connections.
+func (l *link) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
--- a/internal/testing/faultinject/net.go
+++ b/internal/testing/faultinject/net.go
@@ -151,8 +151,8 @@
 	n.log = append(n.log, entry)
 }
 
-// Log returns what was injected so far; see Injector. A Delay, Rate, Split or Mute has one entry for each direction of a
-// connection, with the first byte that it applied to; a Garble has one for each changed byte, up to MaxLoggedGarbles.
+// Log returns what was injected so far; see Injector. A Delay, Rate, Split or Blackhole has one entry for each direction of a
+// connection, with the first byte that it applied to; a Corrupt has one for each changed byte, up to MaxLoggedCorruptions.
 func (n *Net) Log() []LogEntry {
 	n.logMu.Lock()
 	defer n.logMu.Unlock()
--- a/internal/testing/faultinject/net_test.go
+++ b/internal/testing/faultinject/net_test.go
@@ -36,9 +36,9 @@
 		{"reset behind the last byte", lines, lines, "end", []Fault{{Kind: Reset, Offset: int64(len(lines)) + 1}}},
 		{"another connection's reset", lines, lines, "end", []Fault{{Kind: Reset, Connection: 2}}},
 		{"the connection's own, not all's", lines, lines[:9], "reset", []Fault{{Kind: Reset, Offset: 9, Connection: 1}, {Kind: Reset, Offset: 3}}},
-		{"half an end at once", lines, "", "end", []Fault{{Kind: HalfEnd}}},
-		{"half an end in mid-line", lines, lines[:20], "end", []Fault{{Kind: HalfEnd, Offset: 20}}},
-		{"half an end, split and late", lines, lines[:501], "end", []Fault{{Kind: HalfEnd, Offset: 501}, {Kind: Split},
+		{"half an end at once", lines, "", "end", []Fault{{Kind: HalfClose}}},
+		{"half an end in mid-line", lines, lines[:20], "end", []Fault{{Kind: HalfClose, Offset: 20}}},
+		{"half an end, split and late", lines, lines[:501], "end", []Fault{{Kind: HalfClose, Offset: 501}, {Kind: Split},
 			{Kind: Delay, Duration: time.Millisecond, Jitter: 3 * time.Millisecond}}},
 		{"byte by byte", lines, lines, "end", []Fault{{Kind: Split}}},
 		{"slowly", lines, lines, "end", []Fault{{Kind: Rate, BytesPerSecond: 50_000}}},
@@ -72,14 +72,14 @@
 					to.CloseWrite()
 					back, end := readAll(from)
 					testkit.Equal(t, "the other direction", "response, end", back+", "+end)
-					awaitCondition(t, "forgotten", func() bool { return r.link.Open() == 0 })
+					awaitCondition(t, "forgotten", func() bool { return r.link.OpenConns() == 0 })
 				}
 			})
 		}
 	}
 }
 
-// A Mute discards what is sent during it; when it is cleared, the connections that lost something are reset, and no others.
+// A Blackhole discards what is sent during it; when it is cleared, the connections that lost something are reset, and no others.
 func TestMuteAndClear(t *testing.T) {
 	for _, d := range []Direction{Both, Up, Down} {
 		t.Run(string(d), func(t *testing.T) {
@@ -89,7 +89,7 @@
 			idle, idleTarget := r.pair(Up)
 			mustWrite(t, from, "before")
 			testkit.Equal(t, "before", "before", readString(t, to, 6))
-			r.requireNoError(r.Set("p/k", Fault{Kind: Mute, Direction: d}))
+			r.requireNoError(r.Set("p/k", Fault{Kind: Blackhole, Direction: d}))
 			discarded := 0
 			for _, c := range []struct {
 				Direction
@@ -110,8 +110,8 @@
 				testkit.Equal(t, "connections at the target", 0, len(r.targets))
 			}
 			late := r.dial() // sends nothing until later
-			awaitCondition(t, "accepted", func() bool { return r.link.Open() == 4 })
-			r.requireNoError(r.Clear("p/k", Mute))
+			awaitCondition(t, "accepted", func() bool { return r.link.OpenConns() == 4 })
+			r.requireNoError(r.Clear("p/k", Blackhole))
 			for _, c := range []*net.TCPConn{from, to} {
 				got, end := readAll(c)
 				testkit.Equal(t, "a reset alone", ", reset", got+", "+end)
@@ -189,7 +189,7 @@
 func TestGarbleDependsOnOffset(t *testing.T) {
 	garble := func(t fakes.T, seed uint64, pieces []int) (string, []LogEntry) {
 		r := newTestNetwork(t, seed)
-		r.requireNoError(r.Set("p/*", Fault{Kind: Garble, Every: 10, Direction: Up}))
+		r.requireNoError(r.Set("p/*", Fault{Kind: Corrupt, Every: 10, Direction: Up}))
 		from, to := r.pair(Up)
 		rest := lines
 		for _, n := range pieces {
@@ -230,10 +230,10 @@
 		r := newTestNetwork(t, 7)
 		done := make(chan error, 1)
 		go func() {
-			done <- r.Play([]Step{
-				{Connections: 2, Links: "p/k", Set: &Fault{Kind: HalfEnd, Direction: Up, Offset: 11}},
-				{Connections: 3, Links: "p/*", Clear: HalfEnd},
-				{Links: "p/*", Set: &Fault{Kind: Garble, Direction: Up, Every: 50}},
+			done <- r.RunSchedule([]Step{
+				{Connections: 2, Links: "p/k", Set: &Fault{Kind: HalfClose, Direction: Up, Offset: 11}},
+				{Connections: 3, Links: "p/*", Clear: HalfClose},
+				{Links: "p/*", Set: &Fault{Kind: Corrupt, Direction: Up, Every: 50}},
 				{Connections: 4, Links: "p/*", Clear: "all"},
 				{Links: "*/k", Set: &Fault{Kind: Reset, Offset: 100, Connection: 5, Direction: Up}},
 				{After: time.Millisecond, Links: "p/k", Set: &Fault{Kind: Refuse}},
@@ -260,7 +260,7 @@
 	testkit.Equal(t, "log of the second run", log, logAgain)
 	testkit.Equal(t, "plain, half, garbled, plain", []bool{true, true, false, true},
 		[]bool{out[0] == lines+"end", out[1] == lines[:11]+"end", out[2] == lines+"end", out[3] == lines+"end"})
-	testkit.Equal(t, "the half end's entry", LogEntry{"p/k", 2, Up, 11, HalfEnd}, log[1])
+	testkit.Equal(t, "the half end's entry", LogEntry{"p/k", 2, Up, 11, HalfClose}, log[1])
 }
 
 // A tap observes bytes with their offset and time of receipt, also if they were read much later, or are discarded.
@@ -271,7 +271,7 @@
 		p.Data = bytes.Clone(p.Data)
 		observed <- p
 	}))
-	r.requireNoError(r.Set("p/k", Fault{Kind: Mute, Direction: Up, Connection: 2}))
+	r.requireNoError(r.Set("p/k", Fault{Kind: Blackhole, Direction: Up, Connection: 2}))
 	r.pair(Up)
 	r.mu.Lock() // no connection is accepted while it is locked
 	before := time.Now()
@@ -299,16 +299,16 @@
 
 func TestInvalidFaultsAndLinks(t *testing.T) {
 	r := newTestNetwork(t, 1)
-	for _, f := range []Fault{{}, {Kind: "quake"}, {Kind: Delay}, {Kind: Rate}, {Kind: Garble}, {Kind: Reset, Offset: -1},
-		{Kind: Mute, Direction: "sideways"}, {Kind: Refuse, Connection: 1}, {Kind: Refuse, Direction: Up}} {
+	for _, f := range []Fault{{}, {Kind: "quake"}, {Kind: Delay}, {Kind: Rate}, {Kind: Corrupt}, {Kind: Reset, Offset: -1},
+		{Kind: Blackhole, Direction: "sideways"}, {Kind: Refuse, Connection: 1}, {Kind: Refuse, Direction: Up}} {
 		err := r.Set("p/k", f)
-		if !invalidFault.Matches(err) || !invalidFault.Matches(r.Play([]Step{{Links: "p/k", Set: &f}})) {
+		if !invalidFault.Matches(err) || !invalidFault.Matches(r.RunSchedule([]Step{{Links: "p/k", Set: &f}})) {
 			t.Errorf("%+v: %v", f, err)
 		}
 	}
 	_, taken := r.Link("p/k", "127.0.0.1:1")
 	for what, err := range map[string]error{"taken": taken, "no such": r.Clear("q/*", ""), "across": r.Clear("*", ""),
-		"pattern": r.Set("[", Fault{Kind: Mute}), "wait": r.Play([]Step{{Connections: 1, Links: "q"}})} {
+		"pattern": r.Set("[", Fault{Kind: Blackhole}), "wait": r.RunSchedule([]Step{{Connections: 1, Links: "q"}})} {
 		if !invalidLinks.Matches(err) {
 			t.Errorf("%s: %v", what, err)
 		}
@@ -325,7 +325,7 @@
 	if _, err := r.Link("late", "127.0.0.1:1"); !invalidLinks.Matches(err) {
 		t.Errorf("closed: %v", err)
 	}
-	if err := r.Play([]Step{{After: time.Hour, Links: "p/k"}}); !errors.Is(err, context.Canceled) {
+	if err := r.RunSchedule([]Step{{After: time.Hour, Links: "p/k"}}); !errors.Is(err, context.Canceled) {
 		t.Errorf("a schedule that was canceled: %v", err)
 	}
 }
--- a/internal/testing/faultinject/pipe.go
+++ b/internal/testing/faultinject/pipe.go
@@ -18,8 +18,8 @@
 	maxQueueBytes = 64 << 10
 	// maxDelayedBytes is the bound under a Delay, so that the delay does not limit the rate as well.
 	maxDelayedBytes = 4 << 20
-	// MaxLoggedGarbles is how many garbled bytes of one direction of a connection are logged.
-	MaxLoggedGarbles = 1000
+	// MaxLoggedCorruptions is how many garbled bytes of one direction of a connection are logged.
+	MaxLoggedCorruptions = 1000
 )
 
 // pipe is one direction of a connection. Its reader queues chunks with the time when each is due; its writer forwards
@@ -43,7 +43,7 @@
 
 	// Of the writer alone.
 	loggedGarbles int       // bytes that were garbled and logged, or would have been
-	swallowed     bool      // bytes or the end were discarded by a Mute
+	swallowed     bool      // bytes or the end were discarded by a Blackhole
 	writeEnded    bool      // nothing can be forwarded any more
 	nextSendAt    time.Time // when the rate allows the next byte
 }
--- a/internal/testing/faultinject/schedule.go
+++ b/internal/testing/faultinject/schedule.go
@@ -12,10 +12,10 @@
 	reached     chan chan struct{} // receives the channel that the schedule closes to release the connection
 }
 
-// Play executes a schedule; see Injector. A step that waits for a number of connections, counted from the start on all
+// RunSchedule executes a schedule; see Injector. A step that waits for a number of connections, counted from the start on all
 // matching links, is executed before the last of these connections forwards its first byte, and so are the steps after it
 // that wait for nothing.
-func (n *Net) Play(steps []Step) error {
+func (n *Net) RunSchedule(steps []Step) error {
 	for _, step := range steps {
 		if step.Set == nil {
 			continue
--- a/internal/testing/faultinject/tap.go
+++ b/internal/testing/faultinject/tap.go
@@ -43,7 +43,7 @@
 			Link:       p.conn.link.name,
 			Connection: p.conn.number,
 			Direction:  p.direction,
-			Byte:       p.receivedBytes(),
+			Offset:     p.receivedBytes(),
 			At:         receiptTime(control[:controlBytes]),
 			Data:       buf[:n],
 		})
--- a/internal/testing/fleettest/faults.go
+++ b/internal/testing/fleettest/faults.go
@@ -66,7 +66,7 @@
 	return faultKind{
 		name: name, needsReplicas: true, affects: affects,
 		inject: func(f *Fleet, target int) (func() error, error) {
-			fault := faultinject.Fault{Kind: faultinject.Mute, Direction: direction}
+			fault := faultinject.Fault{Kind: faultinject.Blackhole, Direction: direction}
 			return f.setFault(fmt.Sprintf(pattern, target+1), fault)
 		},
 	}
--- a/internal/testing/fleettest/fleet_test.go
+++ b/internal/testing/fleettest/fleet_test.go
@@ -102,13 +102,13 @@
 }
 
 var (
-	cut  = faultinject.Fault{Kind: faultinject.Mute}
+	cut  = faultinject.Fault{Kind: faultinject.Blackhole}
 	slow = faultinject.Fault{Kind: faultinject.Delay, Duration: 5 * time.Millisecond, Jitter: 20 * time.Millisecond}
 )
 
 // muteDirection mutes one direction of links.
 func muteDirection(d faultinject.Direction) faultinject.Fault {
-	return faultinject.Fault{Kind: faultinject.Mute, Direction: d}
+	return faultinject.Fault{Kind: faultinject.Blackhole, Direction: d}
 }
 
 // faultCase is a fault under which a version is proposed.
@@ -149,7 +149,7 @@
 // same, whatever happens to service discovery, links and processes.
 func TestProxiesWithoutControlPlane(t *testing.T) {
 	fleet := start(t, 10, 0)
-	halfLine := faultinject.Fault{Kind: faultinject.HalfEnd, Direction: faultinject.Down, Offset: 2}
+	halfLine := faultinject.Fault{Kind: faultinject.HalfClose, Direction: faultinject.Down, Offset: 2}
 	for _, test := range []faultCase{
 		{name: "discovery restarts", inject: fleet.RestartDiscovery, repair: nothing},
 		linkCase(fleet, "discovery is cut off", "proxy*/discovery", cut, "proxy*/discovery"),
--- a/internal/testing/fleettest/rollouts.go
+++ b/internal/testing/fleettest/rollouts.go
@@ -71,7 +71,7 @@
 
 // recordRequestLine records the first line of a connection from a proxy to an endpoint, if it is of the contested class.
 func (f *Fleet) recordRequestLine(segment faultinject.Segment) {
-	if segment.Direction != faultinject.Up || segment.Byte != 0 {
+	if segment.Direction != faultinject.Up || segment.Offset != 0 {
 		return
 	}
 	words := bytes.Fields(segment.Data)
