--- a/internal/testing/faultinject/conn.go
+++ b/internal/testing/faultinject/conn.go
@@ -5,22 +5,22 @@
 	"sync"
 )
 
-// conn is one connection through a link.
+// conn is one proxied connection of a link.
 type conn struct {
 	link   *link
-	number int // of the link, from 1
+	number int // position in the order in which the link accepted its connections, from 1
 	client *net.TCPConn
 	up     *pipe
 	down   *pipe
-	dialed chan struct{} // closed once target is set
-	done   chan struct{} // closed once the connection is reset
+	dialed chan struct{} // closed when target is set
+	done   chan struct{} // closed when the connection is reset
 
 	mu      sync.Mutex
-	target  *net.TCPConn // nil until it is connected; the writer reads it after dialed without the lock
+	target  *net.TCPConn // nil until connected; the up writer reads it without the lock after dialed is closed
 	aborted bool
 }
 
-// newConn returns a connection that has been accepted from a client. It relays nothing before run.
+// newConn returns a connection for an accepted client. It starts relaying when run is called.
 func newConn(l *link, number int, client *net.TCPConn) *conn {
 	c := &conn{link: l, number: number, client: client, dialed: make(chan struct{}), done: make(chan struct{})}
 	c.up = newPipe(c, Up)
@@ -30,7 +30,7 @@
 	return c
 }
 
-// run relays until both directions have ended or the connection is reset.
+// run relays bytes in both directions until both have ended or the connection is reset.
 func (c *conn) run() {
 	defer c.link.removeConn(c)
 	var wg sync.WaitGroup
@@ -41,18 +41,18 @@
 		c.down.read(c.target)
 	}
 	wg.Wait()
-	_ = c.client.Close() // it may be closed already
+	_ = c.client.Close() // may already be closed
 	if c.target != nil {
 		_ = c.target.Close()
 	}
 }
 
-// dial connects to the target, once no Blackhole keeps the client's bytes from it. If the target does not answer, the client
-// is reset.
+// dial connects to the target. While a Blackhole applies to the up direction, it waits. It resets the client connection and
+// returns false if the target cannot be reached.
 func (c *conn) dial() bool {
 	for {
 		faults, changed := c.link.activeFaults(c.number, Up)
-		if _, muted := faults[Blackhole]; !muted {
+		if _, blackholed := faults[Blackhole]; !blackholed {
 			break
 		}
 		select {
@@ -80,13 +80,13 @@
 	return true
 }
 
-// closeWithReset closes a connection so that its peer sees a reset.
+// closeWithReset closes a connection with a TCP reset.
 func closeWithReset(c *net.TCPConn) {
-	_ = c.SetLinger(0) // it may be closed already
+	_ = c.SetLinger(0) // may already be closed
 	_ = c.Close()
 }
 
-// abort resets both sides.
+// abort resets the connections to the client and to the target.
 func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// isReset reports whether the connection is reset.
+// isReset reports whether the connection has been reset.
 func (c *conn) isReset() bool {
 	select {
 	case <-c.done:
@@ -111,7 +111,7 @@
 	}
 }
 
-// applyImmediateReset resets the connection if a fault says so, even while a write blocks.
+// applyImmediateReset resets the connection if a Reset at offset 0 applies to it. It works while a write is blocked.
 func (c *conn) applyImmediateReset() {
 	for _, p := range []*pipe{c.up, c.down} {
 		faults, _ := c.link.activeFaults(c.number, p.direction)
--- a/internal/testing/faultinject/faultinject.go
+++ b/internal/testing/faultinject/faultinject.go
@@ -1,44 +1,47 @@
-// Package faultinject injects network faults between processes on loopback. A TCP relay for each link delays, drops,
-// resets, throttles, splits and corrupts what passes, by a schedule or on command.
+// Package faultinject injects network faults between processes on loopback. Each link is a TCP relay that can delay, drop,
+// reset, throttle, split and corrupt its traffic, on command or by a schedule. The tests of whole fleets use it.
 //
-// The tests of whole fleets use it. Every random choice depends on the seed, the link, the connection, the direction and
-// the byte's offset alone, so a schedule repeats on the same traffic, and the log of two runs can be compared.
+// Every random choice depends only on the seed, the link, the connection, the direction and the byte's offset. The same
+// schedule on the same traffic therefore has the same effects, and the logs of two runs can be compared.
 package faultinject
 
 import "time"
 
 // Injector injects faults on links; Net implements it.
 type Injector interface {
-	// Link opens a relay to a target, an address, and returns it. Clients of the target connect to the relay's address instead.
+	// Link opens a relay to the address target and returns it. Clients connect to the relay's address instead of the target.
+	// Each link needs its own name.
 	Link(name, target string) (Link, error)
-	// Set puts a fault on all links whose name matches the pattern (path.Match). It replaces the fault of the same kind,
-	// direction and connection. If several faults of a kind apply to a connection, one for the connection takes
-	// precedence over others, and one for the direction over one for both. It applies to bytes that have not been
-	// forwarded yet.
+	// Set sets a fault on all links whose name matches the pattern (path.Match). It replaces the fault of the same kind,
+	// direction and connection. If several faults of a kind apply to a connection, a fault for that connection takes
+	// precedence over a fault for all connections, and then a fault for one direction over a fault for both. The fault
+	// applies to bytes that have not been forwarded yet.
 	Set(pattern string, f Fault) error
-	// Clear removes faults of a kind from matching links; the kinds "" and "all" are all kinds. A connection that lost bytes
-	// or its end to a Blackhole is reset then, like a connection to a host that has restarted. All others go on.
+	// Clear removes the faults of a kind from matching links; "" and "all" mean all kinds. When a Blackhole is cleared, a
+	// connection of which it discarded bytes or the end of stream is reset, like a connection to a host that has restarted.
+	// Other connections continue.
 	Clear(pattern string, kind Kind) error
-	// RunSchedule executes a schedule and returns after its last step, or with the error of the context that ended before.
+	// RunSchedule executes the steps of a schedule and returns after the last one. It returns the context's error if the
+	// injector ends first.
 	RunSchedule(steps []Step) error
-	// Log returns what was injected so far, sorted by link, connection, direction and offset.
+	// Log returns the faults injected so far, sorted by link, connection, direction and offset.
 	Log() []LogEntry
-	// Tap passes all bytes that matching links receive to observe, before any fault applies. It takes effect for new
-	// connections. observe is called concurrently and must not retain the data.
+	// Tap calls observe with all bytes that new connections of matching links receive, before any fault applies. observe is
+	// called concurrently and must not retain the data.
 	Tap(pattern string, observe func(Segment)) error
-	// Close resets all connections and ends all links.
+	// Close resets all connections and closes all links.
 	Close()
 }
 
-// Link is one relay.
+// Link is a TCP relay to one target.
 type Link interface {
-	// Name is the name that patterns match.
+	// Name returns the name that patterns are matched against.
 	Name() string
-	// Addr is the address at which the relay listens.
+	// Addr returns the address on which the relay listens.
 	Addr() string
-	// Retarget sets the address for new connections. Open connections stay.
+	// Retarget sets the target address for new connections. Open connections keep their target.
 	Retarget(addr string)
-	// OpenConns returns the number of connections through the relay now.
+	// OpenConns returns the number of open connections through the relay.
 	OpenConns() int
 }
 
@@ -47,30 +50,30 @@
 
 // The kinds of faults.
 const (
-	// Delay forwards each chunk Fault.Duration later, plus up to Fault.Jitter, in order.
+	// Delay forwards each chunk after Fault.Duration plus a random time below Fault.Jitter, and preserves the order.
 	Delay Kind = "delay"
-	// Blackhole discards bytes and ends; connections stay open, and new ones are accepted.
+	// Blackhole discards bytes and the end of the stream. Connections stay open, and new ones are accepted.
 	Blackhole Kind = "mute"
-	// Refuse closes the listener, so that the system refuses new connections.
+	// Refuse closes the listener, so that the kernel refuses new connections.
 	Refuse Kind = "refuse"
-	// Reset resets connections at offset Fault.Offset of the direction, or at once.
+	// Reset resets connections when the direction has forwarded Fault.Offset bytes; 0: immediately.
 	Reset Kind = "reset"
-	// HalfClose ends the direction at offset Fault.Offset, even within a line; the other direction goes on.
+	// HalfClose ends the direction after Fault.Offset bytes, even within a line. The other direction continues.
 	HalfClose Kind = "half-end"
 	// Rate limits the direction to Fault.BytesPerSecond.
 	Rate Kind = "rate"
-	// Corrupt changes one byte in Fault.Every on average.
+	// Corrupt changes on average one byte in every Fault.Every bytes.
 	Corrupt Kind = "garble"
-	// Split forwards bytes one by one.
+	// Split forwards each byte in a separate write.
 	Split Kind = "split"
 )
 
-// Direction is the direction of a connection in which a fault applies.
+// Direction is a direction of a connection.
 type Direction string
 
-// The directions. The zero value of Fault.Direction means Both.
+// The directions. A Fault with an empty direction applies to Both.
 const (
-	// Both is up and down.
+	// Both means Up and Down.
 	Both Direction = "both"
 	// Up is from the client to the target.
 	Up Direction = "up"
@@ -78,47 +81,47 @@
 	Down Direction = "down"
 )
 
-// Fault is a fault on a link.
+// Fault describes a fault on a link.
 type Fault struct {
 	Kind           Kind          `json:"kind"`
-	Direction      Direction     `json:"direction,omitempty"`        // "": both
-	Duration       time.Duration `json:"for,omitempty"`              // of Delay
-	Jitter         time.Duration `json:"jitter,omitempty"`           // of Delay
-	Offset         int64         `json:"at,omitempty"`               // offset in the direction, of Reset and HalfClose; 0: at once
-	Every          int64         `json:"every,omitempty"`            // of Corrupt: bytes for each changed one
-	BytesPerSecond int64         `json:"bytes_per_second,omitempty"` // of Rate
-	Connection     int           `json:"connection,omitempty"`       // number of the only connection, from 1; 0: all
+	Direction      Direction     `json:"direction,omitempty"`        // "" means Both
+	Duration       time.Duration `json:"for,omitempty"`              // for Delay
+	Jitter         time.Duration `json:"jitter,omitempty"`           // for Delay
+	Offset         int64         `json:"at,omitempty"`               // for Reset and HalfClose: forwarded bytes; 0: immediately
+	Every          int64         `json:"every,omitempty"`            // for Corrupt: average number of bytes per changed byte
+	BytesPerSecond int64         `json:"bytes_per_second,omitempty"` // for Rate
+	Connection     int           `json:"connection,omitempty"`       // number of the affected connection, from 1; 0: all
 }
 
-// allKinds is the kind that clears faults of every kind in a schedule, where "" clears none.
+// allKinds clears faults of all kinds. Step.Clear needs it because "" clears none there.
 const allKinds Kind = "all"
 
-// Step is a step of a schedule. It waits for After and for Connections, and then clears and sets faults.
+// Step is one step of a schedule. It waits for After and then for Connections, and then clears and sets faults.
 type Step struct {
-	After       time.Duration `json:"after,omitempty"`       // since the step before
-	Connections int           `json:"connections,omitempty"` // how many there were on all matching links, since they were opened
-	Links       string        `json:"links"`                 // a pattern of path.Match
+	After       time.Duration `json:"after,omitempty"`       // wait after the previous step
+	Connections int           `json:"connections,omitempty"` // total accepted by matching links; 0: no wait
+	Links       string        `json:"links"`                 // pattern for path.Match
 	Set         *Fault        `json:"set,omitempty"`
-	Clear       Kind          `json:"clear,omitempty"` // "all": every kind; "": none
+	Clear       Kind          `json:"clear,omitempty"` // "all": all kinds; "": none
 }
 
-// LogEntry is an injected fault. It has no time, so that the logs of two runs can be compared.
+// LogEntry records an injected fault. It contains no time, so that the logs of two runs can be compared.
 type LogEntry struct {
 	Link       string    `json:"link"`
-	Connection int       `json:"connection"` // 0 if the fault concerns none
+	Connection int       `json:"connection"` // 0 for Refuse, which concerns no connection
 	Direction  Direction `json:"direction,omitempty"`
 	Offset     int64     `json:"byte"`
 	Kind       Kind      `json:"kind"`
 }
 
-// Segment is bytes that a link received.
+// Segment is a range of bytes that a link received in one read.
 type Segment struct {
 	Link       string
 	Connection int
 	Direction  Direction
-	Offset     int64 // offset of the first byte in the direction
-	// At is when the kernel received the bytes, however late this process read them. It is comparable with other times
-	// of this process.
+	Offset     int64 // of the first byte in the direction
+	// At is the time when the kernel received the bytes, which may be long before this process read them. It has a monotonic
+	// clock reading, so it can be compared with other times of this process.
 	At   time.Time
 	Data []byte
 }
--- a/internal/testing/faultinject/forward.go
+++ b/internal/testing/faultinject/forward.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// untilEvent is a wait without a limit.
-	untilEvent time.Duration = -1
-	// rateSlices is in how many writes a second's bytes of a Rate are divided.
-	rateSlices = 50
-	// The intervals at which awaitDelivery asks the kernel.
+	// waitForEvent means to wait until an event occurs, without a timeout.
+	waitForEvent time.Duration = -1
+	// rateWritesPerSecond is the number of writes among which a Rate divides the bytes of each second.
+	rateWritesPerSecond = 50
+	// The interval at which awaitDelivery polls the kernel grows by deliveryCheckStep up to maxDeliveryCheckInterval.
 	deliveryCheckStep        = 50 * time.Microsecond
 	maxDeliveryCheckInterval = 5 * time.Millisecond
-	// swallowedFaultID is the id of the reset that follows a Blackhole; no fault that was set has it.
-	swallowedFaultID = ^uint64(0)
+	// blackholeResetID is the fault id that logs the reset after a Blackhole is cleared. No fault in a link has this id.
+	blackholeResetID = ^uint64(0)
 )
 
-// write forwards until the direction has ended.
+// write forwards queued chunks until the direction has ended or the connection is reset.
 func (p *pipe) write() {
-	var dialed <-chan struct{} // nil once the destination is connected
+	var dialed <-chan struct{} // nil when the destination is connected
 	if p.direction == Up {
 		dialed = p.conn.dialed
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-// step does the next thing that the faults allow. It returns how long to wait before the next step, 0 for not at all and
-// untilEvent for as long as nothing happens, and whether the direction has ended.
+// step performs the next action that the faults allow. It returns how long to wait before the next step (0 for no wait,
+// waitForEvent for no timeout), and whether the direction has ended.
 func (p *pipe) step(faults map[Kind]activeFault, connected bool) (wait time.Duration, ended bool) {
 	forwarded := p.forwardedBytes.Load()
 	if reset, ok := faults[Reset]; ok && forwarded >= reset.Offset {
@@ -69,58 +69,58 @@
 		return 0, true
 	}
 	head, hasHead := p.head()
-	if p.conn.isReset() { // the head may be the error that the reset caused
+	if p.conn.isReset() { // the head may be the error that the reset itself caused
 		return 0, true
 	}
-	if mute, muted := faults[Blackhole]; muted {
+	if blackhole, blackholed := faults[Blackhole]; blackholed {
 		if !hasHead {
-			return untilEvent, false
+			return waitForEvent, false
 		}
-		p.swallow(mute, head)
+		p.discard(blackhole, head)
 		return 0, false
 	}
-	if p.swallowed { // a restarted host does not know the connection
-		p.logFault(activeFault{Fault: Fault{Kind: Reset}, id: swallowedFaultID})
+	if p.discarded { // a restarted host would not recognize the connection
+		p.logFault(activeFault{Fault: Fault{Kind: Reset}, id: blackholeResetID})
 		p.conn.abort()
 		return 0, true
 	}
 	if !connected {
-		return untilEvent, false
+		return waitForEvent, false
 	}
 	if halfEnd, ok := faults[HalfClose]; ok && !p.writeEnded && forwarded >= halfEnd.Offset {
 		p.logFault(halfEnd)
 		p.writeEnded = true
-		_ = p.destination().CloseWrite() // it may be closed already
+		_ = p.destination().CloseWrite() // may already be closed
 	}
 	if !hasHead {
-		return untilEvent, false
+		return waitForEvent, false
 	}
 	if wait := time.Until(head.due); wait > 0 && !head.due.IsZero() {
 		return wait, false
 	}
 	if head.err != nil {
-		p.end(head.err)
+		p.propagateEnd(head.err)
 		return 0, true
 	}
-	if p.writeEnded { // the rest is discarded
+	if p.writeEnded { // after a HalfClose or a write error, the rest is discarded
 		p.dequeue(len(head.data))
 		return 0, false
 	}
 	return p.forward(faults, head.data), false
 }
 
-// swallow discards the head under a Blackhole.
-func (p *pipe) swallow(mute activeFault, head chunk) {
-	p.logFault(mute)
-	p.swallowed = true
+// discard drops the head of the queue because of a Blackhole.
+func (p *pipe) discard(blackhole activeFault, head chunk) {
+	p.logFault(blackhole)
+	p.discarded = true
 	p.dequeue(len(head.data))
 }
 
-// end passes on how the direction ended: by an end of the stream or by a reset.
-func (p *pipe) end(err error) {
+// propagateEnd ends the direction at the destination as the source ended it: with a half-close after io.EOF, else a reset.
+func (p *pipe) propagateEnd(err error) {
 	if errors.Is(err, io.EOF) {
 		if !p.writeEnded {
-			_ = p.destination().CloseWrite() // it may be closed already
+			_ = p.destination().CloseWrite() // may already be closed
 		}
 		return
 	}
@@ -146,16 +146,16 @@
 		if wait := time.Until(p.nextSendAt); wait > 0 {
 			return wait
 		}
-		data = data[:min(int64(len(data)), max(1, rate.BytesPerSecond/rateSlices))]
+		data = data[:min(int64(len(data)), max(1, rate.BytesPerSecond/rateWritesPerSecond))]
 	}
 	out := data
-	if garble, ok := faults[Corrupt]; ok {
-		out = p.garble(data, forwarded, uint64(garble.Every))
+	if corruption, ok := faults[Corrupt]; ok {
+		out = p.corrupt(data, forwarded, uint64(corruption.Every))
 	}
 	n, err := p.destination().Write(out)
 	p.forwardedBytes.Add(int64(n))
 	p.dequeue(n)
-	if err != nil { // the peer learns of it by the opposite direction, with that one's faults
+	if err != nil { // report the error to the sender through the opposite direction, whose faults apply
 		p.writeEnded = true
 		p.opposite.enqueue(chunk{err: err})
 	}
@@ -165,7 +165,7 @@
 	return 0
 }
 
-// postponeNextSend accounts for n bytes that were sent under a rate.
+// postponeNextSend sets the time of the next write after n bytes were sent under a Rate.
 func (p *pipe) postponeNextSend(n int, bytesPerSecond int64) {
 	start := p.nextSendAt
 	if now := time.Now(); start.Before(now) {
@@ -175,23 +175,24 @@
 	p.nextSendAt = start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// garble returns the data with one byte in every changed on average, chosen by its offset alone.
-func (p *pipe) garble(data []byte, offset int64, every uint64) []byte {
+// corrupt returns a copy of the data in which on average one byte in every `every` bytes is changed. Only the offset of a
+// byte determines whether and how it changes.
+func (p *pipe) corrupt(data []byte, offset int64, every uint64) []byte {
 	out := bytes.Clone(data)
 	for i := range out {
-		random := p.random(offset + int64(i))
+		random := p.randomAt(offset + int64(i))
 		if random%every != 0 {
 			continue
 		}
 		out[i] ^= byte(1 + (random>>32)%255)
-		if p.loggedGarbles++; p.loggedGarbles <= MaxLoggedCorruptions {
+		if p.corruptions++; p.corruptions <= MaxLoggedCorruptions {
 			p.addLogEntry(offset+int64(i), Corrupt)
 		}
 	}
 	return out
 }
 
-// destination is the connection that this direction is forwarded to.
+// destination returns the connection that this direction is forwarded to.
 func (p *pipe) destination() *net.TCPConn {
 	if p.direction == Down {
 		return p.conn.client
@@ -199,7 +200,8 @@
 	return p.conn.target
 }
 
-// awaitDelivery waits until the peer's kernel has acknowledged what was forwarded: a reset discards the rest.
+// awaitDelivery waits until the peer's kernel has acknowledged all forwarded bytes, because a reset discards unacknowledged
+// ones.
 func (p *pipe) awaitDelivery() {
 	if p.direction == Up {
 		select {
@@ -215,7 +217,7 @@
 	for checks := 1; ; checks++ {
 		unacknowledged := 0
 		err := raw.Control(func(fd uintptr) {
-			unacknowledged, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) // 0 where it fails: there is nothing to wait for
+			unacknowledged, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) // on failure it stays 0, which ends the wait
 		})
 		if err != nil || unacknowledged == 0 {
 			return
--- a/internal/testing/faultinject/helpers_test.go
+++ b/internal/testing/faultinject/helpers_test.go
@@ -11,7 +11,7 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// testNetwork is a network with one link, and the connections that reach its target.
+// testNetwork is a network with one link. targets receives the connections that the link's target accepts.
 type testNetwork struct {
 	*Net
 	t       fakes.T
@@ -30,7 +30,7 @@
 	return r
 }
 
-// newTarget opens a listener whose connections are sent to targets, and returns its address.
+// newTarget opens a listener that sends its connections to targets, and returns its address.
 func (r *testNetwork) newTarget() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,7 +64,7 @@
 	return c.(*net.TCPConn)
 }
 
-// pair opens a connection through the link and returns both ends, the sender of the direction first.
+// pair opens a connection through the link and returns its two ends. from sends in the given direction.
 func (r *testNetwork) pair(d Direction) (from, to *net.TCPConn) {
 	r.t.Helper()
 	c := r.dial()
@@ -76,9 +76,9 @@
 	return c, s
 }
 
-// readAll reads to the end and returns how the connection ended: "end", "reset" or another error.
+// readAll reads until the connection ends. It returns the bytes, and "end", "reset" or the text of another error.
 func readAll(c *net.TCPConn) (string, string) {
-	_ = c.SetReadDeadline(time.Now().Add(fakes.WaitTimeout)) // a closed connection shows when it is read
+	_ = c.SetReadDeadline(time.Now().Add(fakes.WaitTimeout)) // an error on a closed connection also appears in the read
 	got, err := io.ReadAll(c)
 	switch {
 	case err == nil:
@@ -91,7 +91,7 @@
 
 func readString(t fakes.T, c *net.TCPConn, n int) string {
 	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(fakes.WaitTimeout)) // a closed connection shows when it is read
+	_ = c.SetReadDeadline(time.Now().Add(fakes.WaitTimeout)) // an error on a closed connection also appears in the read
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c, b); err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 	return string(b)
 }
 
-// awaitCondition waits for a condition that other goroutines bring about.
+// awaitCondition polls a condition until it holds, or fails the test after fakes.WaitTimeout.
 func awaitCondition(t fakes.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(fakes.WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// mustWrite writes a text to the relay, which reads it under any fault.
+// mustWrite writes a text to the relay. The write succeeds under any fault, because the relay reads before it applies them.
 func mustWrite(t fakes.T, c *net.TCPConn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
--- a/internal/testing/faultinject/link.go
+++ b/internal/testing/faultinject/link.go
@@ -7,50 +7,50 @@
 	"sync"
 )
 
-// link is one relay. If its target refuses a connection, the client sees a reset right after it connected.
+// link implements Link. If the target refuses a connection, the client is reset right after it has connected.
 type link struct {
 	owner    *Net
 	name     string
-	accepted int // connections so far, guarded by owner.mu
+	accepted int // number of connections accepted so far; guarded by owner.mu
 
-	listenMu sync.Mutex // held while the listener is opened or closed
-	port     int        // set by the first listen
+	listenMu sync.Mutex // serializes opening and closing the listener
+	port     int        // set by the first call of listen
 
 	mu            sync.Mutex
-	reservedFD    int // a socket that is bound to the port and does not listen, so that no one else gets it; 0: none
+	reservedFD    int // socket bound to the port without listening, which keeps the port from other processes; 0: none
 	target        string
 	observe       func(Segment) // nil: no tap
-	listener      net.Listener  // nil: connections are refused
+	listener      net.Listener  // nil while connections are refused
 	closed        bool
 	faults        []activeFault
 	lastFaultID   uint64
 	conns         map[*conn]bool
-	faultsChanged chan struct{} // closed and replaced at each change of faults
+	faultsChanged chan struct{} // closed and replaced whenever faults changes
 }
 
-// Name returns the link's name.
+// Name implements Link.
 func (l *link) Name() string { return l.name }
 
-// Addr returns the address at which the link listens, also while it refuses connections.
+// Addr implements Link. The address stays the same while connections are refused.
 func (l *link) Addr() string { return fmt.Sprintf("127.0.0.1:%d", l.port) }
 
-// Retarget sets the address for new connections.
+// Retarget implements Link.
 func (l *link) Retarget(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = addr
 }
 
-// OpenConns returns the number of connections.
+// OpenConns implements Link.
 func (l *link) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// addConn begins to relay a connection.
+// addConn starts to relay an accepted connection.
 func (l *link) addConn(client *net.TCPConn) {
-	c := newConn(l, l.owner.connectionArrived(l), client)
+	c := newConn(l, l.owner.registerConnection(l), client)
 	l.mu.Lock()
 	l.conns[c] = true
 	closed := l.closed
@@ -68,7 +68,7 @@
 	delete(l.conns, c)
 }
 
-// connsLocked returns the connections; l.mu is held.
+// connsLocked returns the open connections. The caller holds l.mu.
 func (l *link) connsLocked() []*conn {
 	var conns []*conn
 	for c := range l.conns {
@@ -77,8 +77,8 @@
 	return conns
 }
 
-// activeFaults returns the faults that apply to one direction of a connection, and a channel that is closed when they
-// change.
+// activeFaults returns the fault of each kind that applies to one direction of a connection, and a channel that is closed
+// when the faults of the link change.
 func (l *link) activeFaults(connection int, d Direction) (faults map[Kind]activeFault, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +96,7 @@
 	return faults, l.faultsChanged
 }
 
-// setFault puts a fault on the link. A Refuse and an immediate Reset have taken effect when it returns.
+// setFault sets a fault on the link. When it returns, a Refuse or an immediate Reset has taken effect.
 func (l *link) setFault(f Fault) error {
 	l.listenMu.Lock()
 	defer l.listenMu.Unlock()
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// clearFaults removes the faults of a kind; "" and allKinds are all.
+// clearFaults removes the faults of a kind; "" and allKinds mean all kinds.
 func (l *link) clearFaults(kind Kind) error {
 	l.listenMu.Lock()
 	defer l.listenMu.Unlock()
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// changeFaults removes and adds faults and notifies the connections.
+// changeFaults removes and adds faults, notifies the connections, and applies immediate resets.
 func (l *link) changeFaults(remove func(activeFault) bool, added ...Fault) {
 	l.mu.Lock()
 	l.faults = slices.DeleteFunc(l.faults, remove)
@@ -141,7 +141,7 @@
 	}
 }
 
-// close ends the listener and resets all connections.
+// close closes the listener, releases the port and resets all connections.
 func (l *link) close() {
 	l.listenMu.Lock()
 	defer l.listenMu.Unlock()
@@ -151,7 +151,7 @@
 	conns := l.connsLocked()
 	l.mu.Unlock()
 	if listener != nil {
-		_ = listener.Close() // a second close fails
+		_ = listener.Close() // already closed if close was called before
 	}
 	l.releasePort()
 	for _, c := range conns {
--- a/internal/testing/faultinject/listener.go
+++ b/internal/testing/faultinject/listener.go
@@ -10,19 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptRetryInterval is the time between attempts to accept after an error, mostly a lack of descriptors.
+// acceptRetryInterval is the wait after a failed accept, which is mostly caused by a lack of file descriptors.
 const acceptRetryInterval = 5 * time.Millisecond
 
-// setReusePort lets several sockets be bound to one port.
+// setReusePort sets SO_REUSEPORT, which lets several sockets bind to one port.
 func setReusePort(fd int) error { return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }
 
-// setTimestamps has the kernel note when it receives bytes.
+// setTimestamps enables the kernel's receive timestamps.
 func setTimestamps(fd int) error {
 	return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1)
 }
 
-// listen opens the listener. SO_REUSEPORT lets the reserved socket be bound to the same port. Accepted connections
-// inherit the timestamps.
+// listen opens the listener and starts to accept connections. SO_REUSEPORT lets the reserved socket bind to the same port.
+// Accepted connections inherit the option for receive timestamps.
 func (l *link) listen(addr string) error {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
@@ -44,12 +44,12 @@
 		return errors.Join(net.ErrClosed, listener.Close())
 	}
 	l.listener = listener
-	l.owner.wg.Go(func() { l.accept(listener) })
+	l.owner.wg.Go(func() { l.acceptLoop(listener) })
 	return nil
 }
 
-// stopListening closes the listener and keeps its port: the kernel refuses connections to a bound socket that does not
-// listen.
+// stopListening closes the listener and reserves its port with a socket that is bound but does not listen, so that the
+// kernel refuses connections.
 func (l *link) stopListening() error {
 	l.mu.Lock()
 	listener := l.listener
@@ -69,7 +69,7 @@
 	return listener.Close()
 }
 
-// reservePort returns a socket that is bound to a port on loopback.
+// reservePort returns the descriptor of a socket that is bound to a loopback port and does not listen.
 func reservePort(port int) (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return fd, nil
 }
 
-// resumeListening opens the listener again at the same port, if it was closed by stopListening.
+// resumeListening opens the listener on the same port again if stopListening closed it.
 func (l *link) resumeListening() error {
 	l.mu.Lock()
 	fd := l.reservedFD
@@ -105,13 +105,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reservedFD != 0 {
-		_ = unix.Close(l.reservedFD) // nothing was written to it
+		_ = unix.Close(l.reservedFD) // nothing was written to the socket
 		l.reservedFD = 0
 	}
 }
 
-// accept accepts connections until the listener is closed.
-func (l *link) accept(listener net.Listener) {
+// acceptLoop accepts connections until the listener is closed.
+func (l *link) acceptLoop(listener net.Listener) {
 	for {
 		c, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/testing/faultinject/net.go
+++ b/internal/testing/faultinject/net.go
@@ -18,12 +18,12 @@
 	linkFailed = apperror.NewKind("faultnet/link", "free the port or raise the number of descriptors that the process may have")
 )
 
-// Net is a set of links and the faults on them. Its methods may be called concurrently.
+// Net is a set of links and their faults. It implements Injector and is safe for concurrent use.
 type Net struct {
 	seed   uint64
 	ctx    context.Context
 	cancel context.CancelFunc
-	wg     sync.WaitGroup // of the listeners and connections
+	wg     sync.WaitGroup // goroutines of listeners and connections
 
 	mu      sync.Mutex
 	links   map[string]*link
@@ -35,8 +35,8 @@
 
 var _ Injector = (*Net)(nil)
 
-// New returns a network without links. Random choices depend on the seed. It ends with the context or by Close, which alone
-// waits for its goroutines.
+// New returns a network without links, whose random choices depend on the seed. The network closes when the context ends or
+// Close is called. Only Close waits for its goroutines.
 func New(ctx context.Context, seed uint64) *Net {
 	n := &Net{seed: seed, links: map[string]*link{}}
 	n.ctx, n.cancel = context.WithCancel(ctx)
@@ -44,7 +44,7 @@
 	return n
 }
 
-// Close resets all connections, ends all links and returns when all of its goroutines have ended.
+// Close implements Injector. It returns when all goroutines of the network have ended.
 func (n *Net) Close() {
 	n.cancel()
 	n.closeLinks()
@@ -69,7 +69,7 @@
 	return out
 }
 
-// Link opens a relay on a free port of loopback; see Injector. A name can be used once.
+// Link implements Injector. The relay listens on a free loopback port.
 func (n *Net) Link(name, target string) (Link, error) {
 	l := &link{owner: n, name: name, target: target, conns: map[*conn]bool{}, faultsChanged: make(chan struct{})}
 	n.mu.Lock()
@@ -77,9 +77,9 @@
 	_, used := n.links[name]
 	switch {
 	case name == "":
-		return nil, invalidLinks.New("opening a link", "its name is empty")
+		return nil, invalidLinks.New("opening a link", "the name is empty")
 	case used:
-		return nil, invalidLinks.New(name, "another link has this name")
+		return nil, invalidLinks.New(name, "the name is already in use")
 	case n.ctx.Err() != nil:
 		return nil, invalidLinks.New(name, "the network is closed")
 	}
@@ -90,39 +90,40 @@
 	return l, nil
 }
 
-// matching returns the links whose names match. None is an error: a schedule without effect would prove nothing.
+// matching returns the links whose names match the pattern. If there are none, it returns an error, because a test whose
+// faults have no effect would prove nothing.
 func (n *Net) matching(pattern string) ([]*link, error) {
 	if _, err := path.Match(pattern, ""); err != nil {
 		return nil, invalidLinks.Wrap(pattern, err)
 	}
 	links := slices.DeleteFunc(n.sortedLinks(), func(l *link) bool { return !matches(pattern, l.name) })
 	if len(links) == 0 {
-		return nil, invalidLinks.New(pattern, "no link has such a name")
+		return nil, invalidLinks.New(pattern, "no link matches the pattern")
 	}
 	return links, nil
 }
 
-// matches reports whether a name matches a valid pattern.
+// matches reports whether a name matches a pattern that is known to be valid.
 func matches(pattern, name string) bool {
-	ok, _ := path.Match(pattern, name) // the pattern was checked
+	ok, _ := path.Match(pattern, name) // matching has checked the pattern
 	return ok
 }
 
-// Set puts a fault on matching links; see Injector. When it returns, an immediate reset has been done, and the fault
-// applies to all that is sent from then on. An error of one link leaves those after it, by name, as they were.
+// Set implements Injector. When it returns, an immediate Reset has been done, and other faults apply to all bytes sent from
+// then on. Links are changed in the order of their names; after an error, the remaining links are unchanged.
 func (n *Net) Set(pattern string, f Fault) error {
-	if err := f.check(); err != nil {
+	if err := f.validate(); err != nil {
 		return err
 	}
 	return n.forEachMatching(pattern, func(l *link) error { return l.setFault(f) })
 }
 
-// Clear removes faults from matching links; see Injector. The kind "all" is all kinds as well.
+// Clear implements Injector.
 func (n *Net) Clear(pattern string, kind Kind) error {
 	return n.forEachMatching(pattern, func(l *link) error { return l.clearFaults(kind) })
 }
 
-// Tap observes the bytes that matching links receive; see Injector.
+// Tap implements Injector.
 func (n *Net) Tap(pattern string, observe func(Segment)) error {
 	return n.forEachMatching(pattern, func(l *link) error {
 		l.mu.Lock()
@@ -151,8 +152,8 @@
 	n.log = append(n.log, entry)
 }
 
-// Log returns what was injected so far; see Injector. A Delay, Rate, Split or Blackhole has one entry for each direction of a
-// connection, with the first byte that it applied to; a Corrupt has one for each changed byte, up to MaxLoggedCorruptions.
+// Log implements Injector. A Delay, Rate, Split or Blackhole has one entry per direction of a connection, with the offset of
+// the first byte that it applied to. A Corrupt has one entry per changed byte, up to MaxLoggedCorruptions.
 func (n *Net) Log() []LogEntry {
 	n.logMu.Lock()
 	defer n.logMu.Unlock()
--- a/internal/testing/faultinject/net_test.go
+++ b/internal/testing/faultinject/net_test.go
@@ -18,10 +18,11 @@
 	"pgregory.net/rapid"
 )
 
-// lines is sent over connections.
+// lines is the traffic of the tests.
 var lines = strings.Repeat("M 1 payload\r\n", 100) // 1,300 bytes
 
-// Each fault is exact to the byte in either direction, and leaves the other direction alone.
+// TestFaultsAtOffsets checks that each fault applies at the exact byte in either direction and does not affect the other
+// direction.
 func TestFaultsAtOffsets(t *testing.T) {
 	long := strings.Repeat(lines, 300)
 	for _, c := range []struct {
@@ -29,20 +30,20 @@
 		faults                []Fault
 	}{
 		{"none", long, long, "end", nil},
-		{"reset at once", "", "", "reset", []Fault{{Kind: Reset}}},
+		{"immediate reset", "", "", "reset", []Fault{{Kind: Reset}}},
 		{"reset in mid-line", lines, lines[:7], "reset", []Fault{{Kind: Reset, Offset: 7}}},
-		{"reset behind much", long, long[:300_001], "reset", []Fault{{Kind: Reset, Offset: 300_001}}},
+		{"reset after a long stream", long, long[:300_001], "reset", []Fault{{Kind: Reset, Offset: 300_001}}},
 		{"reset at the last byte", lines, lines, "reset", []Fault{{Kind: Reset, Offset: int64(len(lines))}}},
-		{"reset behind the last byte", lines, lines, "end", []Fault{{Kind: Reset, Offset: int64(len(lines)) + 1}}},
-		{"another connection's reset", lines, lines, "end", []Fault{{Kind: Reset, Connection: 2}}},
-		{"the connection's own, not all's", lines, lines[:9], "reset", []Fault{{Kind: Reset, Offset: 9, Connection: 1}, {Kind: Reset, Offset: 3}}},
-		{"half an end at once", lines, "", "end", []Fault{{Kind: HalfClose}}},
-		{"half an end in mid-line", lines, lines[:20], "end", []Fault{{Kind: HalfClose, Offset: 20}}},
-		{"half an end, split and late", lines, lines[:501], "end", []Fault{{Kind: HalfClose, Offset: 501}, {Kind: Split},
+		{"reset after the last byte", lines, lines, "end", []Fault{{Kind: Reset, Offset: int64(len(lines)) + 1}}},
+		{"reset of another connection", lines, lines, "end", []Fault{{Kind: Reset, Connection: 2}}},
+		{"fault of the connection takes precedence", lines, lines[:9], "reset", []Fault{{Kind: Reset, Offset: 9, Connection: 1}, {Kind: Reset, Offset: 3}}},
+		{"immediate half-close", lines, "", "end", []Fault{{Kind: HalfClose}}},
+		{"half-close in mid-line", lines, lines[:20], "end", []Fault{{Kind: HalfClose, Offset: 20}}},
+		{"half-close, split and delayed", lines, lines[:501], "end", []Fault{{Kind: HalfClose, Offset: 501}, {Kind: Split},
 			{Kind: Delay, Duration: time.Millisecond, Jitter: 3 * time.Millisecond}}},
-		{"byte by byte", lines, lines, "end", []Fault{{Kind: Split}}},
-		{"slowly", lines, lines, "end", []Fault{{Kind: Rate, BytesPerSecond: 50_000}}},
-		{"late", long, long, "end", []Fault{{Kind: Delay, Jitter: 5 * time.Millisecond}}},
+		{"split", lines, lines, "end", []Fault{{Kind: Split}}},
+		{"rate", lines, lines, "end", []Fault{{Kind: Rate, BytesPerSecond: 50_000}}},
+		{"jitter", long, long, "end", []Fault{{Kind: Delay, Jitter: 5 * time.Millisecond}}},
 	} {
 		for _, d := range []Direction{Up, Down} {
 			t.Run(c.name+" "+string(d), func(t *testing.T) {
@@ -55,14 +56,14 @@
 					r.requireNoError(r.Set("*/k", f))
 				}
 				go func() {
-					_, _ = io.WriteString(from, c.send) // a fault may end it
+					_, _ = io.WriteString(from, c.send) // a fault may end the connection
 					if c.end == "end" {
 						from.CloseWrite()
 					}
 				}()
 				got, end := readAll(to)
 				if got != c.want || end != c.end {
-					t.Errorf("%d bytes and %s instead of %d and %s", len(got), end, len(c.want), c.end)
+					t.Errorf("got %d bytes and %s, want %d and %s", len(got), end, len(c.want), c.end)
 				}
 				if len(c.faults) == 1 && c.faults[0].Kind == Rate && time.Since(began) < time.Duration(len(lines)-1000)*time.Second/50_000 {
 					t.Errorf("%d bytes took %v", len(lines), time.Since(began))
@@ -72,15 +73,16 @@
 					to.CloseWrite()
 					back, end := readAll(from)
 					testkit.Equal(t, "the other direction", "response, end", back+", "+end)
-					awaitCondition(t, "forgotten", func() bool { return r.link.OpenConns() == 0 })
+					awaitCondition(t, "the connection is removed", func() bool { return r.link.OpenConns() == 0 })
 				}
 			})
 		}
 	}
 }
 
-// A Blackhole discards what is sent during it; when it is cleared, the connections that lost something are reset, and no others.
-func TestMuteAndClear(t *testing.T) {
+// TestBlackholeAndClear checks that a Blackhole discards the bytes sent while it is set, and that clearing it resets only the
+// connections that lost bytes.
+func TestBlackholeAndClear(t *testing.T) {
 	for _, d := range []Direction{Both, Up, Down} {
 		t.Run(string(d), func(t *testing.T) {
 			t.Parallel()
@@ -102,32 +104,32 @@
 					testkit.Equal(t, "the other direction", "during", readString(t, c.to, 6))
 				}
 			}
-			awaitCondition(t, "discarded", func() bool { return len(r.Log()) == discarded })
+			awaitCondition(t, "the bytes are discarded", func() bool { return len(r.Log()) == discarded })
 			fresh := r.dial()
 			if d != Down {
 				mustWrite(t, fresh, "hello")
-				awaitCondition(t, "accepted and muted", func() bool { return len(r.Log()) == discarded+1 })
+				awaitCondition(t, "the connection is accepted and its bytes are discarded", func() bool { return len(r.Log()) == discarded+1 })
 				testkit.Equal(t, "connections at the target", 0, len(r.targets))
 			}
-			late := r.dial() // sends nothing until later
-			awaitCondition(t, "accepted", func() bool { return r.link.OpenConns() == 4 })
+			late := r.dial() // sends nothing until the Blackhole is cleared
+			awaitCondition(t, "all connections are accepted", func() bool { return r.link.OpenConns() == 4 })
 			r.requireNoError(r.Clear("p/k", Blackhole))
 			for _, c := range []*net.TCPConn{from, to} {
 				got, end := readAll(c)
-				testkit.Equal(t, "a reset alone", ", reset", got+", "+end)
+				testkit.Equal(t, "reset without data", ", reset", got+", "+end)
 			}
 			mustWrite(t, idle, "on")
-			testkit.Equal(t, "an idle one goes on", "on", readString(t, idleTarget, 2))
+			testkit.Equal(t, "an idle connection continues", "on", readString(t, idleTarget, 2))
 			if d != Down {
 				_, end := readAll(fresh)
-				testkit.Equal(t, "one that sent during the Mute", "reset", end)
+				testkit.Equal(t, "a connection that sent during the Blackhole", "reset", end)
 			} else {
 				fresh.Close()
 			}
 			mustWrite(t, late, "now")
-			awaitCondition(t, "the late one comes up", func() bool {
+			awaitCondition(t, "the connection that sent nothing is established", func() bool {
 				s := fakes.Await(t, r.targets)
-				_ = s.SetReadDeadline(time.Now().Add(fakes.WaitTimeout)) // a closed connection shows when it is read
+				_ = s.SetReadDeadline(time.Now().Add(fakes.WaitTimeout)) // an error on a closed connection also appears in the read
 				b, _ := io.ReadAll(io.LimitReader(s, 3))
 				return string(b) == "now"
 			})
@@ -135,17 +137,18 @@
 	}
 }
 
-// Under a Refuse the kernel refuses connections, the port stays reserved, and open connections go on.
+// TestRefuseReservesThePort checks that a Refuse makes the kernel refuse connections, keeps the port reserved and leaves open
+// connections unaffected.
 func TestRefuseReservesThePort(t *testing.T) {
 	r := newTestNetwork(t, 1)
 	from, to := r.pair(Up)
 	for range 50 {
 		r.requireNoError(r.Set("p/k", Fault{Kind: Refuse}))
 		if _, err := net.Dial("tcp", r.link.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("refused: %v", err)
+			t.Fatalf("dial during a Refuse: %v", err)
 		}
 		mustWrite(t, from, "on")
-		testkit.Equal(t, "open ones go on", "on", readString(t, to, 2))
+		testkit.Equal(t, "open connections continue", "on", readString(t, to, 2))
 		r.requireNoError(r.Clear("p/k", ""))
 		r.pair(Up)
 	}
@@ -156,7 +159,8 @@
 	}
 }
 
-// Delayed bytes are queued together, so that a delay does not limit the rate, and the queue is bounded.
+// TestDelayQueueIsBounded checks that a delayed direction queues up to maxDelayedBytes, so that a Delay does not limit the
+// throughput, and no more.
 func TestDelayQueueIsBounded(t *testing.T) {
 	r := newTestNetwork(t, 1)
 	from, _ := r.pair(Up)
@@ -185,9 +189,10 @@
 	}
 }
 
-// Which bytes are garbled depends on the seed and the offset alone, not on how the bytes were divided among writes.
-func TestGarbleDependsOnOffset(t *testing.T) {
-	garble := func(t fakes.T, seed uint64, pieces []int) (string, []LogEntry) {
+// TestCorruptDependsOnOffset checks that the choice of corrupted bytes depends on the seed and the offset only, not on how
+// the bytes were divided among writes.
+func TestCorruptDependsOnOffset(t *testing.T) {
+	corrupt := func(t fakes.T, seed uint64, pieces []int) (string, []LogEntry) {
 		r := newTestNetwork(t, seed)
 		r.requireNoError(r.Set("p/*", Fault{Kind: Corrupt, Every: 10, Direction: Up}))
 		from, to := r.pair(Up)
@@ -204,29 +209,29 @@
 		r.Close()
 		return got, log
 	}
-	want, log := garble(t, 1, nil)
-	other, _ := garble(t, 2, nil)
+	want, log := corrupt(t, 1, nil)
+	other, _ := corrupt(t, 2, nil)
 	if n := len(log); want == other || n < len(lines)/20 || n > len(lines)/5 {
-		t.Fatalf("%d of %d bytes garbled, the same with another seed: %v", n, len(lines), want == other)
+		t.Fatalf("%d of %d bytes corrupted, the same with another seed: %v", n, len(lines), want == other)
 	}
 	for _, d := range log {
 		if want[d.Offset] == lines[d.Offset] {
-			t.Errorf("byte %d is as it was", d.Offset)
+			t.Errorf("byte %d is logged but unchanged", d.Offset)
 		}
 	}
 	testkit.Property(t, func(rt *rapid.T) {
 		pieces := rapid.SliceOfN(rapid.IntRange(1, 400), 0, 8).Draw(rt, "pieces")
-		got, again := garble(t, 1, pieces)
+		got, again := corrupt(t, 1, pieces)
 		if got != want || !slices.Equal(again, log) {
-			rt.Fatalf("in pieces of %v other bytes, or another log", pieces)
+			rt.Fatalf("in pieces of %v, the bytes or the log differ", pieces)
 		}
 	})
 }
 
-// A schedule has the same effects on the same traffic, and a step after a number of connections applies to the last of
-// them from its first byte on.
-func TestPlayIsDeterministic(t *testing.T) {
-	play := func() (out []string, log []LogEntry) {
+// TestRunScheduleIsDeterministic checks that a schedule has the same effects on the same traffic, and that a step that waits
+// for a number of connections applies to the last of them from its first byte.
+func TestRunScheduleIsDeterministic(t *testing.T) {
+	run := func() (out []string, log []LogEntry) {
 		r := newTestNetwork(t, 7)
 		done := make(chan error, 1)
 		go func() {
@@ -254,16 +259,17 @@
 		r.requireNoError(fakes.Await(t, done))
 		return out, r.Log()
 	}
-	out, log := play()
-	again, logAgain := play()
+	out, log := run()
+	again, logAgain := run()
 	testkit.Equal(t, "bytes of the second run", out, again)
 	testkit.Equal(t, "log of the second run", log, logAgain)
-	testkit.Equal(t, "plain, half, garbled, plain", []bool{true, true, false, true},
+	testkit.Equal(t, "unchanged, cut off, corrupted, unchanged", []bool{true, true, false, true},
 		[]bool{out[0] == lines+"end", out[1] == lines[:11]+"end", out[2] == lines+"end", out[3] == lines+"end"})
-	testkit.Equal(t, "the half end's entry", LogEntry{"p/k", 2, Up, 11, HalfClose}, log[1])
+	testkit.Equal(t, "log entry of the half-close", LogEntry{"p/k", 2, Up, 11, HalfClose}, log[1])
 }
 
-// A tap observes bytes with their offset and time of receipt, also if they were read much later, or are discarded.
+// TestTap checks that a tap observes bytes with their offset and receive time, even if the relay reads them much later or
+// discards them.
 func TestTap(t *testing.T) {
 	r := newTestNetwork(t, 1)
 	observed := make(chan Segment, 16)
@@ -273,13 +279,13 @@
 	}))
 	r.requireNoError(r.Set("p/k", Fault{Kind: Blackhole, Direction: Up, Connection: 2}))
 	r.pair(Up)
-	r.mu.Lock() // no connection is accepted while it is locked
+	r.mu.Lock() // delays the relaying of new connections
 	before := time.Now()
 	c := r.dial()
 	mustWrite(t, c, "OPEN 1 key")
 	raw, err := c.SyscallConn()
 	r.requireNoError(err)
-	awaitCondition(t, "the system has the bytes", func() bool {
+	awaitCondition(t, "the kernel has acknowledged the bytes", func() bool {
 		left := 1
 		r.requireNoError(raw.Control(func(fd uintptr) { left, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }))
 		return left == 0
@@ -288,12 +294,12 @@
 	r.mu.Unlock()
 	p := fakes.Await(t, observed)
 	if p.At.Before(before) || p.At.After(after) {
-		t.Errorf("written within %v, noted after %v", after.Sub(before), p.At.Sub(before))
+		t.Errorf("written within %v, but the receive time is %v after the start", after.Sub(before), p.At.Sub(before))
 	}
 	mustWrite(t, c, " more")
 	p2 := fakes.Await(t, observed)
 	p.At, p2.At = time.Time{}, time.Time{}
-	testkit.Equal(t, "pieces", []Segment{{"p/k", 2, Up, 0, time.Time{}, []byte("OPEN 1 key")},
+	testkit.Equal(t, "segments", []Segment{{"p/k", 2, Up, 0, time.Time{}, []byte("OPEN 1 key")},
 		{"p/k", 2, Up, 10, time.Time{}, []byte(" more")}}, []Segment{p, p2})
 }
 
@@ -307,8 +313,8 @@
 		}
 	}
 	_, taken := r.Link("p/k", "127.0.0.1:1")
-	for what, err := range map[string]error{"taken": taken, "no such": r.Clear("q/*", ""), "across": r.Clear("*", ""),
-		"pattern": r.Set("[", Fault{Kind: Blackhole}), "wait": r.RunSchedule([]Step{{Connections: 1, Links: "q"}})} {
+	for what, err := range map[string]error{"name in use": taken, "no match": r.Clear("q/*", ""), "pattern across /": r.Clear("*", ""),
+		"malformed pattern": r.Set("[", Fault{Kind: Blackhole}), "wait without a match": r.RunSchedule([]Step{{Connections: 1, Links: "q"}})} {
 		if !invalidLinks.Matches(err) {
 			t.Errorf("%s: %v", what, err)
 		}
@@ -319,13 +325,13 @@
 		_, err = io.ReadAll(c)
 	}
 	if !errors.Is(err, syscall.ECONNRESET) { // the reset may come before Dial returns
-		t.Errorf("no listener at the target: %v", err)
+		t.Errorf("dial without a listener at the target: %v", err)
 	}
 	r.Close()
 	if _, err := r.Link("late", "127.0.0.1:1"); !invalidLinks.Matches(err) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("link on a closed network: %v", err)
 	}
 	if err := r.RunSchedule([]Step{{After: time.Hour, Links: "p/k"}}); !errors.Is(err, context.Canceled) {
-		t.Errorf("a schedule that was canceled: %v", err)
+		t.Errorf("schedule on a closed network: %v", err)
 	}
 }
--- a/internal/testing/faultinject/pipe.go
+++ b/internal/testing/faultinject/pipe.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	chunkBytes = 8 << 10 // that are read at once, at most
-	// maxQueueBytes bounds the bytes that are queued in a direction.
+	chunkBytes = 8 << 10 // maximum size of one read
+	// maxQueueBytes limits the bytes queued in one direction.
 	maxQueueBytes = 64 << 10
-	// maxDelayedBytes is the bound under a Delay, so that the delay does not limit the rate as well.
+	// maxDelayedBytes is the limit while a Delay applies. It is larger, so that the delay does not also limit the throughput.
 	maxDelayedBytes = 4 << 20
-	// MaxLoggedCorruptions is how many garbled bytes of one direction of a connection are logged.
+	// MaxLoggedCorruptions limits the corrupted bytes that are logged for one direction of a connection.
 	MaxLoggedCorruptions = 1000
 )
 
-// pipe is one direction of a connection. Its reader queues chunks with the time when each is due; its writer forwards
-// them and applies the other faults.
+// pipe is one direction of a connection. Its reader queues chunks and applies a Delay; its writer forwards them and applies
+// the other faults.
 type pipe struct {
 	conn      *conn
 	direction Direction
 	seed      uint64
 	opposite  *pipe
-	queued    chan struct{} // signals the writer
-	dequeued  chan struct{} // signals the reader
+	queued    chan struct{} // wakes up the writer
+	dequeued  chan struct{} // wakes up the reader
 
-	forwardedBytes atomic.Int64 // added to by the writer alone
+	forwardedBytes atomic.Int64 // only the writer adds to it
 
 	mu           sync.Mutex
 	queue        []chunk
 	queuedBytes  int
 	received     int64           // bytes
-	lastDue      time.Time       // of the last chunk
-	loggedFaults map[Kind]uint64 // by kind, the id of the fault that was logged last
-
-	// Of the writer alone.
-	loggedGarbles int       // bytes that were garbled and logged, or would have been
-	swallowed     bool      // bytes or the end were discarded by a Blackhole
-	writeEnded    bool      // nothing can be forwarded any more
-	nextSendAt    time.Time // when the rate allows the next byte
+	lastDue      time.Time       // due time of the last chunk in the queue
+	loggedFaults map[Kind]uint64 // id of the last logged fault of each kind
+
+	// Used only by the writer.
+	corruptions int       // corrupted bytes, logged or not
+	discarded   bool      // a Blackhole discarded bytes or the end of the stream
+	writeEnded  bool      // the destination accepts no more bytes
+	nextSendAt  time.Time // earliest time of the next write under a Rate
 }
 
-// chunk is bytes that were read at once, or the error that ended the direction, io.EOF among them.
+// chunk holds the bytes of one read, or the error that ended the direction, which may be io.EOF.
 type chunk struct {
 	data []byte
-	due  time.Time // when it may be forwarded; zero: at once
+	due  time.Time // earliest time at which it may be forwarded; zero: immediately
 	err  error
 }
 
@@ -70,10 +70,10 @@
 	}
 }
 
-// random returns a number that depends on the seed, the link, the connection, the direction and an offset alone.
-func (p *pipe) random(offset int64) uint64 { return rand.NewPCG(p.seed, uint64(offset)).Uint64() }
+// randomAt returns a random number that depends only on the seed, the link, the connection, the direction and the offset.
+func (p *pipe) randomAt(offset int64) uint64 { return rand.NewPCG(p.seed, uint64(offset)).Uint64() }
 
-// signal wakes up the receiver of a channel of capacity 1.
+// signal wakes up the receiver of a channel of capacity 1 without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -81,7 +81,7 @@
 	}
 }
 
-// logFault logs a fault the first time that it applies to this direction.
+// logFault logs a fault when it applies to this direction for the first time.
 func (p *pipe) logFault(f activeFault) {
 	p.mu.Lock()
 	first := p.loggedFaults[f.Kind] != f.id
@@ -96,7 +96,7 @@
 	}
 }
 
-// addLogEntry logs a fault at an offset of this direction.
+// addLogEntry adds an entry for a fault at an offset of this direction to the log.
 func (p *pipe) addLogEntry(offset int64, kind Kind) {
 	p.conn.link.owner.addLogEntry(LogEntry{
 		Link:       p.conn.link.name,
@@ -107,7 +107,7 @@
 	})
 }
 
-// read queues what comes from source until it ends or the connection is reset.
+// read queues the bytes from source until the stream ends or the connection is reset.
 func (p *pipe) read(source *net.TCPConn) {
 	buf := make([]byte, chunkBytes)
 	receive := source.Read
@@ -132,7 +132,7 @@
 	}
 }
 
-// awaitSpace waits until the queue has space; false if the connection is reset.
+// awaitSpace waits until the queue has space. It returns false if the connection is reset.
 func (p *pipe) awaitSpace() bool {
 	for {
 		faults, changed := p.conn.link.activeFaults(p.conn.number, p.direction)
@@ -155,7 +155,7 @@
 	}
 }
 
-// enqueue adds a chunk and applies a Delay to it. A chunk is never due before the one in front of it.
+// enqueue appends a chunk to the queue and applies a Delay to it. A chunk is never due before its predecessor.
 func (p *pipe) enqueue(c chunk) {
 	faults, _ := p.conn.link.activeFaults(p.conn.number, p.direction)
 	delay, delayed := faults[Delay]
@@ -166,7 +166,7 @@
 	if delayed {
 		c.due = time.Now().Add(delay.Duration)
 		if delay.Jitter > 0 {
-			c.due = c.due.Add(time.Duration(p.random(p.received) % uint64(delay.Jitter)))
+			c.due = c.due.Add(time.Duration(p.randomAt(p.received) % uint64(delay.Jitter)))
 		}
 	}
 	if c.due.Before(p.lastDue) {
@@ -180,7 +180,7 @@
 	signal(p.queued)
 }
 
-// receivedBytes returns how many bytes have been queued in all.
+// receivedBytes returns the total number of bytes that have been queued.
 func (p *pipe) receivedBytes() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,7 +197,7 @@
 	return p.queue[0], true
 }
 
-// dequeue removes n bytes of the head, and the head itself if nothing is left of it.
+// dequeue removes n bytes from the head of the queue, and the head itself if it is then empty.
 func (p *pipe) dequeue(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testing/faultinject/schedule.go
+++ b/internal/testing/faultinject/schedule.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// connectionWaiter is a step of a schedule that waits for a number of connections.
+// connectionWaiter represents a step of a schedule that waits for a number of connections.
 type connectionWaiter struct {
-	links       string // a pattern of path.Match
+	links       string // pattern for path.Match
 	connections int
-	reached     chan chan struct{} // receives the channel that the schedule closes to release the connection
+	reached     chan chan struct{} // receives a channel that RunSchedule closes to release the last connection
 }
 
-// RunSchedule executes a schedule; see Injector. A step that waits for a number of connections, counted from the start on all
-// matching links, is executed before the last of these connections forwards its first byte, and so are the steps after it
-// that wait for nothing.
+// RunSchedule implements Injector. A step that waits for a number of connections takes effect before the last of these
+// connections forwards its first byte, and so do the following steps that do not wait.
 func (n *Net) RunSchedule(steps []Step) error {
 	for _, step := range steps {
 		if step.Set == nil {
 			continue
 		}
-		if err := step.Set.check(); err != nil {
+		if err := step.Set.validate(); err != nil {
 			return err
 		}
 	}
@@ -37,7 +36,7 @@
 	return nil
 }
 
-// heldConnections are connections that forward nothing until they are released. Each channel is closed to release one.
+// heldConnections holds connections that forward nothing until they are released. Closing a channel releases its connection.
 type heldConnections struct{ channels []chan struct{} }
 
 func (h *heldConnections) release() {
@@ -47,8 +46,8 @@
 	h.channels = nil
 }
 
-// awaitStep waits for a step's time and for its connections, of which the last is held then. Where it has to wait, it releases
-// the connections that are held for the steps before.
+// awaitStep waits for the time and the connections of a step, and then holds the last of these connections. Before it waits,
+// it releases the connections that earlier steps hold.
 func (n *Net) awaitStep(step Step, held *heldConnections) error {
 	if step.After > 0 {
 		held.release()
@@ -70,7 +69,7 @@
 	}
 }
 
-// sleep waits for a time; it returns an error if the network ends before.
+// sleep waits for a duration. It returns the context's error if the network ends first.
 func (n *Net) sleep(duration time.Duration) error {
 	select {
 	case <-time.After(duration):
@@ -93,7 +92,7 @@
 	return nil
 }
 
-// newWaiter returns a waiter for the connections of a step; nil if there are enough already.
+// newWaiter registers a waiter for the connections of a step. It returns nil if the step need not wait for any.
 func (n *Net) newWaiter(step Step) (*connectionWaiter, error) {
 	if step.Connections == 0 {
 		return nil, nil
@@ -111,7 +110,7 @@
 	return waiter, nil
 }
 
-// isReached reports whether there were enough connections; n.mu is held.
+// isReached reports whether the matching links have accepted enough connections. The caller holds n.mu.
 func (n *Net) isReached(waiter *connectionWaiter) bool {
 	connections := 0
 	for name, l := range n.links {
@@ -122,8 +121,9 @@
 	return connections >= waiter.connections
 }
 
-// connectionArrived numbers a connection of a link, and returns when the schedules that waited for it have executed their steps.
-func (n *Net) connectionArrived(l *link) int {
+// registerConnection returns the number of a new connection of a link. It first waits until the schedules that waited for
+// this connection have executed their steps.
+func (n *Net) registerConnection(l *link) int {
 	n.mu.Lock()
 	l.accepted++
 	number := l.accepted
--- a/internal/testing/faultinject/tap.go
+++ b/internal/testing/faultinject/tap.go
@@ -11,15 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// controlMessageBytes is room for the control message of a timestamp.
+// controlMessageBytes is the size of the buffer for a timestamp's control message.
 const controlMessageBytes = 64
 
-// tapReader returns a function that reads from source and passes what it read to observe, with the kernel's time of
-// receipt. A connection to a target has no timestamps before the first call; where one is missing, the time is now.
+// tapReader returns a read function for source that passes the bytes to observe with the kernel's receive timestamp. Bytes
+// without a timestamp get the current time, such as those that a target sent before tapReader enabled timestamps.
 func (p *pipe) tapReader(source *net.TCPConn, observe func(Segment)) func([]byte) (int, error) {
 	raw, rawErr := source.SyscallConn()
 	if rawErr == nil {
-		rawErr = raw.Control(func(fd uintptr) { _ = setTimestamps(int(fd)) }) // without timestamps, the time is now
+		rawErr = raw.Control(func(fd uintptr) { _ = setTimestamps(int(fd)) }) // on failure, receiptTime falls back to the current time
 	}
 	control := make([]byte, controlMessageBytes)
 	return func(buf []byte) (n int, err error) {
@@ -51,17 +51,17 @@
 	}
 }
 
-// receiptTime returns the kernel's timestamp in control messages, as a time with this process's monotonic clock.
+// receiptTime returns the kernel's receive timestamp from control messages, with a monotonic clock reading.
 func receiptTime(control []byte) time.Time {
 	now := time.Now()
-	messages, _ := unix.ParseSocketControlMessage(control) // without a message the time is now
+	messages, _ := unix.ParseSocketControlMessage(control) // without a timestamp, the current time is returned
 	for _, message := range messages {
 		var timestamp unix.Timespec
 		if message.Header.Type != unix.SCM_TIMESTAMPNS ||
 			binary.Read(bytes.NewReader(message.Data), binary.NativeEndian, &timestamp) != nil {
 			continue
 		}
-		// By the wall clock the timestamp lies this far back; a time beyond now would come from a clock that was set.
+		// The timestamp is wall clock time. If the clock was set back since, the timestamp lies in the future; use now then.
 		sinceReceipt := max(0, now.Round(0).Sub(time.Unix(timestamp.Unix())))
 		now = now.Add(-sinceReceipt)
 	}
