--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -15,46 +15,46 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Times of a client.
+// Intervals and delays of a client.
 const (
-	sendInterval       = 500 * time.Millisecond
-	retryAfterFailure  = 200 * time.Millisecond // the connection failed without an answer
-	retryAfterRejected = 500 * time.Millisecond // the answer names no time
-	maxRetryJitter     = 100 * time.Millisecond // on top of each of these
+	sendInterval               = 500 * time.Millisecond
+	failureRetryDelay          = 200 * time.Millisecond // after a connection that failed without an answer
+	defaultRejectionRetryDelay = 500 * time.Millisecond // after a rejection that names no time
+	maxRetryJitter             = 100 * time.Millisecond // random addition to each delay
 )
 
-// Range and precision of the histogram of set-up latencies, and the percentiles that are read from it.
+// Range and precision of the histogram of set-up latencies, and the percentiles of SetupLatency.
 const (
 	minSetupMicros         = 1
 	maxSetupMicros         = 60_000_000
 	setupSignificantDigits = 3
 	medianPercentile       = 50
 	p99Percentile          = 99
-	clientRandomStream     = 1 // of the seed
+	clientSeedStream       = 1 // second seed of the random number generator
 )
 
-// Clients simulates clients: each keeps one connection, sends a line now and then, and reconnects when it is asked to move
-// or rejected, after the time that the answer names. They are safe for concurrent use; the exported fields are set before the
-// first Add.
+// Clients simulates clients. Each keeps one connection, sends lines at an interval, and reconnects when its connection ends or
+// the proxy sends MOVE. After a rejection it waits for the time in the answer first. Clients is safe for concurrent use; the
+// exported fields must be set before the first call of Add.
 type Clients struct {
-	Addr         string // of the proxy
+	Addr         string // address of the proxy
 	Checker      *ProtocolChecker
-	SendInterval time.Duration // between the lines of one client
+	SendInterval time.Duration // time between two lines of a client
 
 	mu          sync.Mutex
 	random      *rand.Rand
-	setupMicros *hdrhistogram.Histogram // from the first line to UP
+	setupMicros *hdrhistogram.Histogram // time from the first line to UP, in microseconds
 	established int
-	running     sync.WaitGroup // goroutines of clients and of their connections
+	running     sync.WaitGroup // goroutines of clients and their connections
 }
 
-// NewClients returns a simulation without clients; seed determines its random delays.
+// NewClients returns a simulation without clients. seed determines its random delays.
 func NewClients(addr string, checker *ProtocolChecker, seed uint64) *Clients {
 	return &Clients{
 		Addr:         addr,
 		Checker:      checker,
 		SendInterval: sendInterval,
-		random:       rand.New(rand.NewPCG(seed, clientRandomStream)),
+		random:       rand.New(rand.NewPCG(seed, clientSeedStream)),
 		setupMicros:  hdrhistogram.New(minSetupMicros, maxSetupMicros, setupSignificantDigits),
 	}
 }
@@ -66,14 +66,14 @@
 	return c.established
 }
 
-// SetupLatency returns the median and the 99th percentile of the set-up latency in microseconds.
+// SetupLatency returns the median and the 99th percentile of the set-up latency, both in microseconds.
 func (c *Clients) SetupLatency() (median, p99 int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.setupMicros.ValueAtQuantile(medianPercentile), c.setupMicros.ValueAtQuantile(p99Percentile)
 }
 
-// Add starts one more client, which runs until the context ends. An empty group is left out of its requests.
+// Add starts a client, which runs until the context ends. Its requests name no group if group is empty.
 func (c *Clients) Add(ctx context.Context, class, key, group string) {
 	request := clientRequest{class: class, key: key, group: group}
 	c.running.Go(func() {
@@ -88,25 +88,25 @@
 	})
 }
 
-// Wait returns when all clients have ended.
+// Wait waits until all clients have ended.
 func (c *Clients) Wait() { c.running.Wait() }
 
-// jitter draws a time up to maxRetryJitter, so that clients that are rejected together do not come back together.
+// jitter returns a random time below maxRetryJitter, so that clients rejected together do not reconnect together.
 func (c *Clients) jitter() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Duration(c.random.Int64N(int64(maxRetryJitter)))
 }
 
-// clientRequest is what a client's first line says.
+// clientRequest contains the parameters of a client's first line.
 type clientRequest struct {
 	class     string
 	key       string
 	group     string
-	returning bool // the client had an established connection before
+	returning bool // the client's previous connection was established
 }
 
-// line is the first line of a connection under an id.
+// line returns the first line of a connection with a request id.
 func (r clientRequest) line(id string) string {
 	line := fmt.Sprintf("OPEN %s %s c=%s,d=5000", id, r.key, r.class)
 	if r.group != "" {
@@ -118,12 +118,12 @@
 	return line + "\r\n"
 }
 
-// connect runs one connection from its first line to its end. It returns how long to wait before the next one, and whether
-// this one was established.
+// connect runs one connection until it ends. It returns how long to wait before the next connection, and whether this one was
+// established.
 func (c *Clients) connect(ctx context.Context, request clientRequest) (retryAfter time.Duration, established bool) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.Addr)
 	if err != nil {
-		return retryAfterFailure, false
+		return failureRetryDelay, false
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -131,7 +131,7 @@
 	id := NextID()
 	began := time.Now()
 	if _, err := io.WriteString(conn, request.line(id)); err != nil {
-		return retryAfterFailure, false
+		return failureRetryDelay, false
 	}
 	reader := bufio.NewReader(conn)
 	line, err := reader.ReadString('\n')
@@ -139,7 +139,7 @@
 		if ctx.Err() == nil {
 			c.Checker.NoAnswer(id)
 		}
-		return retryAfterFailure, false
+		return failureRetryDelay, false
 	}
 	answer, argument := splitAnswer(line)
 	c.Checker.FinalAnswer(id, answer)
@@ -147,7 +147,7 @@
 		if ms, err := strconv.Atoi(argument); err == nil {
 			return time.Duration(ms) * time.Millisecond, false
 		}
-		return retryAfterRejected, false
+		return defaultRejectionRetryDelay, false
 	}
 	c.recordSetup(time.Since(began))
 	defer c.recordEnd()
@@ -158,7 +158,7 @@
 	return 0, true
 }
 
-// splitAnswer returns the first two words of an answer, "" for those it lacks.
+// splitAnswer returns the first two words of an answer. A missing word is empty.
 func splitAnswer(line string) (answer, argument string) {
 	words := strings.Fields(line)
 	if len(words) > 0 {
@@ -170,22 +170,22 @@
 	return answer, argument
 }
 
-// recordSetup counts a connection as established.
+// recordSetup counts an established connection and records its set-up latency.
 func (c *Clients) recordSetup(latency time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.setupMicros.RecordValue(latency.Microseconds()) // a value beyond the histogram's range is left out
+	_ = c.setupMicros.RecordValue(latency.Microseconds()) // values outside the histogram's range are ignored
 	c.established++
 }
 
-// recordEnd counts a connection as established no more.
+// recordEnd subtracts an ended connection from the number of established ones.
 func (c *Clients) recordEnd() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.established--
 }
 
-// readUntilMoved reads lines until the connection ends or the proxy asks the client to move.
+// readUntilMoved reads lines until the connection ends or the proxy sends MOVE.
 func (c *Clients) readUntilMoved(reader *bufio.Reader) {
 	for {
 		line, err := reader.ReadString('\n')
@@ -199,7 +199,7 @@
 	}
 }
 
-// sendLines sends lines until the connection has ended.
+// sendLines sends a line every SendInterval until the connection has ended.
 func (c *Clients) sendLines(conn net.Conn, ended <-chan struct{}) {
 	for n := 1; ; n++ {
 		select {
--- a/internal/fakes/discovery_server.go
+++ b/internal/fakes/discovery_server.go
@@ -13,36 +13,36 @@
 	"time"
 )
 
-// instancesPath is where discovery serves its list.
+// instancesPath is the URL path of the endpoint list.
 const instancesPath = "/registry/instances"
 
-// idleWatchInterval is how long a watch without changes waits before it sends an empty line.
+// idleWatchInterval is the interval at which an idle watch sends an empty line.
 const idleWatchInterval = 2 * time.Second
 
-// DiscoveryServer is a discovery service: a list with a generation, which any number of proxies watch.
+// DiscoveryServer is a discovery service. It serves an endpoint list with a generation, which any number of proxies can watch.
 type DiscoveryServer struct {
 	Addr   string
 	server *http.Server
 
 	mu         sync.Mutex
 	generation int
-	entries    map[string]Entry // by id
-	changes    []change         // all since the start, the oldest first
-	changed    chan struct{}    // closed, and replaced, at each change
+	entries    map[string]Entry // by endpoint id
+	changes    []change         // all changes, oldest first
+	changed    chan struct{}    // closed and replaced at each change
 
-	bytesSent atomic.Int64 // of lists, to watches
+	bytesSent atomic.Int64 // to watches
 }
 
-// BytesSent is how many bytes of lists watches were sent.
+// BytesSent returns the number of bytes sent to watches.
 func (s *DiscoveryServer) BytesSent() int64 { return s.bytesSent.Load() }
 
-// change is one change of the list and the generation that it made.
+// change is a change of one entry and the generation that it belongs to.
 type change struct {
 	generation int
 	entry      Entry
 }
 
-// NewDiscoveryServer starts one with an empty list.
+// NewDiscoveryServer starts a discovery server with an empty list.
 func NewDiscoveryServer() (*DiscoveryServer, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -55,14 +55,14 @@
 		changed:    make(chan struct{}),
 	}
 	s.server = &http.Server{Handler: http.HandlerFunc(s.serve)}
-	go func() { _ = s.server.Serve(listener) }() // returns when it is closed
+	go func() { _ = s.server.Serve(listener) }() // returns when the server is closed
 	return s, nil
 }
 
 // Close stops the server and its watches.
-func (s *DiscoveryServer) Close() { _ = s.server.Close() } // there is nothing to do where closing fails
+func (s *DiscoveryServer) Close() { _ = s.server.Close() } // an error cannot be handled
 
-// Set adds or changes entries in one change of the list; the lifecycle "terminated" removes one.
+// Set adds or replaces entries in one new generation of the list. An entry with the lifecycle "terminated" is removed.
 func (s *DiscoveryServer) Set(entries ...Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,14 +78,14 @@
 	s.changed = make(chan struct{})
 }
 
-// List returns the whole list in discovery's JSON form.
+// List returns the complete list as discovery's JSON.
 func (s *DiscoveryServer) List() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listLocked()
 }
 
-// listLocked is List; s.mu is held.
+// listLocked implements List. The caller holds s.mu.
 func (s *DiscoveryServer) listLocked() string {
 	var entries []string
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
@@ -101,18 +101,18 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if r.FormValue("watch") != "1" {
-		_, _ = io.WriteString(w, s.List()) // a client that has left needs no answer
+		_, _ = io.WriteString(w, s.List()) // fails only if the client has disconnected
 		return
 	}
 	from, err := strconv.Atoi(r.FormValue("from"))
 	if err != nil || from < 0 {
-		http.Error(w, "from is not a generation", http.StatusBadRequest)
+		http.Error(w, "from must be a generation number", http.StatusBadRequest)
 		return
 	}
 	s.watch(w, r, from)
 }
 
-// watch sends the changes since a generation, and further ones as they happen, until the client leaves.
+// watch sends the changes since a generation and then each new one, until the client disconnects.
 func (s *DiscoveryServer) watch(w http.ResponseWriter, r *http.Request, from int) {
 	for first := true; ; first = false {
 		s.mu.Lock()
@@ -135,8 +135,8 @@
 	}
 }
 
-// sinceLocked returns the list of what changed after a generation, "" where nothing did. The first list of a watch is never
-// left out, and is the whole list where the generation is 0 or unknown. s.mu is held.
+// sinceLocked returns the list of the entries that changed after a generation, or "" if none did. The first list of a watch is
+// always sent; it is the complete list if the generation is 0 or unknown. The caller holds s.mu.
 func (s *DiscoveryServer) sinceLocked(from int, first bool) string {
 	if first && (from == 0 || from > s.generation) {
 		return s.listLocked()
--- a/internal/fakes/doc.go
+++ b/internal/fakes/doc.go
@@ -1,14 +1,14 @@
 // Package fakes simulates a proxy's peers on loopback: service discovery, endpoints and clients.
 //
-// ScriptedDiscovery, ScriptedEndpoint and Peer follow a test line by line. DiscoveryServer, Endpoint and Clients act by
-// themselves, for the demonstration, the benchmarks and the fleet trials, and report to a ProtocolChecker. All are
-// written from the public protocol alone and share no code with the proxy.
+// A test controls each line of ScriptedDiscovery, ScriptedEndpoint and Peer. DiscoveryServer, Endpoint and Clients act
+// autonomously, for the demonstration, the benchmarks and the fleet trials; endpoints and clients report to a
+// ProtocolChecker. The package implements only the public protocol and shares no code with the proxy.
 package fakes
 
 import "time"
 
-// WaitTimeout bounds how long a test waits for what must happen. No test depends on it to pass.
+// WaitTimeout limits how long a test waits for an expected event. It only affects how soon a test fails.
 const WaitTimeout = 60 * time.Second
 
-// loopback is where all peers listen, at a port that the system chooses.
+// loopback is the listen address of all peers; the kernel chooses the port.
 const loopback = "127.0.0.1:0"
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Endpoint is an endpoint that serves by itself: it accepts connections up to a limit, takes time to set up each, and
-// echoes lines. It rejects connections beyond the limit and while it drains.
+// Endpoint is an autonomous endpoint. It accepts connections up to a limit, takes a set-up time for each, and echoes lines. It
+// answers BUSY to connections beyond the limit and while it drains.
 type Endpoint struct {
 	Entry
 	checker  *ProtocolChecker
@@ -22,14 +22,14 @@
 	setupTime    time.Duration
 	unresponsive bool
 	draining     bool
-	stopped      bool // Stop has closed conns
+	stopped      bool // set by Stop before it closes conns
 	conns        map[net.Conn]bool
 	established  int
-	running      sync.WaitGroup // goroutines of the listener and of connections
+	running      sync.WaitGroup // goroutines of the listener and the connections
 }
 
-// NewEndpoint starts an endpoint that accepts up to maxConns connections and takes setupTime for each. It listens on
-// loopback at a port of its own, whatever the entry's address.
+// NewEndpoint starts an endpoint that accepts up to maxConns connections and takes setupTime to set up each. It listens on a
+// free loopback port and replaces the entry's address with its own.
 func NewEndpoint(entry Entry, checker *ProtocolChecker, maxConns int, setupTime time.Duration) (*Endpoint, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -55,28 +55,28 @@
 	return e.established
 }
 
-// SetSetupTime changes how long each further connection takes to set up.
+// SetSetupTime changes the set-up time of new connections.
 func (e *Endpoint) SetSetupTime(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.setupTime = d
 }
 
-// SetUnresponsive makes the endpoint read lines without an echo, or echo them again.
+// SetUnresponsive sets whether the endpoint reads lines without echoing them.
 func (e *Endpoint) SetUnresponsive(unresponsive bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.unresponsive = unresponsive
 }
 
-// Drain makes the endpoint reject new connections.
+// Drain makes the endpoint answer BUSY to new connections.
 func (e *Endpoint) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = true
 }
 
-// Stop closes the endpoint and its connections and waits until all have ended.
+// Stop closes the listener and all connections, and waits for their goroutines to end.
 func (e *Endpoint) Stop() {
 	e.listener.Close()
 	e.mu.Lock()
@@ -103,8 +103,8 @@
 	}
 }
 
-// register adds a connection to those that Stop closes. It returns false once Stop has closed them: the connection was
-// accepted just before the listener was closed.
+// register adds a connection to those that Stop closes. It returns false if Stop has already closed them, which happens when
+// the connection was accepted just before the listener was closed.
 func (e *Endpoint) register(conn net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,9 +115,9 @@
 	return true
 }
 
-// serve serves one connection to its end.
+// serve serves one connection until it ends.
 func (e *Endpoint) serve(conn net.Conn) {
-	defer e.forget(conn)
+	defer e.closeConn(conn)
 	reader := bufio.NewReader(conn)
 	request, ok := e.readRequest(conn, reader)
 	if !ok {
@@ -128,8 +128,8 @@
 	setupTime, ok := e.reserve()
 	if !ok {
 		e.checker.UpdateCounts(func(c *Counts) { c.EndpointBusy++ })
-		e.checker.AttemptEnded(request, e.ID)   // before BUSY is sent: after it the proxy may send the next attempt
-		_, _ = io.WriteString(conn, "BUSY\r\n") // the proxy may have left
+		e.checker.AttemptEnded(request, e.ID)   // before BUSY, because the proxy may start the next attempt when it reads BUSY
+		_, _ = io.WriteString(conn, "BUSY\r\n") // the proxy may have closed the connection
 		return
 	}
 	defer e.release()
@@ -141,15 +141,15 @@
 	e.echo(conn, reader)
 }
 
-// forget closes a connection that has been served.
-func (e *Endpoint) forget(conn net.Conn) {
+// closeConn closes a connection and removes it from those that Stop closes.
+func (e *Endpoint) closeConn(conn net.Conn) {
 	conn.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.conns, conn)
 }
 
-// readRequest answers load queries until the first line of a request comes, and returns the request's id.
+// readRequest answers load queries until the first line of a request arrives, and returns the request's id.
 func (e *Endpoint) readRequest(conn net.Conn, reader *bufio.Reader) (request string, ok bool) {
 	line, err := reader.ReadString('\n')
 	for ; err == nil && line == "STATS\r\n"; line, err = reader.ReadString('\n') {
@@ -157,14 +157,14 @@
 			return "", false
 		}
 	}
-	words := strings.Fields(line) // OPEN, id, key and fields
+	words := strings.Fields(line) // OPEN, id, key and parameters
 	if err != nil || len(words) != 4 || words[0] != "OPEN" {
 		return "", false
 	}
 	return words[1], true
 }
 
-// reportLoad answers a load query: inflight are the connections, x0 their share of the limit.
+// reportLoad answers a load query. inflight is the number of connections, x0 their fraction of the limit.
 func (e *Endpoint) reportLoad(conn net.Conn) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -172,7 +172,7 @@
 	return err
 }
 
-// reserve counts one more connection, unless the endpoint rejects it, and returns how long to set it up.
+// reserve counts a new connection and returns its set-up time. It returns false if the endpoint is full or draining.
 func (e *Endpoint) reserve() (setupTime time.Duration, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -183,14 +183,14 @@
 	return e.setupTime, true
 }
 
-// release takes back reserve.
+// release undoes reserve when the connection ends.
 func (e *Endpoint) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.established--
 }
 
-// echo sends each line back until the connection ends.
+// echo sends each line back until the connection ends, unless the endpoint is unresponsive.
 func (e *Endpoint) echo(conn net.Conn, reader *bufio.Reader) {
 	for {
 		line, err := reader.ReadString('\n')
--- a/internal/fakes/endpoint_test.go
+++ b/internal/fakes/endpoint_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestRejectedAttemptEndsBeforeBusy checks that the checker knows an attempt to be over before the proxy reads BUSY: from
-// then on the proxy may send the next attempt.
+// TestRejectedAttemptEndsBeforeBusy checks that the endpoint reports the end of an attempt before it sends BUSY. Otherwise the
+// checker could take the proxy's next attempt for a second concurrent one.
 func TestRejectedAttemptEndsBeforeBusy(t *testing.T) {
 	const requests = 500
 	checker := NewProtocolChecker()
@@ -24,18 +24,18 @@
 		client := Dial(t, endpoint.Addr)
 		client.Send("OPEN " + request + " key c=feed\r\n")
 		if got := client.ReadLine(); got != "BUSY" {
-			t.Fatalf("answer %q", got)
+			t.Fatalf("got answer %q, want BUSY", got)
 		}
 		checker.AttemptStarted(request, "s-2", time.Now())
 		client.Close()
 	}
 	if violations := checker.Violations(); len(violations) > 0 {
-		t.Errorf("%d of %d taken for a second attempt, such as: %s", len(violations), requests, violations[0])
+		t.Errorf("%d of %d requests reported as violations, the first: %s", len(violations), requests, violations[0])
 	}
 }
 
-// TestStopClosesConnectionAcceptedLast has the endpoint accept a connection that Stop has not seen: it must be closed all the
-// same, or Stop would wait for its end.
+// TestStopClosesConnectionAcceptedLast checks that a connection that is accepted after Stop has closed the others is closed
+// too. Otherwise Stop would wait for its goroutine until the client closes the connection.
 func TestStopClosesConnectionAcceptedLast(t *testing.T) {
 	endpoint, err := NewEndpoint(Entry{ID: "s-1"}, NewProtocolChecker(), 1, time.Millisecond)
 	if err != nil {
@@ -46,14 +46,14 @@
 	defer client.Close()
 	endpoint.listener = &lateListener{conn: server}
 	endpoint.running.Go(endpoint.acceptConns)
-	_ = client.SetDeadline(time.Now().Add(20 * time.Second)) // a pipe has deadlines
+	_ = client.SetDeadline(time.Now().Add(20 * time.Second)) // net.Pipe supports deadlines
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Fatalf("the connection is not closed: %v", err)
+		t.Fatalf("read returned %v, want EOF from a closed connection", err)
 	}
 	endpoint.running.Wait()
 }
 
-// lateListener accepts one connection although it is closed.
+// lateListener accepts one connection after it has been closed.
 type lateListener struct {
 	net.Listener
 	conn net.Conn
--- a/internal/fakes/list.go
+++ b/internal/fakes/list.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Lifecycles of an entry, as discovery sends them.
+// Values of an entry's lifecycle field in discovery's JSON.
 const (
 	lifecycleInService  = "in_service"
 	lifecycleTerminated = "terminated"
 )
 
-// Entry is an entry of an endpoint list. A zero Zone, MachineType, Lifecycle or Weight stands for the value that most tests
-// want: "a", "m", "in_service", 1.
+// Entry is an entry of an endpoint list. Zero values have defaults: "a" for Zone, "m" for MachineType, "in_service" for
+// Lifecycle and 1 for Weight.
 type Entry struct {
 	ID          string
 	Addr        string
@@ -26,7 +26,7 @@
 	StartedAt   time.Time // zero: sent as 0
 }
 
-// String returns the entry in discovery's JSON form.
+// String returns the entry as discovery's JSON.
 func (e Entry) String() string {
 	startedAtMs := int64(0)
 	if !e.StartedAt.IsZero() {
@@ -37,7 +37,7 @@
 		cmp.Or(e.Weight, 1), startedAtMs)
 }
 
-// List returns a list of entries in discovery's JSON form.
+// List returns an endpoint list as discovery's JSON. The entries are JSON texts, as Entry.String returns them.
 func List(generation int, reset bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, reset, strings.Join(entries, ","))
 }
--- a/internal/fakes/peer.go
+++ b/internal/fakes/peer.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// T is the part of testing.TB that the scripted peers use.
+// T is the subset of testing.TB that the scripted peers use.
 type T interface {
 	Helper()
 	Fatal(args ...any)
@@ -20,20 +20,20 @@
 	Cleanup(func())
 }
 
-// Peer is one end of a connection that exchanges lines.
+// Peer is one end of a connection that exchanges lines of text.
 type Peer struct {
 	*net.TCPConn
 	t      T
 	reader *bufio.Reader
 }
 
-// NewPeer returns a peer on a TCP connection, which is closed at the end of the test.
+// NewPeer returns a peer for a TCP connection, which is closed at the end of the test.
 func NewPeer(t T, conn net.Conn) *Peer {
 	t.Cleanup(func() { conn.Close() })
 	return &Peer{TCPConn: conn.(*net.TCPConn), t: t, reader: bufio.NewReader(conn)}
 }
 
-// Dial connects to an address, a host and port.
+// Dial connects to a TCP address of the form host:port. It fails the test on an error.
 func Dial(t T, addr string) *Peer {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -43,7 +43,7 @@
 	return NewPeer(t, conn)
 }
 
-// Send writes a text as it is.
+// Send writes a text without adding a line end. It fails the test on an error.
 func (p *Peer) Send(text string) {
 	p.t.Helper()
 	if _, err := io.WriteString(p, text); err != nil {
@@ -51,11 +51,12 @@
 	}
 }
 
-// ReadLine returns the next line without its end. At the end of the connection it returns "EOF", or "RST" for a reset; where a
-// line was cut short, the part that came, "|" and the error. It fails the test where nothing comes within WaitTimeout.
+// ReadLine returns the next line without its line end. At the end of the connection it returns "EOF", or "RST" after a reset.
+// For an incomplete line it returns the bytes read, "|" and the error. It fails the test if no bytes arrive within WaitTimeout
+// or on another error.
 func (p *Peer) ReadLine() string {
 	p.t.Helper()
-	_ = p.SetReadDeadline(time.Now().Add(WaitTimeout)) // fails on a closed connection alone, and so does the read
+	_ = p.SetReadDeadline(time.Now().Add(WaitTimeout)) // fails only on a closed connection, where the read fails too
 	line, err := p.reader.ReadString('\n')
 	switch {
 	case err == nil:
@@ -71,29 +72,29 @@
 	return ""
 }
 
-// ReadLineErr returns the next line without its end, or an error. Unlike ReadLine it waits without limit and may be used
-// by a goroutine that outlives the test.
+// ReadLineErr returns the next line without its line end, or an error. Unlike ReadLine, it has no timeout and never fails the
+// test, so a goroutine that outlives the test may call it.
 func (p *Peer) ReadLineErr() (string, error) {
-	_ = p.SetReadDeadline(time.Time{}) // fails on a closed connection alone, and so does the read
+	_ = p.SetReadDeadline(time.Time{}) // fails only on a closed connection, where the read fails too
 	line, err := p.reader.ReadString('\n')
 	return strings.TrimSuffix(line, "\r\n"), err
 }
 
-// Await returns the next value of a channel, or fails the test after WaitTimeout.
+// Await returns the next value from a channel. It fails the test after WaitTimeout.
 func Await[V any](t T, values <-chan V) (value V) {
 	t.Helper()
 	select {
 	case value = <-values:
 	case <-time.After(WaitTimeout):
-		t.Fatal("nothing was received in time")
+		t.Fatal("timed out waiting for a value")
 	}
 	return value
 }
 
 var lastID atomic.Int64
 
-// NextID returns a request id that no client has used before.
+// NextID returns a request id that is unique in this process.
 func NextID() string { return fmt.Sprintf("id%d", lastID.Add(1)) }
 
-// PreviousID returns an id that NextID has returned: with newer 0 the latest one, else the one that so many newer ones followed.
+// PreviousID returns an earlier result of NextID: the latest if newer is 0, else the one followed by that many newer ids.
 func PreviousID(newer int64) string { return fmt.Sprintf("id%d", lastID.Load()-newer) }
--- a/internal/fakes/protocol_checker.go
+++ b/internal/fakes/protocol_checker.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// endpointDrainGrace is the default of ProtocolChecker.DrainGrace: 3 s by the settings, and 50 ms for the delay of a list.
+// endpointDrainGrace is the default of ProtocolChecker.DrainGrace: the 3 s of the settings, plus 50 ms until a list arrives.
 const endpointDrainGrace = 3*time.Second + 50*time.Millisecond
 
-// ProtocolChecker compares what all peers see with the rules of the protocol: each request has one final answer, no request
-// has two attempts at a time, and no attempt goes to an endpoint that has drained for longer than the grace. It is safe for
-// concurrent use.
+// ProtocolChecker checks the events that the peers report against the rules of the protocol: each request has one final
+// answer, no request has two attempts at a time, and no attempt goes to an endpoint that has been draining for longer than
+// DrainGrace. It is safe for concurrent use.
 type ProtocolChecker struct {
-	// DrainGrace is how long after discovery has listed an endpoint as draining an attempt may still reach it. It is set
-	// before the first report.
+	// DrainGrace is how long an attempt may still reach an endpoint after discovery has listed the endpoint as draining. It
+	// must be set before the first report.
 	DrainGrace time.Duration
 
 	mu            sync.Mutex
-	inFlight      map[string]string    // request id → id of the endpoint that has its attempt
+	inFlight      map[string]string    // request id → id of the endpoint with its attempt
 	finalAnswers  map[string]int       // request id → number of final answers
 	drainingSince map[string]time.Time // endpoint id → when discovery listed it as draining
 	violations    []string
 	counts        Counts
 }
 
-// Counts counts what the peers reported.
+// Counts contains counts of the events that the peers reported.
 type Counts struct {
-	Attempts     int // first lines that reached an endpoint
+	Attempts     int // request lines that reached an endpoint
 	Established  int `json:"Up"`   // connections that an endpoint accepted with UP
 	EndpointBusy int `json:"Full"` // attempts that an endpoint rejected with BUSY
-	Answers      int // final answers to clients, of whichever kind
-	Served       int // of them, UP
-	Rejected     int `json:"Refused"` // of them, BUSY
-	Failed       int // of them, all others
-	MoveRequests int `json:"Moved"` // clients asked by MOVE to reconnect
+	Answers      int // final answers to clients of any kind
+	Served       int // UP answers
+	Rejected     int `json:"Refused"` // BUSY answers
+	Failed       int // other final answers
+	MoveRequests int `json:"Moved"` // MOVE lines, which ask a client to reconnect
 }
 
-// NewProtocolChecker returns one that has seen nothing.
+// NewProtocolChecker returns a checker without reports.
 func NewProtocolChecker() *ProtocolChecker {
 	return &ProtocolChecker{
 		DrainGrace:    endpointDrainGrace,
@@ -48,12 +48,12 @@
 	}
 }
 
-// addViolation adds a description; c.mu is held.
+// addViolation adds the description of a violation. The caller holds c.mu.
 func (c *ProtocolChecker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// Violations returns a description of each violation so far.
+// Violations returns the descriptions of the violations so far.
 func (c *ProtocolChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,21 +67,21 @@
 	return c.counts
 }
 
-// AttemptStarted reports that the first line of a request reached an endpoint.
+// AttemptStarted records that the first line of a request reached an endpoint.
 func (c *ProtocolChecker) AttemptStarted(request, endpoint string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Attempts++
 	if other, ok := c.inFlight[request]; ok {
-		c.addViolation("request %s reached %s while %s has an attempt of it", request, endpoint, other)
+		c.addViolation("request %s reached %s while its attempt at %s is in flight", request, endpoint, other)
 	}
 	c.inFlight[request] = endpoint
 	if since, ok := c.drainingSince[endpoint]; ok && at.Sub(since) > c.DrainGrace {
-		c.addViolation("request %s reached %s, which has drained for %v", request, endpoint, at.Sub(since))
+		c.addViolation("request %s reached %s, which has been draining for %v", request, endpoint, at.Sub(since))
 	}
 }
 
-// AttemptEnded reports that an endpoint's attempt is over. It may be called more than once.
+// AttemptEnded records the end of a request's attempt at an endpoint. It may be called more than once.
 func (c *ProtocolChecker) AttemptEnded(request, endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// SetDraining reports when discovery listed an endpoint as draining; a zero time, that it is not draining.
+// SetDraining records when discovery listed an endpoint as draining. A zero time means that it is not draining.
 func (c *ProtocolChecker) SetDraining(endpoint string, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// FinalAnswer reports the final answer that a client received, by its first word.
+// FinalAnswer records a final answer that a client received. word is the answer's first word.
 func (c *ProtocolChecker) FinalAnswer(request, word string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,14 +119,14 @@
 	}
 }
 
-// NoAnswer reports a request whose connection ended without a final answer.
+// NoAnswer records that the connection of a request ended without a final answer.
 func (c *ProtocolChecker) NoAnswer(request string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addViolation("request %s has no final answer", request)
 }
 
-// UpdateCounts has change update the counts. It must not call other methods of the checker.
+// UpdateCounts calls change to update the counts. change must not call methods of the checker.
 func (c *ProtocolChecker) UpdateCounts(change func(*Counts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/scripted_discovery.go
+++ b/internal/fakes/scripted_discovery.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// ScriptedDiscovery is a discovery service whose watches a test serves itself, one at a time.
+// ScriptedDiscovery is a discovery service whose responses the test supplies. It supports one open watch at a time.
 type ScriptedDiscovery struct {
 	Addr         string
-	Lists        chan string           // what the open watch sends next; "" ends it
-	Watches      chan string           // the queries of the watches that were opened
-	NextHandlers chan http.HandlerFunc // each answers one call in place of a watch
+	Lists        chan string           // lists for the open watch to send; "" ends the watch
+	Watches      chan string           // receives the query string of each request
+	NextHandlers chan http.HandlerFunc // each handles one request instead of a watch
 }
 
-// Capacities of the channels: more than a test leaves unread.
+// Channel capacities, which exceed what any test leaves unread, so that no send blocks.
 const (
-	scriptedLists   = 16
-	scriptedWatches = 64
+	listCapacity  = 16
+	watchCapacity = 64
 )
 
-// watchKeepAlive is the interval at which a watch without changes sends an empty line.
+// watchKeepAlive is the interval at which an idle watch sends an empty line.
 const watchKeepAlive = time.Second
 
-// NewScriptedDiscovery starts a discovery service, which stops at the end of the test.
+// NewScriptedDiscovery starts a discovery service that stops at the end of the test.
 func NewScriptedDiscovery(t T) *ScriptedDiscovery {
 	t.Helper()
 	listener, err := net.Listen("tcp", loopback)
@@ -33,17 +33,17 @@
 	}
 	d := &ScriptedDiscovery{
 		Addr:         listener.Addr().String(),
-		Lists:        make(chan string, scriptedLists),
-		Watches:      make(chan string, scriptedWatches),
-		NextHandlers: make(chan http.HandlerFunc, scriptedLists),
+		Lists:        make(chan string, listCapacity),
+		Watches:      make(chan string, watchCapacity),
+		NextHandlers: make(chan http.HandlerFunc, listCapacity),
 	}
 	server := &http.Server{Handler: http.HandlerFunc(d.serve)}
-	go func() { _ = server.Serve(listener) }() // returns when it is closed
-	t.Cleanup(func() { _ = server.Close() })   // the test is over: nothing depends on it
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
+	t.Cleanup(func() { _ = server.Close() })   // the test is over, so an error does not matter
 	return d
 }
 
-// serve answers a call with the next handler, or else as a watch.
+// serve handles a request with the next handler, if there is one, or as a watch.
 func (d *ScriptedDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	d.Watches <- r.URL.RawQuery
 	select {
@@ -62,15 +62,15 @@
 			}
 			writeInChunks(w, list)
 		case <-time.After(watchKeepAlive):
-			_, _ = io.WriteString(w, "\n") // a client that has left ends the request's context
+			_, _ = io.WriteString(w, "\n") // if the client has disconnected, the request's context ends
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// writeInChunks sends a list in two chunks, because objects may span chunks. A client that has left ends the request's
-// context, so that errors need no attention here.
+// writeInChunks sends a list in two HTTP chunks, because objects may span chunks. It ignores write errors: if the client has
+// disconnected, the request's context ends.
 func writeInChunks(w http.ResponseWriter, list string) {
 	half := len(list) / 2
 	_, _ = io.WriteString(w, list[:half])
--- a/internal/fakes/scripted_endpoint.go
+++ b/internal/fakes/scripted_endpoint.go
@@ -2,14 +2,14 @@
 
 import "net"
 
-// ScriptedEndpoint is an endpoint whose connections a test serves itself.
+// ScriptedEndpoint is an endpoint that passes its connections to the test.
 type ScriptedEndpoint struct {
 	ID   string
 	Addr string
 }
 
-// NewScriptedEndpoint starts an endpoint that delivers each accepted connection to conns, which several endpoints may
-// share. It stops at the end of the test.
+// NewScriptedEndpoint starts an endpoint that sends each accepted connection to conns. Several endpoints may share conns. The
+// endpoint stops at the end of the test.
 func NewScriptedEndpoint(t T, id string, conns chan *Peer) *ScriptedEndpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", loopback)
