--- a/features/catalog_steps_test.go
+++ b/features/catalog_steps_test.go
@@ -11,7 +11,7 @@
 	"github.com/cucumber/godog"
 )
 
-// catalogGiven are the steps that change the inputs of a catalog, without a fleet.
+// catalogGiven returns the steps that change the inputs of a catalog in scenarios without a fleet.
 func catalogGiven(w *world) []step {
 	return []step{
 		{`^the meshes$`, func(t *godog.Table) {
@@ -20,9 +20,9 @@
 			eachRow(t, func(cell func(string) string) {
 				w.draft.Inputs.Meshes = append(w.draft.Inputs.Meshes, catalog.Mesh{
 					Name:        cell("mesh"),
-					Owners:      list(cell("owners")),
-					Precedence:  number(cell("precedence")),
-					MaxServices: number(cell("limit")),
+					Owners:      splitList(cell("owners")),
+					Precedence:  parseNumber(cell("precedence")),
+					MaxServices: parseNumber(cell("limit")),
 				})
 			})
 		}},
@@ -31,9 +31,9 @@
 			eachRow(t, func(cell func(string) string) {
 				service := fleetsim.ServiceOf(mesh, cell("name"), cell("owner"), cell("contract"))
 				service.Origin = cell("origin")
-				service.Via = list(cell("via"))
+				service.Via = splitList(cell("via"))
 				if minutes := cell("drains for"); minutes != "" {
-					service.DrainBy = w.agreedTime + time.Duration(number(minutes))*time.Minute
+					service.DrainBy = w.agreedTime + time.Duration(parseNumber(minutes))*time.Minute
 				}
 				services = append(services, service)
 			})
@@ -64,15 +64,15 @@
 			w.draft.Inputs.Lost = slices.DeleteFunc(w.draft.Inputs.Lost, func(l catalog.Loss) bool { return l.Mesh == mesh })
 			w.inputsChanged = true
 		}},
-		{`^(\d+) minutes pass$`, func(n int) { w.pass(time.Duration(n) * time.Minute) }},
-		{`^the catalog is merged$`, func() { w.merged() }},
+		{`^(\d+) minutes pass$`, func(n int) { w.advanceAgreedTime(time.Duration(n) * time.Minute) }},
+		{`^the catalog is merged$`, func() { w.mergedCatalog() }},
 	}
 }
 
-// catalogThen are the expectations of the merged catalog.
+// catalogThen returns the expectations about the merged catalog.
 func catalogThen(w *world) []step {
 	resolve := func(name string) (*catalog.Entry, error) {
-		entry, ok := w.merged().Resolve(name)
+		entry, ok := w.mergedCatalog().Resolve(name)
 		if !ok {
 			return nil, fmt.Errorf("%q does not resolve: %s", name, w.state.Explain(name))
 		}
@@ -89,13 +89,13 @@
 				at = append(at, provider.Mesh)
 			}
 			if entry.Owner != owner || strings.Join(at, ", ") != providers || cause != "" && entry.Cause != cause {
-				return fmt.Errorf("it is %s's at %v by %q: %s", entry.Owner, at, entry.Cause, w.state.Explain(name))
+				return fmt.Errorf("it resolves to %s's service at %v by %q: %s", entry.Owner, at, entry.Cause, w.state.Explain(name))
 			}
 			return nil
 		}},
 		{`^"(.*)" does not resolve$`, func(name string) error {
-			if entry, ok := w.merged().Resolve(name); ok {
-				return fmt.Errorf("it is %s's by %q", entry.Owner, entry.Cause)
+			if entry, ok := w.mergedCatalog().Resolve(name); ok {
+				return fmt.Errorf("it resolves to %s's service by %q", entry.Owner, entry.Cause)
 			}
 			return nil
 		}},
@@ -108,24 +108,24 @@
 		}},
 		{`^(\d+) of (\w+)' services are in the catalog$`, func(want int, mesh string) error {
 			count := 0
-			for _, entry := range w.merged().Entries {
+			for _, entry := range w.mergedCatalog().Entries {
 				if entry.Status == catalog.StatusHeld && !strings.Contains(entry.Name, ".") && entry.Providers[0].Mesh == mesh {
 					count++
 				}
 			}
 			if count != want {
-				return fmt.Errorf("%d are", count)
+				return fmt.Errorf("the catalog contains %d", count)
 			}
 			return nil
 		}},
-		{`^there is a finding "(.*)" about "(\w+)"$`, w.hasFinding},
+		{`^there is a finding "(.*)" about "(\w+)"$`, w.checkFinding},
 		{`^there is no finding about "(.*)"$`, func(name string) error {
-			w.merged()
+			w.mergedCatalog()
 			if slices.ContainsFunc(w.findings, func(f catalog.Finding) bool { return f.Name == name }) {
 				return fmt.Errorf("the findings are %+v", w.findings)
 			}
 			return nil
 		}},
-		{`^the catalog is the same in (\d+) other orders of its inputs$`, w.sameInOrders},
+		{`^the catalog is the same in (\d+) other orders of its inputs$`, w.checkMergeOrders},
 	}
 }
--- a/features/doc.go
+++ b/features/doc.go
@@ -1,4 +1,4 @@
-// Package features describes the behavior of a fleet and of a federation of meshes in Gherkin scenarios, and runs them with
-// godog. The scenarios about fleets run on internal/fleetsim in virtual time; a scenario's name is its seed. It has tests
-// only.
+// Package features contains Gherkin scenarios that describe the behavior of a fleet and of a federation of meshes, and the
+// tests that run them with godog. Scenarios with a fleet run on internal/fleetsim in virtual time. The seed of a scenario is
+// derived from its name.
 package features
--- a/features/features_test.go
+++ b/features/features_test.go
@@ -11,23 +11,23 @@
 	"github.com/cucumber/godog"
 )
 
-// step is a step of scenarios: a regular expression, and the function that godog calls with its submatches.
+// step is a step definition: a regular expression, and the function that godog calls with its submatches.
 type step struct {
 	expression string
 	run        any
 }
 
-// steps are all that scenarios are made of.
+// steps returns all step definitions.
 func steps(w *world) []step {
 	return slices.Concat(fleetGiven(w), fleetWhen(w), catalogGiven(w), publishingWhen(w), expectations(w))
 }
 
-// expectations are the steps that can fail a scenario.
+// expectations returns the step definitions that check a result.
 func expectations(w *world) []step {
 	return slices.Concat(fleetThen(w), catalogThen(w), publishingThen(w))
 }
 
-// initialize gives each scenario a new world. A violation in its fleet fails the scenario, whatever its steps say.
+// initialize creates a new world for each scenario. A scenario also fails if its fleet reports a violation.
 func initialize(scenarios *godog.ScenarioContext) {
 	w := &world{}
 	scenarios.Before(func(ctx context.Context, scenario *godog.Scenario) (context.Context, error) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// runFeatures runs features strictly: an undefined or pending step fails. It returns 0 where all scenarios pass.
+// runFeatures runs features in strict mode, in which an undefined or pending step fails. It returns 0 if all scenarios pass.
 func runFeatures(t *testing.T, out io.Writer, paths []string, features []godog.Feature) int {
 	suite := godog.TestSuite{
 		Name:                "features",
@@ -65,11 +65,11 @@
 
 func TestFeatures(t *testing.T) {
 	if runFeatures(t, io.Discard, []string{"."}, nil) != 0 {
-		t.Error("a scenario fails")
+		t.Error("a scenario failed")
 	}
 }
 
-// Beginnings of scenarios for TestWrongExpectationsFail.
+// First steps of the scenarios of TestWrongExpectationsFail.
 const (
 	fleetScenario = "Feature: f\n Scenario: s\n  Given a fleet of 3 replicas and 2 proxies with an agreement timeout of 2 s and " +
 		"a member timeout of 10 s\n  And the active version routes \"key1\" to \"a\"\n"
@@ -79,7 +79,7 @@
 		"  And the mesh thies publishes \"mail\" of post to the replicas\nAnd 9 s pass\n"
 )
 
-// wrongExpectations are scenarios that must fail.
+// wrongExpectations returns scenarios that must fail because of their last step.
 func wrongExpectations() []string {
 	return []string{
 		fleetScenario + `Then all proxies act on version 2 within 3 s`,
@@ -129,7 +129,8 @@
 	}
 }
 
-// A step that cannot fail would check nothing: each expectation must fail in a scenario where it does not hold.
+// TestWrongExpectationsFail checks that each expectation fails in a scenario where it does not hold. A step that cannot fail
+// would check nothing.
 func TestWrongExpectationsFail(t *testing.T) {
 	wrong := wrongExpectations()
 	expectation := func(scenario string) string {
@@ -140,13 +141,13 @@
 	for _, s := range expectations(w) {
 		expression := regexp.MustCompile(s.expression)
 		if !slices.ContainsFunc(wrong, func(scenario string) bool { return expression.MatchString(expectation(scenario)) }) {
-			t.Errorf("no scenario has a wrong expectation of %s", s.expression)
+			t.Errorf("no scenario checks that %s can fail", s.expression)
 		}
 	}
 	for _, scenario := range wrong {
 		feature := godog.Feature{Name: "wrong.feature", Contents: []byte(scenario)}
 		if runFeatures(nil, io.Discard, nil, []godog.Feature{feature}) == 0 {
-			t.Errorf("%q passes", expectation(scenario))
+			t.Errorf("%q passes, want a failure", expectation(scenario))
 		}
 	}
 }
--- a/features/fleet_steps_test.go
+++ b/features/fleet_steps_test.go
@@ -11,10 +11,10 @@
 	"example.org/micafront/internal/fleetsim"
 )
 
-// within ends a step that may take some time.
+// within is the end of the expression of a step that may wait for its condition.
 const within = `(?: within (\d+) s)?$`
 
-// fleetGiven are the steps that set up a fleet.
+// fleetGiven returns the steps that set up a fleet.
 func fleetGiven(w *world) []step {
 	return []step{
 		{`^a fleet of (\d+) replicas and (\d+) proxies with an agreement timeout of (\d+) s and a member timeout of (\d+) s$`,
@@ -24,24 +24,24 @@
 					MemberTimeout:    time.Duration(member) * time.Second,
 				}}
 				w.firstRoute = route{}
-				return w.build()
+				return w.startFleet()
 			}},
 		{`^a fleet of (\d+) replicas and (\d+) proxies in the zones "(.*)"$`, func(replicas, proxies int, zones string) error {
-			w.config = fleetsim.Config{ReplicaCount: replicas, ProxyCount: proxies, Zones: list(zones)}
-			return w.build()
+			w.config = fleetsim.Config{ReplicaCount: replicas, ProxyCount: proxies, Zones: splitList(zones)}
+			return w.startFleet()
 		}},
 		{`^the active version routes "(.*)" to "(.*)"$`, func(key, pool string) error {
 			w.firstRoute = route{key, pool}
-			return w.build()
+			return w.startFleet()
 		}},
 		{`^clocks that drift by up to (\d+) ppm$`, func(ppm int) error {
 			w.config.Drift = ppm > 0
 			w.config.Terms.ClockDriftPPM = int64(ppm)
-			return w.build()
+			return w.startFleet()
 		}},
 		{`^the lease expiry policy is "(hold|serve)"$`, func(policy string) error {
 			w.config.Terms.OnLeaseExpiry = fleetconfig.LeaseExpiryPolicy(policy)
-			return w.build()
+			return w.startFleet()
 		}},
 		{`^a network that loses (\d+) %, duplicates (\d+) % and delays (\d+) % of the messages by up to (\d+) s$`,
 			func(lost, duplicated, delayed, seconds int) {
@@ -53,32 +53,32 @@
 				link.MaxExtraDelay = time.Duration(seconds) * time.Second
 			}},
 		{`^(p\d+|all proxies) may use (\d+) KiB$`, func(who string, kib int) error {
-			return w.each(who, func(name string) { w.fleet.Proxy(name).SetLimit(uint64(kib) << 10) })
+			return w.forEachProcess(who, func(name string) { w.fleet.Proxy(name).SetLimit(uint64(kib) << 10) })
 		}},
 		{`^the draft has a route "(.*)" of (\d+) keys$`, func(name string, keys int) { w.draft.LargeRoutes[name] = keys }},
 	}
 }
 
-// fleetWhen are the steps of faults and of the operator.
+// fleetWhen returns the steps that inject faults, let time pass or act as the operator.
 func fleetWhen(w *world) []step {
 	return []step{
 		{`^(\d+) s pass$`, func(seconds int) { w.fleet.Run(time.Duration(seconds) * time.Second) }},
 		{`^(.+) is disconnected from (.+)$`, func(a, b string) error { return w.disconnect(a, b, true) }},
 		{`^messages from (.+) to (.+) are lost$`, func(from, to string) error { return w.disconnect(from, to, false) }},
 		{`^the links are restored$`, func() { w.fleet.Network.Heal() }},
-		{`^(.+) crash(?:es)?$`, func(who string) error { return w.each(who, w.fleet.Crash) }},
-		{`^(.+) starts? again$`, func(who string) error { return w.each(who, w.fleet.Start) }},
-		{`^(.+) is paused$`, func(who string) error { return w.each(who, w.fleet.Pause) }},
-		{`^(.+) is resumed$`, func(who string) error { return w.each(who, w.fleet.Resume) }},
+		{`^(.+) crash(?:es)?$`, func(who string) error { return w.forEachProcess(who, w.fleet.Crash) }},
+		{`^(.+) starts? again$`, func(who string) error { return w.forEachProcess(who, w.fleet.Start) }},
+		{`^(.+) is paused$`, func(who string) error { return w.forEachProcess(who, w.fleet.Pause) }},
+		{`^(.+) is resumed$`, func(who string) error { return w.forEachProcess(who, w.fleet.Resume) }},
 		{`^another proxy joins$`, func() { w.fleet.AddProxy() }},
 		{`^another proxy joins that may use (\d+) KiB$`, func(kib int) { w.fleet.AddProxy().SetLimit(uint64(kib) << 10) }},
 		{`^(p\d+) drains$`, func(who string) error {
-			return w.each(who, func(name string) { w.fleet.Proxy(name).Drain(time.Second) })
+			return w.forEachProcess(who, func(name string) { w.fleet.Proxy(name).Drain(time.Second) })
 		}},
 		{`^the operator (proposes|forces) "(.*?)" to "(.*?)"(?: on version (\d+))?(?: under the id "(.*)")?$`,
 			func(verb, key, pool, base, id string) {
 				w.draft.Routes[key] = pool
-				w.propose(fleetconfig.Propose{ID: id, Base: uint64(number(base)), Force: verb == "forces"})
+				w.propose(fleetconfig.Propose{ID: id, Base: uint64(parseNumber(base)), Force: verb == "forces"})
 			}},
 		{`^the operator (proposes|forces) a route "(.*)" of (\d+) keys$`, func(verb, name string, keys int) {
 			w.draft.LargeRoutes[name] = keys
@@ -96,12 +96,12 @@
 	}
 }
 
-// fleetThen are the expectations of a fleet.
+// fleetThen returns the expectations about a fleet.
 func fleetThen(w *world) []step {
 	return slices.Concat(requestThen(w), versionThen(w), proxyThen(w), withdrawalThen(w))
 }
 
-// requestThen are the expectations of the operator's latest request and of the replicas.
+// requestThen returns the expectations about the operator's latest request and the replicas.
 func requestThen(w *world) []step {
 	return []step{
 		{`^the proposal is accepted as version (\d+)` + within, func(n int, limit string) error {
@@ -145,7 +145,7 @@
 	}
 }
 
-// versionThen are the expectations of versions.
+// versionThen returns the expectations about versions.
 func versionThen(w *world) []step {
 	return []step{
 		{`^version (\d+) is active` + within, func(n int, limit string) error {
@@ -162,23 +162,23 @@
 			one, oneOK := state.Version(uint64(a))
 			two, twoOK := state.Version(uint64(b))
 			if !oneOK || !twoOK || one.Digest != two.Digest || a == b {
-				return fmt.Errorf("%d is %q and %d is %q", a, one.Digest, b, two.Digest)
+				return fmt.Errorf("version %d has the digest %q and version %d has %q", a, one.Digest, b, two.Digest)
 			}
 			return nil
 		}},
 		{`^contradicting versions were acted on for at most (\d+) s$`, func(seconds int) error {
-			const minActs = 100 // fewer show nothing
+			const minActs = 100 // with fewer acts the check would prove nothing
 			overlaps := w.fleet.Overlaps()
 			limit := time.Duration(seconds) * time.Second
 			if w.fleet.Acts() < minActs || len(overlaps) > 0 && overlaps[len(overlaps)-1] > limit {
-				return fmt.Errorf("%d acts, and contradictions of %s", w.fleet.Acts(), overlaps)
+				return fmt.Errorf("%d acts, with contradictions that lasted %s", w.fleet.Acts(), overlaps)
 			}
 			return nil
 		}},
 	}
 }
 
-// leaseStates are the states of a LeaseClient by their names in scenarios.
+// leaseStates maps the names of lease states in scenarios to the states.
 var leaseStates = map[string]fleetconfig.LeaseState{
 	"starting":     fleetconfig.Starting,
 	"leased":       fleetconfig.Leased,
@@ -188,12 +188,12 @@
 	"draining":     fleetconfig.Draining,
 }
 
-// proxyThen are the expectations of proxies.
+// proxyThen returns the expectations about proxies.
 func proxyThen(w *world) []step {
 	return []step{
 		{`^(p\d+|all proxies) acts? on version (\d+)` + within, func(who string, n int, limit string) error {
 			return w.await(limit, func() bool {
-				return w.all(who, func(p *fleetsim.Proxy) bool {
+				return w.allProxiesSatisfy(who, func(p *fleetsim.Proxy) bool {
 					leased := p.Status().State == fleetconfig.Leased
 					return p.ActiveVersion() == uint64(n) && (leased || who != allProxies)
 				})
@@ -233,15 +233,15 @@
 		}},
 		{`^"(.*)" resolves alike at all proxies$`, func(name string) error {
 			first := w.fleet.Proxies[0].Resolve(name)
-			if first == "" || !w.all(allProxies, func(p *fleetsim.Proxy) bool { return p.Resolve(name) == first }) {
-				return fmt.Errorf("%q at p1, and something else at another proxy", first)
+			if first == "" || !w.allProxiesSatisfy(allProxies, func(p *fleetsim.Proxy) bool { return p.Resolve(name) == first }) {
+				return fmt.Errorf("p1 resolves to %q, and another proxy to something else", first)
 			}
 			return nil
 		}},
 	}
 }
 
-// withdrawalThen are the expectations of the withdrawal of the latest proposal.
+// withdrawalThen returns the expectations about the withdrawal of the latest proposal.
 func withdrawalThen(w *world) []step {
 	return []step{
 		{`^the withdrawal names (p\d+) with a limit of (\d+) KiB and an estimate above it$`, func(who string, kib int) error {
--- a/features/publishing_steps_test.go
+++ b/features/publishing_steps_test.go
@@ -13,7 +13,7 @@
 	"github.com/cucumber/godog"
 )
 
-// resolvesAny reports whether a proxy resolves one of some names, to a service of the owner unless that is empty.
+// resolvesAny reports whether a proxy resolves at least one of the names. Unless owner is empty, the service must belong to it.
 func resolvesAny(p *fleetsim.Proxy, owner string, names ...string) bool {
 	state := p.Catalog()
 	return state != nil && slices.ContainsFunc(names, func(name string) bool {
@@ -22,12 +22,12 @@
 	})
 }
 
-// isLost reports whether the control plane has a mesh marked lost.
+// isLost reports whether the control plane has marked a mesh as lost.
 func (w *world) isLost(mesh string) bool {
 	return slices.ContainsFunc(w.fleet.Federation().Inputs().Lost, func(l catalog.Loss) bool { return l.Mesh == mesh })
 }
 
-// publishingWhen are the steps of meshes that publish to a fleet's control plane.
+// publishingWhen returns the steps in which meshes publish to the control plane of a fleet.
 func publishingWhen(w *world) []step {
 	return []step{
 		{`^the federation has the meshes$`, func(t *godog.Table) error {
@@ -35,8 +35,8 @@
 			eachRow(t, func(cell func(string) string) {
 				meshes = append(meshes, catalog.Mesh{
 					Name:       cell("mesh"),
-					Owners:     list(cell("owners")),
-					Precedence: number(cell("precedence")),
+					Owners:     splitList(cell("owners")),
+					Precedence: parseNumber(cell("precedence")),
 				})
 				w.fleet.AddMesh(cell("mesh"))
 			})
@@ -46,7 +46,7 @@
 		}},
 		{`^the mesh (\w+) publishes "(.*)" of (\w+) to the replicas$`, func(mesh, names, owner string) {
 			var services []catalog.Service
-			for _, name := range list(names) {
+			for _, name := range splitList(names) {
 				services = append(services, fleetsim.ServiceOf(mesh, name, owner, name+" of "+owner))
 			}
 			w.fleet.Mesh(mesh).Publish(services...)
@@ -60,7 +60,7 @@
 	}
 }
 
-// publishingThen are the expectations of published services.
+// publishingThen returns the expectations about published services.
 func publishingThen(w *world) []step {
 	return []step{
 		{`^the publication of (\w+) is accepted` + within, func(mesh, limit string) error {
@@ -68,27 +68,27 @@
 		}},
 		{`^all proxies resolve "([^"]*)" to (\w+)'s service` + within, func(name, owner, limit string) error {
 			return w.await(limit, func() bool {
-				return w.all(allProxies, func(p *fleetsim.Proxy) bool { return resolvesAny(p, owner, name) })
+				return w.allProxiesSatisfy(allProxies, func(p *fleetsim.Proxy) bool { return resolvesAny(p, owner, name) })
 			}, "%q is %s's", name, owner)
 		}},
 		{`^all proxies resolve "([^"]*)" or "([^"]*)"` + within, func(a, b, limit string) error {
 			return w.await(limit, func() bool {
-				return w.all(allProxies, func(p *fleetsim.Proxy) bool { return resolvesAny(p, "", a, b) })
+				return w.allProxiesSatisfy(allProxies, func(p *fleetsim.Proxy) bool { return resolvesAny(p, "", a, b) })
 			}, "%q or %q resolves", a, b)
 		}},
 		{`^no proxy resolves "(.*)"$`, func(name string) error {
-			if !w.all(allProxies, func(p *fleetsim.Proxy) bool { return !resolvesAny(p, "", name) }) {
-				return errors.New("a proxy does")
+			if !w.allProxiesSatisfy(allProxies, func(p *fleetsim.Proxy) bool { return !resolvesAny(p, "", name) }) {
+				return errors.New("a proxy resolves it")
 			}
 			return nil
 		}},
-		{`^every name resolves alike at all proxies$`, w.namesResolveAlike},
+		{`^every name resolves alike at all proxies$`, w.checkNamesResolveAlike},
 		{`^the mesh (\w+) is lost` + within, func(mesh, limit string) error {
 			return w.await(limit, func() bool { return w.isLost(mesh) }, "%s is lost", mesh)
 		}},
 		{`^the mesh (\w+) is not lost$`, func(mesh string) error {
 			if w.isLost(mesh) {
-				return errors.New("it is")
+				return errors.New("it is lost")
 			}
 			return nil
 		}},
@@ -102,14 +102,14 @@
 	}
 }
 
-// namesResolveAlike fails where two proxies resolve a name of the active version to different entries.
-func (w *world) namesResolveAlike() error {
+// checkNamesResolveAlike returns an error if two proxies resolve a name of the active version to different entries.
+func (w *world) checkNamesResolveAlike() error {
 	const limit = 20 * time.Second
 	if _, ok := w.fleet.Until(limit, w.fleet.Settled); !ok {
 		return fmt.Errorf("the fleet does not settle: %s", w.fleet.Describe())
 	}
 	var first string
-	alike := w.all(allProxies, func(p *fleetsim.Proxy) bool {
+	alike := w.allProxiesSatisfy(allProxies, func(p *fleetsim.Proxy) bool {
 		state := p.Catalog()
 		if state == nil {
 			return false
--- a/features/world_test.go
+++ b/features/world_test.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	allProxies    = "all proxies" // those that run and do not drain
+	allProxies    = "all proxies" // the proxies that run and are not draining
 	operatorName  = "staff"
-	withdrawnStep = "withdrawn" // of fleetconfig.HistoryEntry
+	withdrawnStep = "withdrawn" // value of fleetconfig.HistoryEntry.Step
 )
 
-// The load of every fleet, and how long it may take to start.
+// The load of each fleet, and how long it runs before the first step.
 const (
-	loadInterval  = 50 * time.Millisecond // between connections at a proxy, on average
+	loadInterval  = 50 * time.Millisecond // average time between connections at a proxy
 	loadKeys      = 4
-	startTime     = 3 * time.Second // without a first version
-	maxSettleTime = 8 * time.Second // with a first version
+	startupTime   = 3 * time.Second // run time without a first version
+	maxSettleTime = 8 * time.Second // time limit with a first version
 )
 
 // route is a key and the pool or service that it is sent to.
 type route struct{ key, pool string }
 
-// world is what the steps of a scenario share.
+// world is the state that the steps of a scenario share.
 type world struct {
 	seed       uint64
 	config     fleetsim.Config
-	fleet      *fleetsim.Fleet   // nil: the scenario has none
-	draft      fleetsim.Draft    // of the operator's next version, or the inputs of a catalog
-	firstRoute route             // of the first version; empty: no version at the start
-	request    *fleetsim.Request // the operator's latest
-	lastLeader string            // the replica that "the leader" meant last
+	fleet      *fleetsim.Fleet   // nil if the scenario has no fleet
+	draft      fleetsim.Draft    // the operator's next version, or the inputs of a catalog
+	firstRoute route             // route of the first version; empty: no first version
+	request    *fleetsim.Request // the operator's latest request
+	lastLeader string            // name of the replica to which "the leader" last referred
 
-	// A catalog that is merged without a fleet, from the draft's inputs.
+	// The catalog of a scenario without a fleet, which is merged from the draft's inputs.
 	agreedTime    time.Duration
 	previous      *catalog.State
 	state         *catalog.State
@@ -54,7 +54,7 @@
 	inputsChanged bool // since the last merge
 }
 
-// newWorld returns the world of a scenario, whose name is its seed.
+// newWorld returns the world of a scenario. The seed is a hash of the scenario's name.
 func newWorld(scenario string) *world {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(scenario)) // never fails
@@ -65,15 +65,15 @@
 	}
 }
 
-// build makes the fleet anew, as the given steps so far describe it, with the first route active, if there is one.
-func (w *world) build() error {
+// startFleet replaces the fleet with one of the current configuration, and waits until the first route, if any, is active.
+func (w *world) startFleet() error {
 	w.config.Seed = w.seed
 	w.config.LoadInterval = loadInterval
 	w.config.Keys = loadKeys
 	w.fleet = fleetsim.New(w.config)
 	w.draft.Terms = w.fleet.Terms
 	if w.firstRoute == (route{}) {
-		w.fleet.Run(startTime)
+		w.fleet.Run(startupTime)
 		return nil
 	}
 	w.draft.Routes = map[string]string{w.firstRoute.key: w.firstRoute.pool}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// propose submits a proposal, with the draft on top of the active version unless it is a rollback.
+// propose submits a proposal. Unless it is a rollback, its body is the draft applied to the active version.
 func (w *world) propose(p fleetconfig.Propose) {
 	var base *fleetconfig.Version
 	if active := w.fleet.Active(); active.Number > 0 {
@@ -96,17 +96,17 @@
 	w.request = w.fleet.Submit(fleetconfig.Command{Propose: &p})
 }
 
-// await waits until a condition holds, for at most a number of seconds; empty: it must hold now.
+// await waits until a condition holds, for at most the given number of seconds. If seconds is empty, it must hold now.
 func (w *world) await(seconds string, condition func() bool, format string, args ...any) error {
-	limit := time.Duration(number(seconds)) * time.Second
+	limit := time.Duration(parseNumber(seconds)) * time.Second
 	if _, ok := w.fleet.Until(limit, condition); ok {
 		return nil
 	}
 	return fmt.Errorf("not within %s: %s; %s", limit, fmt.Sprintf(format, args...), w.fleet.Describe())
 }
 
-// processes are the names of the processes that an expression of a scenario means.
-func (w *world) processes(expression string) ([]string, error) {
+// processNames returns the names of the processes to which an expression in a scenario refers.
+func (w *world) processNames(expression string) ([]string, error) {
 	var names []string
 	switch expression {
 	case "the leader":
@@ -141,36 +141,36 @@
 	return names, nil
 }
 
-// each calls a function for each process that an expression means.
-func (w *world) each(expression string, do func(name string)) error {
-	names, err := w.processes(expression)
+// forEachProcess calls a function for each process to which an expression refers.
+func (w *world) forEachProcess(expression string, do func(name string)) error {
+	names, err := w.processNames(expression)
 	for _, name := range names {
 		do(name)
 	}
 	return err
 }
 
-// all reports whether a condition holds for all proxies that an expression means.
-func (w *world) all(expression string, condition func(*fleetsim.Proxy) bool) bool {
-	names, err := w.processes(expression)
+// allProxiesSatisfy reports whether a condition holds for all proxies to which an expression refers.
+func (w *world) allProxiesSatisfy(expression string, condition func(*fleetsim.Proxy) bool) bool {
+	names, err := w.processNames(expression)
 	return err == nil && len(names) > 0 && !slices.ContainsFunc(names, func(name string) bool {
 		p := w.fleet.Proxy(name)
 		return p == nil || !condition(p)
 	})
 }
 
-// disconnect disconnects the links between the processes of two expressions, with back in both directions.
+// disconnect disconnects the links from one group of processes to another, and with back also in the opposite direction.
 func (w *world) disconnect(from, to string, back bool) error {
-	fromNames, err := w.processes(from)
+	fromNames, err := w.processNames(from)
 	if err != nil {
 		return err
 	}
-	toNames, err := w.processes(to)
+	toNames, err := w.processNames(to)
 	w.fleet.Disconnect(fromNames, toNames, back)
 	return err
 }
 
-// withdrawal is the history entry of a withdrawn version at the leader.
+// withdrawal returns the leader's history entry for the withdrawal of a version.
 func (w *world) withdrawal(version uint64) (fleetconfig.HistoryEntry, bool) {
 	leader := w.fleet.Leader()
 	if leader == nil {
@@ -184,17 +184,17 @@
 	return fleetconfig.HistoryEntry{}, false
 }
 
-// lastWithdrawal is the withdrawal of the latest proposal, for rejections of nodes.
+// lastWithdrawal returns the withdrawal of the latest proposal. It must name rejections by nodes.
 func (w *world) lastWithdrawal() (fleetconfig.HistoryEntry, error) {
 	version := w.request.Answer.Number
 	entry, ok := w.withdrawal(version)
 	if !ok || len(entry.Rejections) == 0 {
-		return entry, fmt.Errorf("version %d was not withdrawn for a rejection", version)
+		return entry, fmt.Errorf("version %d was not withdrawn because of a rejection", version)
 	}
 	return entry, nil
 }
 
-// rejectedWith reports whether the latest request was rejected with an error of a kind, and with its resolution.
+// rejectedWith reports whether the latest request was rejected with an error of the named kind and with its resolution.
 func (w *world) rejectedWith(kind string) bool {
 	resolutions := apperror.Resolutions(w.request.Answer.Err)
 	return slices.ContainsFunc(apperror.Kinds(), func(k *apperror.Kind) bool {
@@ -202,7 +202,8 @@
 	})
 }
 
-// eachRow calls a function for each row of a table, with the cells by the names of the columns. A missing column is empty.
+// eachRow calls a function for each row of a table. cell returns the cell of a column by the column's name, or "" if the table
+// lacks the column.
 func eachRow(t *godog.Table, row func(cell func(column string) string)) {
 	columns := map[string]int{}
 	for i, cell := range t.Rows[0].Cells {
@@ -218,8 +219,8 @@
 	}
 }
 
-// list splits a comma-separated list.
-func list(text string) []string {
+// splitList splits a comma-separated list. It trims the items and omits empty ones.
+func splitList(text string) []string {
 	var items []string
 	for _, item := range strings.Split(text, ",") {
 		if item = strings.TrimSpace(item); item != "" {
@@ -229,14 +230,14 @@
 	return items
 }
 
-// number parses a number that a step's expression or a table has; empty: 0. It panics where it is none, which fails the scenario.
-func number(text string) int {
+// parseNumber parses a number from a step or a table. An empty text is 0. An invalid number panics, which fails the scenario.
+func parseNumber(text string) int {
 	if text == "" {
 		return 0
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		panic(fmt.Sprintf("a scenario has %q for a number: %v", text, err))
+		panic(fmt.Sprintf("a scenario contains %q instead of a number: %v", text, err))
 	}
 	return n
 }
@@ -247,7 +248,7 @@
 	publication.Services = services
 	publication.Seq++
 	if epoch != "" {
-		publication.Epoch = uint64(number(epoch))
+		publication.Epoch = uint64(parseNumber(epoch))
 	}
 	publications := slices.DeleteFunc(slices.Clone(w.draft.Inputs.Publications),
 		func(p catalog.Publication) bool { return p.Mesh == mesh })
@@ -256,7 +257,7 @@
 	w.inputsChanged = true
 }
 
-// publication is what a mesh publishes.
+// publication returns the current publication of a mesh.
 func (w *world) publication(mesh string) catalog.Publication {
 	for _, p := range w.draft.Inputs.Publications {
 		if p.Mesh == mesh {
@@ -266,8 +267,8 @@
 	return catalog.Publication{Mesh: mesh, Epoch: 1}
 }
 
-// merged is the catalog of the present inputs.
-func (w *world) merged() *catalog.State {
+// mergedCatalog returns the catalog of the current inputs. It merges them only if they have changed.
+func (w *world) mergedCatalog() *catalog.State {
 	if w.inputsChanged {
 		w.previous = w.state
 		w.inputsChanged = false
@@ -276,19 +277,20 @@
 	return w.state
 }
 
-// pass lets agreed time pass. The catalog is merged before and after.
-func (w *world) pass(d time.Duration) {
-	w.merged()
+// advanceAgreedTime merges the catalog, advances the agreed time, and marks the inputs as changed for the next merge.
+func (w *world) advanceAgreedTime(d time.Duration) {
+	w.mergedCatalog()
 	w.agreedTime += d
 	w.inputsChanged = true
 }
 
-// sameInOrders merges the inputs again in random orders, some of them twice, and fails where that gives another catalog.
-func (w *world) sameInOrders(times int) error {
+// checkMergeOrders merges the inputs again in random orders, with some of them twice. It returns an error if a merge produces a
+// different catalog.
+func (w *world) checkMergeOrders(times int) error {
 	if times == 0 {
-		return errors.New("no order was tried")
+		return errors.New("the number of orders must not be 0")
 	}
-	want, err := json.Marshal(w.merged())
+	want, err := json.Marshal(w.mergedCatalog())
 	if err != nil {
 		return err
 	}
@@ -306,21 +308,22 @@
 			return err
 		}
 		if !bytes.Equal(got, want) {
-			return fmt.Errorf("in another order it is %s, not %s", got, want)
+			return fmt.Errorf("the catalog in another order is %s, want %s", got, want)
 		}
 	}
 	return nil
 }
 
-// hasFinding fails where the merged catalog has no finding of a kind, with a text and a resolution, about a name or a mesh.
-func (w *world) hasFinding(kind, subject string) error {
-	w.merged()
+// checkFinding returns an error unless the merged catalog has a finding of a kind, with a text and a resolution, about a name
+// or a mesh.
+func (w *world) checkFinding(kind, subject string) error {
+	w.mergedCatalog()
 	for _, finding := range w.findings {
 		if finding.Kind != kind || finding.Name != subject && finding.Mesh != subject {
 			continue
 		}
 		if finding.Resolution == "" || finding.Text == "" {
-			return fmt.Errorf("it has no text or no resolution: %+v", finding)
+			return fmt.Errorf("the finding lacks a text or a resolution: %+v", finding)
 		}
 		return nil
 	}
