--- a/internal/testing/fleettest/clients.go
+++ b/internal/testing/fleettest/clients.go
@@ -38,7 +38,7 @@
 	Proxy     string
 	Word      string        // UP, BUSY or ERR
 	Contested bool          // the request was of the contested class
-	Took      time.Duration // from the dial to the answer
+	Latency   time.Duration // from the dial to the answer
 }
 
 // lostRequest is a request whose connection ended without an answer.
@@ -149,7 +149,7 @@
 func (f *Fleet) AwaitAnswers(proxy *Proxy, count int) error {
 	ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
 	defer cancel()
-	for ; f.answerCount(proxy) < count; pause(ctx, countDelay) {
+	for ; f.answerCount(proxy) < count; pause(ctx, localPollInterval) {
 		if ctx.Err() != nil {
 			return fmt.Errorf("%s has answered %d requests, never %d: %w", proxy.Name, f.answerCount(proxy), count, ctx.Err())
 		}
--- a/internal/testing/fleettest/cpu.go
+++ b/internal/testing/fleettest/cpu.go
@@ -16,8 +16,8 @@
 	clockTicksPerSecond = 100
 	// stealField is the index of the steal time in the first line of /proc/stat.
 	stealField = 8
-	// minWait is the shortest wait between two samples that is recorded.
-	minWait = time.Millisecond
+	// minRecordedWait is the shortest wait between two samples that is recorded.
+	minRecordedWait = time.Millisecond
 )
 
 // isStopped reports whether the kernel has stopped a process. One that does not exist counts as stopped.
@@ -52,7 +52,7 @@
 		p.runQueueWait[id] = total
 	}
 	now := time.Now()
-	if waiting > minWait {
+	if waiting > minRecordedWait {
 		p.suspended.add(interval{p.sampledAt, now, min(waiting, now.Sub(p.sampledAt))})
 	}
 	p.sampledAt = now
--- a/internal/testing/fleettest/endpoint_lists.go
+++ b/internal/testing/fleettest/endpoint_lists.go
@@ -91,7 +91,7 @@
 		ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
 		defer cancel()
 		got := ""
-		for ; ctx.Err() == nil; pause(ctx, pollDelay) {
+		for ; ctx.Err() == nil; pause(ctx, pollInterval) {
 			var err error
 			if got, err = f.metric(ctx, proxy, name); err != nil {
 				got = err.Error()
--- a/internal/testing/fleettest/endpoint_lists_test.go
+++ b/internal/testing/fleettest/endpoint_lists_test.go
@@ -10,7 +10,7 @@
 // Replicas that follow service discovery give all proxies its list, and are the only ones that call it. While they are down
 // the proxies ask it themselves, and they return once the replicas are up.
 func TestReplicasServeEndpointLists(t *testing.T) {
-	fleet := start(t, 20, 3, func(options *Options) { options.ReplicasServeLists = true })
+	fleet := startFleet(t, 20, 3, func(options *Options) { options.ReplicasServeLists = true })
 	calls := func() (proxies, replicas int) {
 		fleet.discovery.mu.Lock()
 		defer fleet.discovery.mu.Unlock()
@@ -60,7 +60,7 @@
 	number, err := fleet.Propose()
 	must(t, err)
 	must(t, fleet.AwaitActiveAt(number, all))
-	must(t, fleet.AwaitLineOf(number))
+	must(t, fleet.AwaitRequestLine(number))
 	findings := checkFindings(t, fleet)
 	t.Logf("%d requests to service discovery by proxies, %d in the busiest second; %d by replicas, %d", findings.DiscoveryCalls,
 		findings.DiscoveryPeak, findings.ReplicaCalls,
--- a/internal/testing/fleettest/endpoints.go
+++ b/internal/testing/fleettest/endpoints.go
@@ -40,17 +40,17 @@
 	if e.server != nil {
 		return nil
 	}
-	cost := f.ConnectionCost
+	cost := f.ConnSetupTime
 	if time.Since(started) < f.WarmUpTime {
-		cost *= coldCostFactor
+		cost *= coldSetupFactor
 	}
-	server, err := fakes.NewEndpoint(e.Entry, f.attempts, maxConnsPerEndpoint, cost)
+	server, err := fakes.NewEndpoint(e.Entry, f.attemptChecker, maxConnsPerEndpoint, cost)
 	if err != nil {
 		return err
 	}
 	e.server = server
 	e.StartedAt = started
-	time.AfterFunc(f.WarmUpTime, func() { server.SetSetupTime(f.ConnectionCost) })
+	time.AfterFunc(f.WarmUpTime, func() { server.SetSetupTime(f.ConnSetupTime) })
 	f.retarget(e.ID, server.Addr)
 	f.discovery.set(e.Entry)
 	return nil
--- a/internal/testing/fleettest/faults.go
+++ b/internal/testing/fleettest/faults.go
@@ -105,12 +105,12 @@
 
 func killProxy(f *Fleet, target int) (func() error, error) {
 	proxy := f.Proxies[target]
-	return func() error { return f.Restart(proxy) }, proxy.Kill(f.ctx)
+	return func() error { return f.RestartProxy(proxy) }, proxy.Kill(f.ctx)
 }
 
 func stopProxy(f *Fleet, target int) (func() error, error) {
 	proxy := f.Proxies[target]
-	return func() error { return f.Restart(proxy) }, proxy.Stop(f.ctx)
+	return func() error { return f.RestartProxy(proxy) }, proxy.Stop(f.ctx)
 }
 
 func pauseProxy(f *Fleet, target int) (func() error, error) {
--- a/internal/testing/fleettest/findings.go
+++ b/internal/testing/fleettest/findings.go
@@ -87,10 +87,10 @@
 
 // addAnswers adds the answers to the clients' requests, and the requests without exactly one.
 func (f *Fleet) addAnswers(findings *Findings) {
-	findings.Tally = f.answers.Counts()
+	findings.Tally = f.answerChecker.Counts()
 	unanswered := f.clients.unanswered()
 	findings.Violations = append(findings.Violations, unanswered...)
-	findings.Violations = append(findings.Violations, f.answers.Violations()...)
+	findings.Violations = append(findings.Violations, f.answerChecker.Violations()...)
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
 	findings.Answers = slices.Clone(f.clients.answers)
--- a/internal/testing/fleettest/fleet.go
+++ b/internal/testing/fleettest/fleet.go
@@ -26,16 +26,16 @@
 	Proxies  []*Proxy
 	Replicas []*Replica
 
-	ctx         context.Context
-	cancel      context.CancelFunc
-	startedAt   time.Time
-	answers     *fakes.ProtocolChecker // of the clients
-	attempts    *fakes.ProtocolChecker // of the endpoints
-	discovery   *discovery
-	endpoints   []*endpoint
-	clients     *clientPool
-	stopClients context.CancelFunc // nil: no client has been started
-	sampler     sync.WaitGroup     // the goroutine of sampleProcesses, until the context ends
+	ctx            context.Context
+	cancel         context.CancelFunc
+	startedAt      time.Time
+	answerChecker  *fakes.ProtocolChecker // of the clients
+	attemptChecker *fakes.ProtocolChecker // of the endpoints
+	discovery      *discovery
+	endpoints      []*endpoint
+	clients        *clientPool
+	stopClients    context.CancelFunc // nil: no client has been started
+	sampler        sync.WaitGroup     // the goroutine of sampleProcesses, until the context ends
 
 	mu            sync.Mutex
 	linksByTarget map[string][]faultinject.Link // by the name of the target
@@ -52,15 +52,15 @@
 		return nil, err
 	}
 	fleet := &Fleet{
-		Options:       options,
-		startedAt:     time.Now(),
-		answers:       fakes.NewProtocolChecker(),
-		attempts:      fakes.NewProtocolChecker(),
-		linksByTarget: map[string][]faultinject.Link{},
+		Options:        options,
+		startedAt:      time.Now(),
+		answerChecker:  fakes.NewProtocolChecker(),
+		attemptChecker: fakes.NewProtocolChecker(),
+		linksByTarget:  map[string][]faultinject.Link{},
 	}
 	fleet.ctx, fleet.cancel = context.WithCancel(ctx)
 	fleet.Network = faultinject.New(fleet.ctx, options.Seed)
-	fleet.clients = &clientPool{checker: fleet.answers, interval: options.RequestInterval, answersByProxy: map[string]int{}}
+	fleet.clients = &clientPool{checker: fleet.answerChecker, interval: options.RequestInterval, answersByProxy: map[string]int{}}
 	if err := fleet.start(); err != nil {
 		return nil, errors.Join(err, fleet.Close())
 	}
@@ -117,12 +117,12 @@
 func (f *Fleet) forEachProxy(proxies []*Proxy, do func(*Proxy) error) error {
 	var wg sync.WaitGroup
 	errs := make([]error, len(proxies))
-	slots := make(chan struct{}, maxParallelProxies)
+	semaphore := make(chan struct{}, maxParallelProxies)
 	for i, proxy := range proxies {
 		wg.Go(func() {
-			slots <- struct{}{}
+			semaphore <- struct{}{}
 			errs[i] = do(proxy)
-			<-slots
+			<-semaphore
 		})
 	}
 	wg.Wait()
--- a/internal/testing/fleettest/fleet_test.go
+++ b/internal/testing/fleettest/fleet_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// start starts a fleet that ends with the test.
-func start(t *testing.T, proxies, replicas int, change ...func(*Options)) *Fleet {
+// startFleet starts a fleet that ends with the test.
+func startFleet(t *testing.T, proxies, replicas int, change ...func(*Options)) *Fleet {
 	t.Helper()
 	paths, err := programs()
 	must(t, err)
@@ -51,7 +51,7 @@
 		ClientsPerProxy:  2,
 		RequestInterval:  50 * time.Millisecond,
 		EndpointsPerPool: 2,
-		ConnectionCost:   time.Millisecond,
+		ConnSetupTime:    time.Millisecond,
 		WarmUpTime:       time.Second,
 		DiscoveryRate:    200,
 		AgreementTimeout: 2 * time.Second,
@@ -102,8 +102,8 @@
 }
 
 var (
-	cut  = faultinject.Fault{Kind: faultinject.Mute}
-	slow = faultinject.Fault{Kind: faultinject.Delay, Duration: 5 * time.Millisecond, Jitter: 20 * time.Millisecond}
+	muteBoth = faultinject.Fault{Kind: faultinject.Mute}
+	delayed  = faultinject.Fault{Kind: faultinject.Delay, Duration: 5 * time.Millisecond, Jitter: 20 * time.Millisecond}
 )
 
 // muteDirection mutes one direction of links.
@@ -113,64 +113,64 @@
 
 // faultCase is a fault under which a version is proposed.
 type faultCase struct {
-	name   string
-	inject func() error
-	repair func() error
-	away   []*Proxy // that may not have the version before the repair
+	name     string
+	inject   func() error
+	repair   func() error
+	affected []*Proxy // that may not have the version before the repair
 	// during replaces the wait, before the repair, until the version is active at all proxies that are not away.
 	during func(version uint64) error
 }
 
-func nothing() error { return nil }
+func noop() error { return nil }
 
-// downCase is a fault that takes down one proxy.
-func downCase(fleet *Fleet, name string, proxy *Proxy, down func(context.Context) error, up func() error) faultCase {
-	return faultCase{name: name, inject: func() error { return down(fleet.ctx) }, repair: up, away: []*Proxy{proxy}}
+// proxyDownCase is a fault that takes down one proxy.
+func proxyDownCase(fleet *Fleet, name string, proxy *Proxy, down func(context.Context) error, up func() error) faultCase {
+	return faultCase{name: name, inject: func() error { return down(fleet.ctx) }, repair: up, affected: []*Proxy{proxy}}
 }
 
-func killed(fleet *Fleet, proxy *Proxy) faultCase {
-	return downCase(fleet, "a proxy is killed", proxy, proxy.Kill, func() error { return fleet.Restart(proxy) })
+func proxyKilledCase(fleet *Fleet, proxy *Proxy) faultCase {
+	return proxyDownCase(fleet, "a proxy is killed", proxy, proxy.Kill, func() error { return fleet.RestartProxy(proxy) })
 }
 
-func stopped(fleet *Fleet, proxy *Proxy) faultCase {
-	return downCase(fleet, "a proxy is stopped", proxy, proxy.Stop, func() error { return fleet.Restart(proxy) })
+func proxyStoppedCase(fleet *Fleet, proxy *Proxy) faultCase {
+	return proxyDownCase(fleet, "a proxy is stopped", proxy, proxy.Stop, func() error { return fleet.RestartProxy(proxy) })
 }
 
-func paused(fleet *Fleet, proxy *Proxy) faultCase {
-	return downCase(fleet, "a proxy pauses", proxy, proxy.Pause, proxy.Resume)
+func proxyPausedCase(fleet *Fleet, proxy *Proxy) faultCase {
+	return proxyDownCase(fleet, "a proxy pauses", proxy, proxy.Pause, proxy.Resume)
 }
 
-// linkCase is a fault of links. It is cleared on all links of a second pattern.
-func linkCase(fleet *Fleet, name, pattern string, fault faultinject.Fault, cleared string, away ...*Proxy) faultCase {
-	return faultCase{name: name, inject: setFault(fleet, pattern, fault), repair: clearFaults(fleet, cleared), away: away}
+// linkFaultCase is a fault of links. It is cleared on all links of a second pattern.
+func linkFaultCase(fleet *Fleet, name, pattern string, fault faultinject.Fault, cleared string, away ...*Proxy) faultCase {
+	return faultCase{name: name, inject: setFault(fleet, pattern, fault), repair: clearFaults(fleet, cleared), affected: away}
 }
 
 // Without a control plane nothing bounds for how long proxies act on conflicting versions. Each request has one answer all the
 // same, whatever happens to service discovery, links and processes.
 func TestProxiesWithoutControlPlane(t *testing.T) {
-	fleet := start(t, 10, 0)
+	fleet := startFleet(t, 10, 0)
 	halfLine := faultinject.Fault{Kind: faultinject.HalfEnd, Direction: faultinject.Down, Offset: 2}
 	for _, test := range []faultCase{
-		{name: "discovery restarts", inject: fleet.RestartDiscovery, repair: nothing},
-		linkCase(fleet, "discovery is cut off", "proxy*/discovery", cut, "proxy*/discovery"),
-		linkCase(fleet, "links to endpoints drop", "proxy[1-3]/s-?1", cut, "proxy*/s-*"),
-		linkCase(fleet, "half a line from endpoints", "proxy*/s-?2", halfLine, "*/*"),
+		{name: "discovery restarts", inject: fleet.RestartDiscovery, repair: noop},
+		linkFaultCase(fleet, "discovery is cut off", "proxy*/discovery", muteBoth, "proxy*/discovery"),
+		linkFaultCase(fleet, "links to endpoints drop", "proxy[1-3]/s-?1", muteBoth, "proxy*/s-*"),
+		linkFaultCase(fleet, "half a line from endpoints", "proxy*/s-?2", halfLine, "*/*"),
 		{
 			name:   "an endpoint stops",
 			inject: func() error { return fleet.StopEndpoint(0) },
 			repair: func() error { return fleet.StartEndpoint(0) },
 		},
-		paused(fleet, fleet.Proxies[0]),
-		killed(fleet, fleet.Proxies[1]),
-		stopped(fleet, fleet.Proxies[2]),
+		proxyPausedCase(fleet, fleet.Proxies[0]),
+		proxyKilledCase(fleet, fleet.Proxies[1]),
+		proxyStoppedCase(fleet, fleet.Proxies[2]),
 	} {
-		unaffected := fleet.ProxiesExcept(test.away...)
+		unaffected := fleet.ProxiesExcept(test.affected...)
 		must(t, test.inject())
 		before := fleet.answerCount(unaffected[0])
-		number, err := fleet.Propose(test.away...)
+		number, err := fleet.Propose(test.affected...)
 		must(t, err)
 		must(t, fleet.AwaitActiveAt(number, unaffected))
-		must(t, fleet.AwaitLineOf(number))
+		must(t, fleet.AwaitRequestLine(number))
 		must(t, fleet.AwaitAnswers(unaffected[0], before+20))
 		must(t, test.repair())
 		for _, proxy := range fleet.Proxies {
@@ -188,7 +188,7 @@
 // Under each fault a version is proposed, becomes active and, once the fault is over, is active everywhere. At no time do two
 // proxies act on conflicting versions for longer than the agreement timeout.
 func TestFleetAgreesUnderFaults(t *testing.T) {
-	fleet := start(t, 20, 3)
+	fleet := startFleet(t, 20, 3)
 	for _, test := range append(controlPlaneFaults(fleet), leaseFaults(fleet)...) {
 		start := time.Now()
 		must(t, test.inject())
@@ -197,17 +197,17 @@
 		if test.during != nil {
 			must(t, test.during(number))
 		} else {
-			must(t, fleet.AwaitActiveAt(number, fleet.ProxiesExcept(test.away...)))
+			must(t, fleet.AwaitActiveAt(number, fleet.ProxiesExcept(test.affected...)))
 		}
 		must(t, test.repair())
 		must(t, fleet.AwaitActiveAt(number, fleet.Proxies))
-		must(t, fleet.AwaitLineOf(number))
+		must(t, fleet.AwaitRequestLine(number))
 		t.Logf("%s: version %d is active everywhere after %v", test.name, number, time.Since(start).Round(time.Millisecond))
 	}
 	findings := checkFindings(t, fleet)
 	must(t, fleet.VerifyVersions())
 	for _, overlap := range findings.Overlaps {
-		t.Logf("version %d: %d stale lines, the longest overlap %v", overlap.Version, overlap.Lines, overlap.Longest)
+		t.Logf("version %d: %d stale lines, the longest overlap %v", overlap.Version, overlap.StaleLines, overlap.Longest)
 	}
 }
 
@@ -224,13 +224,13 @@
 		}
 	}
 	return []faultCase{
-		{name: "nothing", inject: nothing, repair: nothing},
-		linkCase(fleet, "links to one replica drop", "proxy*/keeper1", cut, "*/keeper1"),
-		linkCase(fleet, "links of one proxy drop", "proxy1/keeper*", cut, "proxy1/*", first),
-		linkCase(fleet, "delays", "*/keeper*", slow, "*/keeper*"),
-		linkCase(fleet, "renewals are lost one way", "proxy2/keeper*", muteDirection(faultinject.Up), "proxy2/*", second),
+		{name: "nothing", inject: noop, repair: noop},
+		linkFaultCase(fleet, "links to one replica drop", "proxy*/keeper1", muteBoth, "*/keeper1"),
+		linkFaultCase(fleet, "links of one proxy drop", "proxy1/keeper*", muteBoth, "proxy1/*", first),
+		linkFaultCase(fleet, "delays", "*/keeper*", delayed, "*/keeper*"),
+		linkFaultCase(fleet, "renewals are lost one way", "proxy2/keeper*", muteDirection(faultinject.Up), "proxy2/*", second),
 		// The replicas receive the proxy's renewals all the while.
-		linkCase(fleet, "leases are lost one way", "proxy2/keeper*", muteDirection(faultinject.Down), "proxy2/*", second),
+		linkFaultCase(fleet, "leases are lost one way", "proxy2/keeper*", muteDirection(faultinject.Down), "proxy2/*", second),
 		{
 			name: "the leader's messages are lost",
 			inject: withLeader(func(replica *Replica) error {
@@ -248,9 +248,9 @@
 			inject: withLeader(func(replica *Replica) error { return replica.Pause(fleet.ctx) }),
 			repair: func() error { return leader.Resume() },
 		},
-		killed(fleet, fleet.Proxies[2]),
-		stopped(fleet, fleet.Proxies[3]),
-		paused(fleet, fleet.Proxies[4]),
+		proxyKilledCase(fleet, fleet.Proxies[2]),
+		proxyStoppedCase(fleet, fleet.Proxies[3]),
+		proxyPausedCase(fleet, fleet.Proxies[4]),
 	}
 }
 
@@ -259,16 +259,16 @@
 func leaseFaults(fleet *Fleet) []faultCase {
 	first, second := fleet.Proxies[0], fleet.Proxies[1]
 	muteAnswers := setFault(fleet, "proxy2/keeper*", muteDirection(faultinject.Down))
-	// acknowledged does something to the first proxy once all proxies but the second have acknowledged, and goes on once the
+	// afterAcknowledgments does something to the first proxy once all proxies but the second have afterAcknowledgments, and goes on once the
 	// version is active. The second proxy gets no answers and blocks the version for MemberTimeout, which must be longer than
 	// the machine needs until then.
-	acknowledged := func(version uint64, do, then func() error) error {
+	afterAcknowledgments := func(version uint64, do, then func() error) error {
 		for _, step := range []func() error{
 			func() error { return fleet.AwaitBlockedBy(version, second.Name) },
 			do,
 			clearFaults(fleet, "proxy2/*"),
 			func() error { return fleet.AwaitActiveAt(version, fleet.ProxiesExcept(first)) },
-			func() error { return fleet.AwaitLineOf(version) },
+			func() error { return fleet.AwaitRequestLine(version) },
 			then,
 		} {
 			if err := step(); err != nil {
@@ -291,24 +291,24 @@
 				fleet.MemberTimeout = fakes.WaitTimeout
 				return nil
 			},
-			repair: nothing,
+			repair: noop,
 		},
 		{
-			name:   "a proxy is cut off once it has acknowledged",
-			inject: muteAnswers,
-			repair: clearFaults(fleet, "proxy1/*"),
-			away:   []*Proxy{first},
+			name:     "a proxy is cut off once it has acknowledged",
+			inject:   muteAnswers,
+			repair:   clearFaults(fleet, "proxy1/*"),
+			affected: []*Proxy{first},
 			during: func(version uint64) error {
-				return acknowledged(version, setFault(fleet, "proxy1/keeper*", cut), func() error { return awaitExpiry(version) })
+				return afterAcknowledgments(version, setFault(fleet, "proxy1/keeper*", muteBoth), func() error { return awaitExpiry(version) })
 			},
 		},
 		{
-			name:   "a proxy pauses after that, for longer than its lease",
-			inject: muteAnswers,
-			repair: first.Resume,
-			away:   []*Proxy{first},
+			name:     "a proxy pauses after that, for longer than its lease",
+			inject:   muteAnswers,
+			repair:   first.Resume,
+			affected: []*Proxy{first},
 			during: func(version uint64) error {
-				return acknowledged(version, func() error { return first.Pause(fleet.ctx) }, func() error {
+				return afterAcknowledgments(version, func() error { return first.Pause(fleet.ctx) }, func() error {
 					pause(fleet.ctx, fleet.AgreementTimeout*5/4) // the duration of the pause, for which nothing can be awaited
 					return nil
 				})
@@ -317,14 +317,14 @@
 	}
 }
 
-// drawn draws a schedule for 4 proxies, 3 replicas and 8 endpoints.
-func drawn(seed uint64, length, interval time.Duration) []Event {
-	return DrawSchedule(ScheduleOptions{Seed: seed, Length: length, Interval: interval, Proxies: 4, Replicas: 3, Endpoints: 8})
+// generateSchedule draws a schedule for 4 proxies, 3 replicas and 8 endpoints.
+func generateSchedule(seed uint64, length, interval time.Duration) []Event {
+	return GenerateSchedule(ScheduleOptions{Seed: seed, Length: length, Interval: interval, Proxies: 4, Replicas: 3, Endpoints: 8})
 }
 
 // A drawn schedule is the same each time, has no two faults of a resource at a time, and leaves a fleet that agrees.
 func TestDrawnSchedule(t *testing.T) {
-	draw := func(seed uint64) []Event { return drawn(seed, 100*time.Second, time.Second) }
+	draw := func(seed uint64) []Event { return generateSchedule(seed, 100*time.Second, time.Second) }
 	testkit.Equal(t, "the second draw", draw(1), draw(1))
 	busyUntil := map[string]time.Duration{}
 	for _, event := range draw(2) {
@@ -339,15 +339,15 @@
 		}
 		busyUntil[resource] = event.At + event.Duration
 	}
-	fleet := start(t, 4, 3)
-	schedule := drawn(4, 7*time.Second, 200*time.Millisecond)
+	fleet := startFleet(t, 4, 3)
+	schedule := generateSchedule(4, 7*time.Second, 200*time.Millisecond)
 	ctx, stop := context.WithCancel(fleet.ctx)
 	proposed := make(chan error, 1)
 	go func() {
-		_, err := fleet.Versions(ctx, 300*time.Millisecond)
+		_, err := fleet.ProposeVersions(ctx, 300*time.Millisecond)
 		proposed <- err
 	}()
-	must(t, fleet.Run(schedule))
+	must(t, fleet.RunSchedule(schedule))
 	stop()
 	must(t, <-proposed)
 	last, err := fleet.Propose()
@@ -360,11 +360,11 @@
 
 // A proxy that is not given a version goes on by the old one, which is found and not excused.
 func TestStaleProxyIsFound(t *testing.T) {
-	fleet := start(t, 3, 0)
+	fleet := startFleet(t, 3, 0)
 	number, err := fleet.Propose(fleet.Proxies[0])
 	must(t, err)
 	must(t, fleet.AwaitActiveAt(number, fleet.Proxies[1:]))
-	must(t, fleet.AwaitLineOf(number))
+	must(t, fleet.AwaitRequestLine(number))
 	for deadline := time.Now().Add(fakes.WaitTimeout); ; pause(fleet.ctx, 20*time.Millisecond) {
 		if findings := fleet.Findings(); len(findings.OverBound) > 0 {
 			testkit.Equal(t, "who", fleet.Proxies[0].Name, findings.OverBound[0].Proxy)
--- a/internal/testing/fleettest/intervals.go
+++ b/internal/testing/fleettest/intervals.go
@@ -13,9 +13,9 @@
 }
 
 type interval struct {
-	from   time.Time
-	to     time.Time     // zero: it goes on
-	atMost time.Duration // the longest part of it that counts; ignored while it goes on
+	from       time.Time
+	to         time.Time     // zero: it goes on
+	maxCounted time.Duration // the longest part of it that counts; ignored while it goes on
 }
 
 // begin starts an interval that lasts until end is called.
@@ -29,7 +29,7 @@
 		defer s.mu.Unlock()
 		current := &s.all[i]
 		current.to = time.Now()
-		current.atMost = current.to.Sub(current.from)
+		current.maxCounted = current.to.Sub(current.from)
 	}
 }
 
@@ -51,7 +51,7 @@
 		shared := time.Duration(min(current.to.UnixNano(), to.UnixNano()) - max(current.from.UnixNano(), from.UnixNano()))
 		shared = max(shared, 0)
 		if !open {
-			shared = min(shared, current.atMost)
+			shared = min(shared, current.maxCounted)
 		}
 		total += shared
 	}
--- a/internal/testing/fleettest/options.go
+++ b/internal/testing/fleettest/options.go
@@ -18,9 +18,9 @@
 	RequestInterval time.Duration // between a client's requests, on average
 
 	EndpointsPerPool int
-	// ConnectionCost is how long an endpoint takes to set a connection up; coldCostFactor times as long while it warms up.
-	ConnectionCost time.Duration
-	WarmUpTime     time.Duration // of a restarted endpoint
+	// ConnSetupTime is how long an endpoint takes to set a connection up; coldSetupFactor times as long while it warms up.
+	ConnSetupTime time.Duration
+	WarmUpTime    time.Duration // of a restarted endpoint
 
 	DiscoveryRate      float64 // requests per second that service discovery accepts; 0: any number
 	ReplicasServeLists bool    // the replicas follow service discovery, and proxies watch the endpoint list there
@@ -31,5 +31,5 @@
 	OnLeaseExpiry    fleetconfig.LeaseExpiryPolicy // empty: RejectOnExpiry
 }
 
-// coldCostFactor is by how much a connection costs more while an endpoint warms up.
-const coldCostFactor = 10
+// coldSetupFactor is by how much a connection costs more while an endpoint warms up.
+const coldSetupFactor = 10
--- a/internal/testing/fleettest/overlap.go
+++ b/internal/testing/fleettest/overlap.go
@@ -46,11 +46,11 @@
 
 // VersionOverlap is the longest overlap of a version with those before it.
 type VersionOverlap struct {
-	Version   uint64
-	FirstLine time.Time // of the first line by this version; zero: there was none
-	Longest   time.Duration
-	Lines     int    // stale lines, without the excused ones
-	Proxy     string // that wrote the last of them
+	Version    uint64
+	FirstLine  time.Time // of the first line by this version; zero: there was none
+	Longest    time.Duration
+	StaleLines int    // stale lines, without the excused ones
+	Proxy      string // that wrote the last of them
 }
 
 // OverlapReport is the result of FindOverlaps.
@@ -93,7 +93,7 @@
 				}
 				report.OverBound = append(report.OverBound, stale)
 			}
-			overlap.Lines++
+			overlap.StaleLines++
 			overlap.Longest = stale.Staleness // the lines are in the order of their times
 			overlap.Proxy = line.Proxy
 			report.Longest = max(report.Longest, stale.Staleness)
--- a/internal/testing/fleettest/play/flags.go
+++ b/internal/testing/fleettest/play/flags.go
@@ -25,16 +25,16 @@
 	outage          time.Duration // 0: none
 	withoutFaults   bool
 	seeds           []uint64
-	out             string // folder of the report; empty: standard output
-	name            string // of the report's files
-	findings        string // file for the result of one seed
+	outDir          string // folder of the report; empty: standard output
+	reportName      string // of the report's files
+	resultPath      string // file for the result of one seed
 	programDir      string
-	args            string   // as given
+	commandLine     string   // as given
 	forwarded       []string // the flags that are passed on to the processes of seeds
 }
 
-// parse reads and checks the command line.
-func parse(args []string, errOut io.Writer) (f flags, err error) {
+// parseFlags reads and checks the command line.
+func parseFlags(args []string, errOut io.Writer) (f flags, err error) {
 	set := flag.NewFlagSet("play", flag.ContinueOnError)
 	set.SetOutput(errOut)
 	f.registerFleet(set)
@@ -45,7 +45,7 @@
 	if err := set.Parse(args); err != nil {
 		return f, err
 	}
-	f.args = strings.Join(args, " ")
+	f.commandLine = strings.Join(args, " ")
 	set.Visit(func(given *flag.Flag) {
 		switch given.Name { // all but these are passed on
 		case "seed", "seeds", "side", "silence", "calm", "out", "name", "findings", "programs":
@@ -65,13 +65,13 @@
 	if set.NArg() > 0 {
 		return f, fmt.Errorf("%.40q: no argument is taken but flags", set.Arg(0))
 	}
-	if err := f.check(); err != nil {
+	if err := f.validate(); err != nil {
 		return f, err
 	}
 	f.ReplicasServeLists = f.ReplicasServeLists && f.ReplicaCount > 0
-	f.name = cmp.Or(f.name, defaultName)
-	if f.outage > 0 && f.name == defaultName {
-		f.name = defaultOutageName
+	f.reportName = cmp.Or(f.reportName, defaultName)
+	if f.outage > 0 && f.reportName == defaultName {
+		f.reportName = defaultOutageName
 	}
 	return f, nil
 }
@@ -90,7 +90,7 @@
 	set.IntVar(&f.ClientsPerProxy, "clients", 2, "number of clients of each proxy")
 	set.DurationVar(&f.RequestInterval, "pause", time.Second, "between a client's requests, on average")
 	set.IntVar(&f.EndpointsPerPool, "hops", 2, "number of endpoints in each of the four pools")
-	set.DurationVar(&f.ConnectionCost, "set-up", 2*time.Millisecond, "what a connection costs an endpoint; ten times as much "+
+	set.DurationVar(&f.ConnSetupTime, "set-up", 2*time.Millisecond, "what a connection costs an endpoint; ten times as much "+
 		"while it warms up")
 	set.DurationVar(&f.WarmUpTime, "cold", 3*time.Second, "how long a restarted endpoint warms up")
 	set.Float64Var(&f.DiscoveryRate, "discovery", 50, "requests per second that service discovery accepts; 0: any number")
@@ -109,14 +109,14 @@
 	set.BoolVar(&f.withoutFaults, "calm", false, "without other faults")
 	set.DurationVar(&f.eventInterval, "every", 2*time.Second, "between faults, on average")
 	set.DurationVar(&f.rolloutInterval, "between", 3*time.Second, "between versions")
-	set.StringVar(&f.out, "out", "", "the folder for the table and the charts; without it, the table is printed")
-	set.StringVar(&f.name, "name", "", "the name of their files (fleet-play, or fleet-blackout)")
-	set.StringVar(&f.findings, "findings", "", "a file for the result of one seed as JSON, in place of table and charts")
+	set.StringVar(&f.outDir, "out", "", "the folder for the table and the charts; without it, the table is printed")
+	set.StringVar(&f.reportName, "name", "", "the name of their files (fleet-play, or fleet-blackout)")
+	set.StringVar(&f.resultPath, "findings", "", "a file for the result of one seed as JSON, in place of table and charts")
 	set.StringVar(&f.programDir, "programs", "", "the folder of the built programs; without it, they are built")
 }
 
-// check checks the values of the flags against each other.
-func (f *flags) check() error {
+// validate checks the values of the flags against each other.
+func (f *flags) validate() error {
 	switch {
 	case f.ProxyCount < 1 || f.ReplicaCount < 0 || f.ClientsPerProxy < 1 || f.EndpointsPerPool < 1 || f.seconds < 1 || f.parallel < 1:
 		return errors.New("-proxies, -clients, -hops, -seconds and -side are 1 at least, -keepers 0")
--- a/internal/testing/fleettest/play/main.go
+++ b/internal/testing/fleettest/play/main.go
@@ -56,7 +56,7 @@
 
 // command runs one seed, several, or an outage, as the flags say.
 func command(ctx context.Context, args []string, out, errOut io.Writer) error {
-	f, err := parse(args, errOut)
+	f, err := parseFlags(args, errOut)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 		return err
 	}
 	switch {
-	case f.findings != "":
+	case f.resultPath != "":
 		return runSeed(ctx, f, errOut)
 	case f.outage > 0 || len(f.seeds) > 0:
 		return runSeeds(ctx, f, out, errOut)
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	if f.out == "" {
+	if f.outDir == "" {
 		fmt.Fprint(out, result.table())
 	} else if err := result.write(); err != nil {
 		return err
--- a/internal/testing/fleettest/play/play_test.go
+++ b/internal/testing/fleettest/play/play_test.go
@@ -84,11 +84,11 @@
 		{"-blackout 5s -keepers 0", "needs -keepers"}, {"-pause 0s", "-pause"}, {"-side 0", "-side"}, {"more",
 			`"more": no argument`},
 	} {
-		if _, err := parse(strings.Fields(c.args), &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := parseFlags(strings.Fields(c.args), &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.args, err, c.want)
 		}
 	}
-	f, err := parse([]string{"-seeds", "18446744073709551615,2-4", "-hops", "3", "-blackout", "0s"}, &bytes.Buffer{})
+	f, err := parseFlags([]string{"-seeds", "18446744073709551615,2-4", "-hops", "3", "-blackout", "0s"}, &bytes.Buffer{})
 	testkit.Equal(t, "seeds", []any{nil, []uint64{1<<64 - 1, 2, 3, 4}}, []any{err, f.seeds})
 	testkit.Equal(t, "what a seed's process is given", []string{"-blackout=0s", "-hops=3"}, f.forwarded)
 }
@@ -103,8 +103,8 @@
 	}
 }
 
-// servedLater finds the whole percentages of requests served after the member timeout with each lease expiry policy.
-var servedLater = regexp.MustCompile(`\| after that, without replicas \| (\d+)\.\S+ [^|]*\| (\d+)\.`)
+// servedAfterMemberTimeout finds the whole percentages of requests served after the member timeout with each lease expiry policy.
+var servedAfterMemberTimeout = regexp.MustCompile(`\| after that, without replicas \| (\d+)\.\S+ [^|]*\| (\d+)\.`)
 
 // A tiny fleet goes the whole way through several processes: once with several seeds, once with an outage.
 func TestManySeeds(t *testing.T) {
@@ -134,7 +134,7 @@
 		if err := errors.Join(err, perr); err != nil || !bytes.Contains(page, []byte("bound")) {
 			t.Fatalf("%s: %v, %d bytes of chart", c.name, err, len(page))
 		}
-		if m := servedLater.FindSubmatch(text); c.name == "fleet-blackout" && (m == nil || len(m[1]) > 1 || len(m[2]) < 2) {
+		if m := servedAfterMemberTimeout.FindSubmatch(text); c.name == "fleet-blackout" && (m == nil || len(m[1]) > 1 || len(m[2]) < 2) {
 			t.Errorf("after the member timeout, hold must serve less than 10 %% and serve more: %q\n%s", m, text)
 		}
 		for _, want := range append(c.want, "No guarantee was violated.") {
--- a/internal/testing/fleettest/play/report.go
+++ b/internal/testing/fleettest/play/report.go
@@ -50,7 +50,7 @@
 		if !overlap.FirstLine.IsZero() {
 			overlaps = append(overlaps, overlap.Longest)
 		}
-		stale += overlap.Lines
+		stale += overlap.StaleLines
 	}
 	line("| versions proposed, seen on request lines | %d, %d |", len(r.Rollouts), len(overlaps))
 	line("| longest overlap of versions | %s |", formatMillis(r.Longest))
@@ -68,7 +68,7 @@
 	var latencies, suspended []time.Duration
 	for _, answer := range r.Answers {
 		if answer.Word == "UP" {
-			latencies = append(latencies, answer.Took)
+			latencies = append(latencies, answer.Latency)
 		}
 	}
 	for _, duration := range r.Suspended {
@@ -96,10 +96,10 @@
 
 // writePages writes a table and charts into the files that the flags name, and creates their folder.
 func writePages(f flags, table string, chartPage *components.Page) error {
-	if err := os.MkdirAll(f.out, 0o755); err != nil {
+	if err := os.MkdirAll(f.outDir, 0o755); err != nil {
 		return err
 	}
-	path := filepath.Join(f.out, f.name)
+	path := filepath.Join(f.outDir, f.reportName)
 	if err := os.WriteFile(path+".md", []byte(table), 0o644); err != nil {
 		return err
 	}
--- a/internal/testing/fleettest/play/run.go
+++ b/internal/testing/fleettest/play/run.go
@@ -42,7 +42,7 @@
 		}
 		defer result.conns.Close()
 	}
-	if err := result.playSchedule(ctx, fleet); err != nil {
+	if err := result.runSchedule(ctx, fleet); err != nil {
 		return nil, err
 	}
 	if result.lastVersion, err = fleet.Propose(); err == nil {
@@ -66,7 +66,7 @@
 // drawSchedule draws the schedule of faults, which leaves replicas alone around an outage.
 func (f *flags) drawSchedule() (schedule []fleettest.Event) {
 	if !f.withoutFaults {
-		schedule = fleettest.DrawSchedule(fleettest.ScheduleOptions{
+		schedule = fleettest.GenerateSchedule(fleettest.ScheduleOptions{
 			Seed:               f.Seed,
 			Length:             f.length(),
 			Interval:           f.eventInterval,
@@ -82,15 +82,15 @@
 	return schedule
 }
 
-// playSchedule carries out the schedule, while versions are proposed and the outage happens.
-func (r *report) playSchedule(ctx context.Context, fleet *fleettest.Fleet) error {
+// runSchedule carries out the schedule, while versions are proposed and the outage happens.
+func (r *report) runSchedule(ctx context.Context, fleet *fleettest.Fleet) error {
 	r.readyAt = time.Now()
 	ctx, cancel := context.WithTimeout(ctx, r.length())
 	defer cancel()
 	errs := make(chan error, 2)
 	go func() {
 		var err error
-		r.commitTimes, err = fleet.Versions(ctx, r.rolloutInterval)
+		r.commitTimes, err = fleet.ProposeVersions(ctx, r.rolloutInterval)
 		errs <- err
 	}()
 	go func() {
@@ -100,7 +100,7 @@
 		}
 		errs <- err
 	}()
-	scheduleErr := fleet.Run(r.schedule)
+	scheduleErr := fleet.RunSchedule(r.schedule)
 	return errors.Join(scheduleErr, <-errs, <-errs)
 }
 
--- a/internal/testing/fleettest/play/seed_charts.go
+++ b/internal/testing/fleettest/play/seed_charts.go
@@ -24,8 +24,8 @@
 	return float64(d.Microseconds()) / microsPerMilli
 }
 
-// spreadChart shows the overlaps of each seed's versions as a box, and the agreement timeout.
-func spreadChart(f flags, results []result) *charts.BoxPlot {
+// overlapBoxPlot shows the overlaps of each seed's versions as a box, and the agreement timeout.
+func overlapBoxPlot(f flags, results []result) *charts.BoxPlot {
 	var names []string
 	var boxes []opts.BoxPlotData
 	for i := range results {
@@ -54,8 +54,8 @@
 	return charts.WithMarkLineNameYAxisItemOpts(opts.MarkLineNameYAxisItem{Name: "bound", YAxis: millis(agreementTimeout)})
 }
 
-// sortedChart shows the overlaps of all versions of all seeds in order, and the agreement timeout.
-func sortedChart(f flags, results []result) *charts.Line {
+// overlapDistributionChart shows the overlaps of all versions of all seeds in order, and the agreement timeout.
+func overlapDistributionChart(f flags, results []result) *charts.Line {
 	longest := slices.Sorted(slices.Values(sumResults(results).Overlaps))
 	var names []string
 	var data []opts.LineData
@@ -69,8 +69,8 @@
 	return line
 }
 
-// answersChart shows the share of requests served in each phase of an outage.
-func answersChart(f flags, results []result) *charts.Bar {
+// servedByPhaseChart shows the share of requests served in each phase of an outage.
+func servedByPhaseChart(f flags, results []result) *charts.Bar {
 	bar := charts.NewBar()
 	bar.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: "Requests served around an outage"}),
--- a/internal/testing/fleettest/play/seed_tables.go
+++ b/internal/testing/fleettest/play/seed_tables.go
@@ -35,7 +35,7 @@
 func header(f flags, title, seeds string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n", title)
-	fmt.Fprintf(&b, "command: go run ./internal/testing/fleettest/play %s\n\n", f.args)
+	fmt.Fprintf(&b, "command: go run ./internal/testing/fleettest/play %s\n\n", f.commandLine)
 	fmt.Fprintf(&b, "commit %s, %s, %d processors, %s. ", revision(), seeds, runtime.NumCPU(), runtime.Version())
 	fmt.Fprintf(&b, "The agreement timeout is %v, an unreachable proxy blocks a version for %v.\n\n",
 		f.AgreementTimeout, f.MemberTimeout)
@@ -177,13 +177,13 @@
 	return quantiles(o.Recovery)
 }
 
-// writeAll writes the table and the charts of several runs into files.
-func writeAll(f flags, table string, results []result) error {
+// writeSeedsReport writes the table and the charts of several runs into files.
+func writeSeedsReport(f flags, table string, results []result) error {
 	page := components.NewPage()
 	page.PageTitle = "Overlaps of versions in a fleet under faults"
 	if f.outage > 0 {
-		page.AddCharts(answersChart(f, results))
+		page.AddCharts(servedByPhaseChart(f, results))
 	}
-	page.AddCharts(spreadChart(f, results), sortedChart(f, results))
+	page.AddCharts(overlapBoxPlot(f, results), overlapDistributionChart(f, results))
 	return writePages(f, table, page)
 }
--- a/internal/testing/fleettest/play/seeds.go
+++ b/internal/testing/fleettest/play/seeds.go
@@ -26,11 +26,11 @@
 	results := f.plannedResults()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	slots := make(chan struct{}, f.parallel)
+	semaphore := make(chan struct{}, f.parallel)
 	for i := range results {
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			results[i] = runSeedProcess(ctx, f, results[i])
 			mu.Lock()
 			defer mu.Unlock()
@@ -44,10 +44,10 @@
 		text = outageTable(f, results)
 	}
 	var err error
-	if f.out == "" {
+	if f.outDir == "" {
 		_, err = io.WriteString(out, text)
 	} else {
-		err = writeAll(f, text, results)
+		err = writeSeedsReport(f, text, results)
 	}
 	return errors.Join(err, violationsError(results))
 }
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(f.findings, text, 0o600); err != nil {
+	if err := os.WriteFile(f.resultPath, text, 0o600); err != nil {
 		return err
 	}
 	if len(report.Violations) > 0 {
--- a/internal/testing/fleettest/process.go
+++ b/internal/testing/fleettest/process.go
@@ -168,13 +168,13 @@
 		changed := p.logGrown != grown || ended != nil && p.ended != ended || !p.expectedRunning
 		p.mu.Unlock()
 		if ctx.Err() != nil || !changed {
-			return p.neverError(ctx.Err(), what, log)
+			return p.awaitError(ctx.Err(), what, log)
 		}
 	}
 }
 
-// neverError says that a process never did what was awaited: the time was up, or it has ended.
-func (p *Process) neverError(ctxErr error, what, log string) error {
+// awaitError says that a process never did what was awaited: the time was up, or it has ended.
+func (p *Process) awaitError(ctxErr error, what, log string) error {
 	if ctxErr == nil {
 		return fmt.Errorf("%s ended and never %s: %s", p.Name, what, lastOutput(log))
 	}
--- a/internal/testing/fleettest/proxies.go
+++ b/internal/testing/fleettest/proxies.go
@@ -127,8 +127,8 @@
 	}, nil
 }
 
-// Restart starts a proxy that has ended.
-func (f *Fleet) Restart(p *Proxy) error { return p.launch(f.ctx) }
+// RestartProxy starts a proxy that has ended.
+func (f *Fleet) RestartProxy(p *Proxy) error { return p.launch(f.ctx) }
 
 // ProxiesExcept returns all proxies except some.
 func (f *Fleet) ProxiesExcept(except ...*Proxy) []*Proxy {
--- a/internal/testing/fleettest/replicas.go
+++ b/internal/testing/fleettest/replicas.go
@@ -43,14 +43,14 @@
 	digest string
 }
 
-// retainedVersions is how many versions VerifyVersions asks for, a few less than replicas retain for rollbacks.
-const retainedVersions = 60
+// maxVerifiedVersions is how many versions VerifyVersions asks for, a few less than replicas retain for rollbacks.
+const maxVerifiedVersions = 60
 
 const (
-	statusTimeout = time.Second           // of a request for a replica's status
-	retryDelay    = 50 * time.Millisecond // between requests that may be repeated
-	pollDelay     = 20 * time.Millisecond // between looks at another process's state that is awaited
-	countDelay    = 5 * time.Millisecond  // between looks at counts of this process that are awaited
+	statusTimeout     = time.Second           // of a request for a replica's status
+	retryDelay        = 50 * time.Millisecond // between requests that may be repeated
+	pollInterval      = 20 * time.Millisecond // between looks at another process's state that is awaited
+	localPollInterval = 5 * time.Millisecond  // between looks at counts of this process that are awaited
 )
 
 // callTimeout is how long a request to one replica may take before the next replica is asked.
@@ -225,7 +225,7 @@
 func (f *Fleet) awaitLeader(what string, satisfied func(replicaStatus) bool) (*Replica, error) {
 	ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
 	defer cancel()
-	for ; ctx.Err() == nil; pause(ctx, pollDelay) {
+	for ; ctx.Err() == nil; pause(ctx, pollInterval) {
 		for _, replica := range f.Replicas {
 			var status replicaStatus
 			err := call(ctx, replica, statusTimeout, http.MethodGet, "/v1/status?local=1", nil, &status)
@@ -274,7 +274,7 @@
 // VerifyVersions waits until each replica has the latest acknowledged versions, as they were proposed.
 func (f *Fleet) VerifyVersions() error {
 	f.mu.Lock()
-	versions := slices.Clone(f.acknowledged[max(0, len(f.acknowledged)-retainedVersions):])
+	versions := slices.Clone(f.acknowledged[max(0, len(f.acknowledged)-maxVerifiedVersions):])
 	f.mu.Unlock()
 	ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
 	defer cancel()
--- a/internal/testing/fleettest/rollouts.go
+++ b/internal/testing/fleettest/rollouts.go
@@ -47,15 +47,15 @@
 	})
 }
 
-// AwaitLineOf waits until a proxy has written a request line by a version.
-func (f *Fleet) AwaitLineOf(number uint64) error {
+// AwaitRequestLine waits until a proxy has written a request line by a version.
+func (f *Fleet) AwaitRequestLine(number uint64) error {
 	ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
 	defer cancel()
 	f.mu.Lock()
 	rollout := f.rollouts[number-1]
 	f.mu.Unlock()
 	follows := func(line RequestLine) bool { return line.Pool == rollout.Pool && line.At.After(rollout.ProposedAt) }
-	for checked := 0; ; pause(ctx, countDelay) {
+	for checked := 0; ; pause(ctx, localPollInterval) {
 		f.mu.Lock()
 		found := slices.ContainsFunc(f.requestLines[checked:], follows)
 		checked = len(f.requestLines)
--- a/internal/testing/fleettest/schedule.go
+++ b/internal/testing/fleettest/schedule.go
@@ -50,9 +50,9 @@
 	return o.Endpoints
 }
 
-// DrawSchedule draws a schedule of about one event in each interval. It is the same for the same options. Faults that the fleet
+// GenerateSchedule draws a schedule of about one event in each interval. It is the same for the same options. Faults that the fleet
 // has no targets for are left out, and so are those of a resource that has another one at the time.
-func DrawSchedule(options ScheduleOptions) (schedule []Event) {
+func GenerateSchedule(options ScheduleOptions) (schedule []Event) {
 	const stream = 7 // of the seed's random numbers
 	rng := rand.New(rand.NewPCG(options.Seed, stream))
 	kinds := faultKinds
@@ -98,8 +98,8 @@
 	})
 }
 
-// Run carries out a schedule and returns once its last event has ended. It joins the errors of all events.
-func (f *Fleet) Run(schedule []Event) error {
+// RunSchedule carries out a schedule and returns once its last event has ended. It joins the errors of all events.
+func (f *Fleet) RunSchedule(schedule []Event) error {
 	kindsByName := map[string]faultKind{}
 	for _, kind := range slices.Concat(faultKinds, discoveryFaultKinds) {
 		kindsByName[kind.name] = kind
@@ -135,9 +135,9 @@
 	return nil
 }
 
-// Versions proposes one version after the other, with an interval between them, until the context ends. It returns for
+// ProposeVersions proposes one version after the other, with an interval between them, until the context ends. It returns for
 // each how long it took from the proposal until the version was active; without a control plane, until the files were written.
-func (f *Fleet) Versions(ctx context.Context, interval time.Duration) (durations []time.Duration, err error) {
+func (f *Fleet) ProposeVersions(ctx context.Context, interval time.Duration) (durations []time.Duration, err error) {
 	for {
 		pause(ctx, interval)
 		if ctx.Err() != nil {
