--- a/cmd/micafrontctl/config_report.go
+++ b/cmd/micafrontctl/config_report.go
@@ -17,7 +17,7 @@
 	KeysPerClass int    `name:"keys" help:"How many keys of each class to count." default:"10000"`
 }
 
-// Run prints what the proposed version changes. The exit code is 1 if it changes anything, as diff's is.
+// Run prints what the proposed version changes. As with diff(1), the exit code is 1 if it changes anything.
 func (c *diffCommand) Run() error {
 	list, err := readEndpointList(c.Against)
 	if err != nil {
@@ -64,11 +64,11 @@
 	if err != nil {
 		return err
 	}
-	if _, known := site.Set.Listeners[c.Listener]; !known && c.Listener != routing.MainListener {
+	if _, known := site.RoutingSet.Listeners[c.Listener]; !known && c.Listener != routing.MainListener {
 		return fmt.Errorf("the site has no listener %q", c.Listener)
 	}
 	if list == nil {
-		list = &site.Known
+		list = &site.KnownEndpoints
 	}
 	firstLine := []byte(strings.TrimRight(c.Line, "\r\n") + "\r\n")
 	explanation, err := sitereport.Explain(site, firstLine, c.Listener, list, now())
