--- a/internal/testing/fleettest/rollouts.go
+++ b/internal/testing/fleettest/rollouts.go
@@ -47,15 +47,15 @@
 	})
 }
 
-// AwaitLineOf waits until a proxy has written a request line by a version.
-func (f *Fleet) AwaitLineOf(number uint64) error {
+// AwaitRequestLine waits until a proxy has written a request line by a version.
+func (f *Fleet) AwaitRequestLine(number uint64) error {
 	ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
 	defer cancel()
 	f.mu.Lock()
 	rollout := f.rollouts[number-1]
 	f.mu.Unlock()
 	follows := func(line RequestLine) bool { return line.Pool == rollout.Pool && line.At.After(rollout.ProposedAt) }
-	for checked := 0; ; pause(ctx, countDelay) {
+	for checked := 0; ; pause(ctx, localPollInterval) {
 		f.mu.Lock()
 		found := slices.ContainsFunc(f.requestLines[checked:], follows)
 		checked = len(f.requestLines)
@@ -71,7 +71,7 @@
 
 // recordRequestLine records the first line of a connection from a proxy to an endpoint, if it is of the contested class.
 func (f *Fleet) recordRequestLine(segment faultinject.Segment) {
-	if segment.Direction != faultinject.Up || segment.Byte != 0 {
+	if segment.Direction != faultinject.Up || segment.Offset != 0 {
 		return
 	}
 	words := bytes.Fields(segment.Data)
