--- a/internal/sitelang/sitelang_test.go
+++ b/internal/sitelang/sitelang_test.go
@@ -70,7 +70,7 @@
 }
 
 // The files that a pattern matches are read in the order of their whole paths, in which "a-b/" precedes "a/".
-func TestPatternOverFolders(t *testing.T) {
+func TestGlobMatchesAreSortedByPath(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"a/x.cue", "a-b/x.cue"} {
 		writeSettledFile(t, filepath.Join(dir, name), "")
