--- a/internal/sitelang/sitelang_test.go
+++ b/internal/sitelang/sitelang_test.go
@@ -37,7 +37,7 @@
 			t.Errorf("%s: no finding", file)
 		}
 		if (site == nil) != findings.HasErrors() {
-			t.Errorf("%s: site returned: %v, errors found: %v", file, site != nil, findings.HasErrors())
+			t.Errorf("%s: Load returned a site: %v, which contradicts its findings", file, site != nil)
 		}
 		wantFile := strings.TrimSuffix(file, ".cue") + ".want"
 		if *update {
@@ -70,7 +70,7 @@
 }
 
 // The files that a pattern matches are read in the order of their whole paths, in which "a-b/" precedes "a/".
-func TestPatternOverFolders(t *testing.T) {
+func TestGlobMatchesAreSortedByPath(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"a/x.cue", "a-b/x.cue"} {
 		writeSettledFile(t, filepath.Join(dir, name), "")
