--- a/cmd/micafront/soak_test.go
+++ b/cmd/micafront/soak_test.go
@@ -69,7 +69,7 @@
 			}
 			for _, bound := range comparison.Bounds {
 				t.Log(bound)
-				if !bound.Kept() {
+				if !bound.Met() {
 					t.Errorf("%s is outside its bound", bound.Name)
 				}
 			}
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -86,7 +86,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				testkit.RequireBytes(t, "encoded", golden, encoded)
+				testkit.EqualBytes(t, "encoded", golden, encoded)
 				var decoded logRecord
 				if err := recordDecoding.Unmarshal(golden, &decoded); err != nil {
 					t.Fatal(err)
@@ -95,7 +95,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				testkit.RequireBytes(t, "decoded and encoded again", golden, again)
+				testkit.EqualBytes(t, "decoded and encoded again", golden, again)
 			})
 		}
 	}
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, message := range node.termMessages {
-		testkit.RequireBytes(t, "encoded", golden, message.Bytes)
+		testkit.EqualBytes(t, "encoded", golden, message.Bytes)
 	}
 
 	question, answer := testkit.GoldenFile(t, "inquiry_question.cbor"), testkit.GoldenFile(t, "inquiry_answer.cbor")
@@ -158,7 +158,7 @@
 	if len(requests) != 2 || requests[0].To != 2 || requests[1].To != 3 {
 		t.Fatalf("the rejoining node sends %+v", requests)
 	}
-	testkit.RequireBytes(t, "question", question, requests[0].Bytes)
+	testkit.EqualBytes(t, "question", question, requests[0].Bytes)
 	other, _ := goldenNode(t, Config{ID: 2, Incarnation: 1}, Stored{})
 	if err := other.Step(question); err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	if len(answers) != 1 || answers[0].To != 1 {
 		t.Fatalf("the other node sends %+v", answers)
 	}
-	testkit.RequireBytes(t, "answer", answer, answers[0].Bytes)
+	testkit.EqualBytes(t, "answer", answer, answers[0].Bytes)
 	if err := rejoining.Step(answer); err != nil {
 		t.Fatal(err)
 	} else if !rejoining.knownTerms[2] || rejoining.highestTerm != 1 {
@@ -280,7 +280,7 @@
 	run := runGolden(t)
 	for _, name := range goldenMessages {
 		golden := testkit.GoldenFile(t, name)
-		testkit.RequireBytes(t, name, golden, run.messages[name])
+		testkit.EqualBytes(t, name, golden, run.messages[name])
 		m := &pb.Message{}
 		if err := proto.Unmarshal(golden, m); err != nil {
 			t.Fatal(err)
@@ -289,7 +289,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		testkit.RequireBytes(t, name+" decoded and encoded again", golden, again)
+		testkit.EqualBytes(t, name+" decoded and encoded again", golden, again)
 		switch m.GetType() {
 		case pb.MessageType_MsgApp:
 			var decoded logRecord
@@ -309,7 +309,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			testkit.RequireBytes(t, "state of the snapshot message", m.GetSnapshot().GetData(), data)
+			testkit.EqualBytes(t, "state of the snapshot message", m.GetSnapshot().GetData(), data)
 		}
 	}
 }
@@ -344,12 +344,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.RequireBytes(t, "snapshot", golden.Snapshot, again)
+	testkit.EqualBytes(t, "snapshot", golden.Snapshot, again)
 	data, err := state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.RequireBytes(t, "state of the snapshot", snapshot.GetData(), data)
+	testkit.EqualBytes(t, "state of the snapshot", snapshot.GetData(), data)
 	entries, err := node.log.Entries(6, 9, math.MaxUint64)
 	if err != nil {
 		t.Fatal(err)
@@ -362,7 +362,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		testkit.RequireBytes(t, "entry", golden.Entries[i].Bytes, again)
+		testkit.EqualBytes(t, "entry", golden.Entries[i].Bytes, again)
 	}
 	if _, err := node.ProcessWork(&MemoryStore{}, func(Message) {}); err != nil {
 		t.Fatal(err)
@@ -392,11 +392,11 @@
 		if node.voteBarrier != tc.voteBarrier || node.Rejoining() != tc.rejoining {
 			t.Errorf("%s: vote barrier %d, rejoining %t", tc.name, node.voteBarrier, node.Rejoining())
 		}
-		testkit.RequireBytes(t, tc.name+" decoded and encoded again", golden, savedHardState(t, node))
+		testkit.EqualBytes(t, tc.name+" decoded and encoded again", golden, savedHardState(t, node))
 
 		built, _ := goldenNode(t, Config{ID: 1, Incarnation: 6}, goldenStored(t))
 		built.voteBarrier = tc.voteBarrier
-		testkit.RequireBytes(t, tc.name, golden, savedHardState(t, built))
+		testkit.EqualBytes(t, tc.name, golden, savedHardState(t, built))
 	}
 }
 
@@ -420,8 +420,8 @@
 		node, _ := goldenNode(t, Config{ID: 1, Incarnation: 1, Rejoin: tc.rejoin}, Stored{})
 		save := pendingWork(t, node).Save
 		snapshot, state := testkit.GoldenFile(t, tc.name+"_snapshot.pb"), testkit.GoldenFile(t, tc.name+"_state.bin")
-		testkit.RequireBytes(t, tc.name+" snapshot", snapshot, save.Snapshot)
-		testkit.RequireBytes(t, tc.name+" state", state, save.State)
+		testkit.EqualBytes(t, tc.name+" snapshot", snapshot, save.Snapshot)
+		testkit.EqualBytes(t, tc.name+" state", state, save.State)
 		if save.DropThrough != 1 || len(save.Entries) != 0 {
 			t.Errorf("%s deletes entries through %d and saves %d", tc.name, save.DropThrough, len(save.Entries))
 		}
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -139,7 +139,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			testkit.RequireBytes(t, "encoded", golden, encoded)
+			testkit.EqualBytes(t, "encoded", golden, encoded)
 
 			decoded := reflect.New(reflect.TypeOf(form.value))
 			decoder := json.NewDecoder(bytes.NewReader(golden))
@@ -151,13 +151,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			testkit.RequireBytes(t, "decoded and encoded again", golden, again)
+			testkit.EqualBytes(t, "decoded and encoded again", golden, again)
 
 			empty, err := json.Marshal(reflect.Zero(reflect.TypeOf(form.value)).Interface())
 			if err != nil {
 				t.Fatal(err)
 			}
-			testkit.RequireBytes(t, "zero value", []byte(form.empty), empty)
+			testkit.EqualBytes(t, "zero value", []byte(form.empty), empty)
 		})
 	}
 }
@@ -194,7 +194,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.RequireBytes(t, "checked body", testkit.GoldenFile(t, "body.json"), encoded)
+	testkit.EqualBytes(t, "checked body", testkit.GoldenFile(t, "body.json"), encoded)
 }
 
 // goldenCommands returns commands that give a StateMachine versions that share a body, a proposed version, members,
@@ -275,7 +275,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.RequireBytes(t, "snapshot", golden, written)
+	testkit.EqualBytes(t, "snapshot", golden, written)
 
 	restored := NewStateMachine()
 	if err := restored.Restore(golden); err != nil {
@@ -285,13 +285,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.RequireBytes(t, "restored and written again", golden, again)
+	testkit.EqualBytes(t, "restored and written again", golden, again)
 
 	empty, err := NewStateMachine().Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.RequireBytes(t, "empty snapshot", []byte("micafront-book 1 71844deb1f674eff387cbc1f6cbb32917f9230fbc7657c5233157f3d1c632163\n"+
+	testkit.EqualBytes(t, "empty snapshot", []byte("micafront-book 1 71844deb1f674eff387cbc1f6cbb32917f9230fbc7657c5233157f3d1c632163\n"+
 		`{"last":0,"numbers":0,"active":0,"proposed":0,"bodies":{},"versions":null,"members":null,"history":null,"answers":null}`),
 		empty)
 }
--- a/internal/testing/soak/costs.go
+++ b/internal/testing/soak/costs.go
@@ -41,8 +41,8 @@
 	Least         bool    // the bound is from below
 }
 
-// Kept reports whether the bound is kept.
-func (b Bound) Kept() bool {
+// Met reports whether the larger list costs no more than the bound allows.
+func (b Bound) Met() bool {
 	limit := b.Factor*b.Usual + b.Extra
 	if b.Least {
 		return b.Many >= limit
--- a/internal/testing/testkit/golden.go
+++ b/internal/testing/testkit/golden.go
@@ -46,8 +46,8 @@
 	Equal(t, file+": the fixture decoded and encoded", string(golden), string(again))
 }
 
-// RequireBytes fails the test unless both encodings are the same.
-func RequireBytes(t testing.TB, what string, want, got []byte) {
+// EqualBytes reports an error if got is not equal to want. what names the compared encoding.
+func EqualBytes(t testing.TB, what string, want, got []byte) {
 	t.Helper()
 	if !bytes.Equal(want, got) {
 		t.Errorf("%s:\n got %q\nwant %q", what, got, want)
