--- a/internal/testing/samples/samples.go
+++ b/internal/testing/samples/samples.go
@@ -1,5 +1,5 @@
-// Package samples has values in which every field is set. The golden fixtures of several packages encode them, so their contents
-// must never change.
+// Package samples provides values in which every field is set. The golden fixtures of several packages encode them, so their
+// contents must never change.
 package samples
 
 import (
@@ -10,7 +10,7 @@
 	"example.org/micafront/internal/routing"
 )
 
-// FederationTerms returns the terms of a federation with one mesh, which Publication is of.
+// FederationTerms returns the terms of a federation with one mesh, the publisher of Publication.
 func FederationTerms() federation.Terms {
 	return federation.Terms{Base: 2, ChangedBy: "staff",
 		Meshes: []catalog.Mesh{{Name: "thies", Precedence: 3, MaxServices: 50, Export: []string{"m*"},
--- a/internal/testing/testkit/golden.go
+++ b/internal/testing/testkit/golden.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-// Golden fixtures are encoded forms that were written by an earlier program: what is sent to other processes, or stored. They
-// are never rewritten. A test that differs from one has found a change of an encoding that peers and stored data depend on.
+// Golden fixtures are encodings that an earlier version of the program sent to other processes or stored. They are never
+// rewritten: a mismatch means that an encoding has changed on which peers and stored data depend.
 
-// GoldenFile reads a fixture from testdata/golden.
+// GoldenFile returns the content of a fixture in testdata/golden. It ends the test if the file cannot be read.
 func GoldenFile(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -25,8 +25,8 @@
 	return data
 }
 
-// CheckEncoding pins a JSON encoding in both directions: the value is encoded to the fixture's bytes, and the fixture is
-// decoded and encoded to the same bytes again.
+// CheckEncoding checks a JSON encoding in both directions: value encodes to the bytes of the fixture, and the fixture decodes to a
+// value that encodes to the same bytes.
 func CheckEncoding[T any](t testing.TB, file string, value T) {
 	t.Helper()
 	golden := GoldenFile(t, file)
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	Equal(t, file+": the value encoded", string(golden), string(encoded))
+	Equal(t, file+": encoded value", string(golden), string(encoded))
 	var decoded T
 	if err := json.Unmarshal(golden, &decoded); err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	Equal(t, file+": the fixture decoded and encoded", string(golden), string(again))
+	Equal(t, file+": re-encoded fixture", string(golden), string(again))
 }
 
 // EqualBytes reports an error if got is not equal to want. what names the compared encoding.
@@ -54,7 +54,8 @@
 	}
 }
 
-// CheckAllSet fails for each exported field below the value that is zero, so that a fixture covers every encoded field.
+// CheckAllSet reports an error for each exported field within value that is zero, so that a fixture covers every encoded field. path
+// names value in the errors.
 func CheckAllSet(t testing.TB, path string, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() {
@@ -68,7 +69,7 @@
 		if value.Len() == 0 {
 			t.Errorf("%s is empty", path)
 		}
-		if value.Type().Elem().Kind() == reflect.Uint8 { // text that is encoded already
+		if value.Type().Elem().Kind() == reflect.Uint8 { // already encoded text
 			return
 		}
 		for key, element := range value.Seq2() {
@@ -87,8 +88,8 @@
 	}
 }
 
-// UnsetFields lists the exported fields, as Type.Field, of the struct types within value that are zero wherever their type
-// occurs. It is weaker than CheckAllSet, for values in which a type occurs in several variants.
+// UnsetFields returns, as Type.Field, the exported struct fields within value that are zero in every occurrence of their type. It
+// leaves out the fields in except. It is weaker than CheckAllSet, for values in which a type occurs in several variants.
 func UnsetFields(value any, except ...string) []string {
 	set := map[string]bool{}
 	visitFields(reflect.ValueOf(value), set)
@@ -101,7 +102,7 @@
 	return unset
 }
 
-// visitFields notes for each exported field below value whether it is set in any occurrence of its struct type.
+// visitFields records, for each exported struct field within value, whether any occurrence of its type sets the field.
 func visitFields(value reflect.Value, set map[string]bool) {
 	switch value.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -137,8 +138,8 @@
 	return !value.IsZero()
 }
 
-// PinnedEncoding returns a check, to be run with a fixture's name, that every encoded field of the value is set and that the
-// fixture is its JSON encoding.
+// PinnedEncoding returns a function that checks that every encoded field of value is set and that the fixture in file is the JSON
+// encoding of value.
 func PinnedEncoding[T any](value T) func(t *testing.T, file string) {
 	return func(t *testing.T, file string) {
 		t.Helper()
@@ -147,12 +148,14 @@
 	}
 }
 
-// UnsetPaths lists the paths of all exported struct fields within value that are zero, nested ones included. An empty slice
-// counts as zero. A struct that is reached from its own type may end the chain with a nil pointer.
+// UnsetPaths returns the paths of all exported struct fields within value that are zero, including nested fields. An empty slice
+// counts as zero. In a struct that is nested in its own type, a nil pointer to that type is not listed, because every such chain
+// ends with one.
 func UnsetPaths(value any) []string {
 	return unsetPaths(reflect.ValueOf(value), nil)
 }
 
+// unsetPaths returns the paths that UnsetPaths lists. parent is the type of the struct that contains value, or nil.
 func unsetPaths(value reflect.Value, parent reflect.Type) []string {
 	var unset []string
 	switch value.Kind() {
--- a/internal/testing/testkit/http.go
+++ b/internal/testing/testkit/http.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// HTTPCall sends a request and returns the answer's status code and body. It ends with the test.
+// HTTPCall sends a request and returns the status code and body of the response. It ends the test on a transport error. The request
+// is canceled when the test ends.
 func HTTPCall(t testing.TB, method, url, body string) (code int, text string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -19,9 +20,9 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	all, err := io.ReadAll(resp.Body)
+	content, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return resp.StatusCode, string(all)
+	return resp.StatusCode, string(content)
 }
--- a/internal/testing/testkit/testkit.go
+++ b/internal/testing/testkit/testkit.go
@@ -29,10 +29,10 @@
 	os.Exit(m.Run())
 }
 
-// propertySeed is the seed of property tests, in place of rapid's, which differs from run to run.
+// propertySeed is the seed of property tests. It replaces rapid's default, which differs on each run.
 const propertySeed = "20261201"
 
-// Property checks a property on random input. The input is the same at each run, unless -rapid.seed is given.
+// Property checks a property on random input. The input is the same on each run unless -rapid.seed is set.
 func Property(t *testing.T, check func(*rapid.T)) {
 	t.Helper()
 	if seed := flag.Lookup("rapid.seed"); seed != nil && seed.Value.String() == "0" {
