--- a/internal/testing/soak/clients.go
+++ b/internal/testing/soak/clients.go
@@ -16,113 +16,118 @@
 )
 
 const (
-	// lateAnswer is how long after a request's time its answer may come; later it is lost.
-	lateAnswer = 500 * time.Millisecond
-	// lateAttempt is how long after the end of a client, or of its time, an attempt may begin.
-	lateAttempt = 100 * time.Millisecond
-	// harnessDelay is by how much this process itself may notice things late on a busy machine.
-	harnessDelay = 100 * time.Millisecond
-	// maxEchoDelay is how long an established connection may hold a line back.
+	// answerGrace is how long after the deadline of a request its answer may arrive.
+	answerGrace = 500 * time.Millisecond
+	// attemptGrace is how long after the deadline of a request, or after its client has closed, an attempt may begin.
+	attemptGrace = 100 * time.Millisecond
+	// schedulingSlack is how late this test process may observe an event on a busy machine.
+	schedulingSlack = 100 * time.Millisecond
+	// maxEchoDelay is how long a line may take to return over an established connection.
 	maxEchoDelay = time.Second
-	// badClientTime is how long a client that stops in the middle of its request may be left waiting.
-	badClientTime = 3 * time.Second
-	dialTimeout   = 5 * time.Second
+	// partialRequestTimeout is how long the proxy may wait for the rest of a partial request before it answers or closes.
+	partialRequestTimeout = 3 * time.Second
+	dialTimeout           = 5 * time.Second
 )
 
-var lastRequest atomic.Int64
+var lastRequestID atomic.Int64
 
-// request is what a client did, and when.
+// request records what a client sent, and when.
 type request struct {
 	id       string
 	sentAt   time.Time
-	patience time.Duration
-	leftAt   time.Time // when its client closed; zero: it stayed for the answer
+	timeout  time.Duration // between sentAt and the deadline of the request
+	closedAt time.Time     // when its client closed early; zero if it waited for the answer
 }
 
-// clients sends requests to the proxies and records what breaks a rule.
+// clients sends requests to the proxies and records violations of the rules.
 type clients struct {
 	plan Plan
 	wg   sync.WaitGroup
 
-	mu         sync.Mutex
-	random     *rand.Rand
-	requests   []request
-	answers    map[string]int // by their first word
-	longest    time.Duration  // wait for an answer
-	violations []string
+	mu          sync.Mutex
+	random      *rand.Rand
+	requests    []request
+	answers     map[string]int // counts, by the first word of the answer
+	longestWait time.Duration  // for an answer
+	violations  []string
 }
 
 func newClients(plan Plan) *clients {
 	return &clients{plan: plan, random: rand.New(rand.NewPCG(plan.Seed, 2)), answers: map[string]int{}}
 }
 
-func (c *clients) violate(format string, args ...any) {
+// reportViolation records a formatted violation of a rule.
+func (c *clients) reportViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-func (c *clients) count(answer string) {
+func (c *clients) countAnswer(answer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answers[answer]++
 }
 
-// draw returns a number below n.
-func (c *clients) draw(n int) int {
+// randomInt returns a random number in [0, n).
+func (c *clients) randomInt(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.random.IntN(n)
 }
 
-func (c *clients) drawTime(n time.Duration) time.Duration { return time.Duration(c.draw(int(n))) }
+// randomDuration returns a random duration in [0, n).
+func (c *clients) randomDuration(n time.Duration) time.Duration {
+	return time.Duration(c.randomInt(int(n)))
+}
 
-// begin records a request that is about to be sent.
-func (c *clients) begin() request {
-	patience := c.plan.Patience/2 + c.drawTime(c.plan.Patience)
+// newRequest returns a request that is sent now, with a random timeout.
+func (c *clients) newRequest() request {
+	timeout := c.plan.MeanTimeout/2 + c.randomDuration(c.plan.MeanTimeout)
 	return request{
-		id:       fmt.Sprintf("q%d", lastRequest.Add(1)),
-		sentAt:   time.Now(),
-		patience: min(patience, c.plan.Longest),
+		id:      fmt.Sprintf("q%d", lastRequestID.Add(1)),
+		sentAt:  time.Now(),
+		timeout: min(timeout, c.plan.MaxTimeout),
 	}
 }
 
-func (c *clients) record(r request) {
+func (c *clients) recordRequest(r request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests = append(c.requests, r)
 }
 
+// line encodes the request in the client protocol.
 func (r *request) line() string {
-	return fmt.Sprintf("OPEN %s key%s c=feed,d=%d\r\n", r.id, r.id, r.patience.Milliseconds())
+	return fmt.Sprintf("OPEN %s key%s c=feed,d=%d\r\n", r.id, r.id, r.timeout.Milliseconds())
 }
 
-// load sends requests to a proxy until the context ends.
-func (c *clients) load(ctx context.Context, p *proxy) {
-	for range persistentOnes {
-		c.wg.Go(func() { c.stayConnected(ctx, p) })
+// generateLoad sends requests to a proxy until ctx is done.
+func (c *clients) generateLoad(ctx context.Context, p *proxy) {
+	for range persistentClients {
+		c.wg.Go(func() { c.runPersistentClient(ctx, p) })
 	}
-	if c.plan.Crowd > 0 {
-		c.wg.Go(func() { c.crowd(ctx, p) })
+	if c.plan.IdleClients > 0 {
+		c.wg.Go(func() { c.holdIdleConnections(ctx, p) })
 	}
 	for ctx.Err() == nil {
-		time.Sleep(c.drawTime(2 * requestPause))
-		if !p.admitted() {
+		time.Sleep(c.randomDuration(2 * meanRequestInterval))
+		if !p.admitsConnections() {
 			continue
 		}
-		switch c.draw(10) {
+		switch c.randomInt(10) {
 		case 0:
-			c.wg.Go(func() { c.leaveEarly(p) })
+			c.wg.Go(func() { c.closeEarly(p) })
 		case 1:
-			c.wg.Go(func() { c.stopMidway(p) })
+			c.wg.Go(func() { c.sendPartialRequest(p) })
 		default:
 			c.wg.Go(func() { c.requestOnce(p) })
 		}
 	}
 }
 
-// send connects and sends a request; nil where the process did not accept it.
-func (c *clients) send(p *proxy, text string) net.Conn {
+// dialAndSend connects to a proxy and sends a text. It returns nil if the process did not accept the connection or the text.
+func (c *clients) dialAndSend(p *proxy, text string) net.Conn {
 	conn, err := net.DialTimeout("tcp", p.addr, dialTimeout)
 	if err != nil {
 		return nil
@@ -134,84 +139,86 @@
 	return conn
 }
 
-// readAnswer reads a request's answer and checks that it comes in its time. ok is false where the client is not connected.
+// readAnswer reads the answer to a request and checks that it arrives in time. ok reports whether the proxy connected the client to
+// an endpoint. The client then goes on with reader.
 func (c *clients) readAnswer(p *proxy, conn net.Conn, r request) (reader *bufio.Reader, ok bool) {
-	latest := r.sentAt.Add(r.patience + lateAnswer + harnessDelay)
-	_ = conn.SetReadDeadline(latest.Add(p.heldUpSince(r.sentAt) + badClientTime))
+	latest := r.sentAt.Add(r.timeout + answerGrace + schedulingSlack)
+	_ = conn.SetReadDeadline(latest.Add(p.suspendedSince(r.sentAt) + partialRequestTimeout))
 	reader = bufio.NewReader(conn)
 	line, err := reader.ReadString('\n')
 	arrived := time.Now()
 	switch {
-	case err != nil && p.killedBy(arrived):
-		c.count("killed")
+	case err != nil && p.endedBy(arrived):
+		c.countAnswer("killed")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.violate("request %s got no answer in %v", r.id, time.Since(r.sentAt))
+		c.reportViolation("request %s got no answer within %v", r.id, time.Since(r.sentAt))
 	case err != nil:
-		c.violate("request %s got %q and %v after %v", r.id, line, err, time.Since(r.sentAt))
-	case arrived.After(latest.Add(p.heldUpSince(r.sentAt))):
-		c.violate("request %s got %q after %v, its time is %v", r.id, line, arrived.Sub(r.sentAt), r.patience)
+		c.reportViolation("request %s got %q and %v after %v", r.id, line, err, time.Since(r.sentAt))
+	case arrived.After(latest.Add(p.suspendedSince(r.sentAt))):
+		c.reportViolation("request %s got %q after %v, its timeout is %v", r.id, line, arrived.Sub(r.sentAt), r.timeout)
 	}
 	if err == nil {
-		c.count(strings.Fields(line + " -")[0])
+		c.countAnswer(strings.Fields(line + " -")[0])
 		c.mu.Lock()
-		c.longest = max(c.longest, arrived.Sub(r.sentAt))
+		c.longestWait = max(c.longestWait, arrived.Sub(r.sentAt))
 		c.mu.Unlock()
 	}
 	return reader, err == nil && strings.HasPrefix(line, "UP ")
 }
 
-// requestOnce sends a request, reads its answer and leaves.
+// requestOnce sends a request, reads its answer and closes.
 func (c *clients) requestOnce(p *proxy) {
-	r := c.begin()
-	conn := c.send(p, r.line())
+	r := c.newRequest()
+	conn := c.dialAndSend(p, r.line())
 	if conn == nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	c.record(r)
+	c.recordRequest(r)
 	_, _ = c.readAnswer(p, conn, r)
 }
 
-// leaveEarly sends a request and closes before the answer.
-func (c *clients) leaveEarly(p *proxy) {
-	r := c.begin()
-	conn := c.send(p, r.line())
+// closeEarly sends a request and closes after at most a quarter of its timeout, without reading the answer.
+func (c *clients) closeEarly(p *proxy) {
+	r := c.newRequest()
+	conn := c.dialAndSend(p, r.line())
 	if conn == nil {
 		return
 	}
-	time.Sleep(c.drawTime(r.patience / 4))
+	time.Sleep(c.randomDuration(r.timeout / 4))
 	_ = conn.Close()
-	r.leftAt = time.Now()
-	c.record(r)
+	r.closedAt = time.Now()
+	c.recordRequest(r)
 }
 
-// stopMidway sends half a request and stays: it is answered or closed in time.
-func (c *clients) stopMidway(p *proxy) {
-	conn := c.send(p, "OPEN half key c=fe")
+// sendPartialRequest sends half a request, keeps the connection open, and checks that the proxy answers or closes it within
+// partialRequestTimeout.
+func (c *clients) sendPartialRequest(p *proxy) {
+	conn := c.dialAndSend(p, "OPEN half key c=fe")
 	if conn == nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	began := time.Now()
-	_ = conn.SetReadDeadline(began.Add(2 * badClientTime))
+	sentAt := time.Now()
+	_ = conn.SetReadDeadline(sentAt.Add(2 * partialRequestTimeout))
 	_, err := bufio.NewReader(conn).ReadString('\n')
-	if waited := time.Since(began); errors.Is(err, os.ErrDeadlineExceeded) || waited > badClientTime+p.heldUpSince(began)+harnessDelay {
-		c.violate("a client that stopped in the middle of its request waited %v: %v", waited, err)
+	if waited := time.Since(sentAt); errors.Is(err, os.ErrDeadlineExceeded) || waited > partialRequestTimeout+p.suspendedSince(sentAt)+schedulingSlack {
+		c.reportViolation("a client with a partial request waited %v: %v", waited, err)
 	}
 }
 
-// crowd keeps many idle connections.
-func (c *clients) crowd(ctx context.Context, p *proxy) {
+// holdIdleConnections keeps up to plan.IdleClients idle connections to a proxy open, and replaces the oldest ones.
+func (c *clients) holdIdleConnections(ctx context.Context, p *proxy) {
 	var conns []net.Conn
 	for ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
-		if !p.admitted() {
+		if !p.admitsConnections() {
 			continue
 		}
 		if conn, err := net.DialTimeout("tcp", p.addr, dialTimeout); err == nil {
 			conns = append(conns, conn)
 		}
-		if len(conns) > c.plan.Crowd {
+		if len(conns) > c.plan.IdleClients {
 			_ = conns[0].Close()
 			conns = conns[1:]
 		}
@@ -221,67 +228,68 @@
 	}
 }
 
-// stayConnected keeps an established connection in use, and comes back when it is told to move.
-func (c *clients) stayConnected(ctx context.Context, p *proxy) {
+// runPersistentClient uses an established connection, and sends a new request when the proxy notifies it to move or the connection
+// ends.
+func (c *clients) runPersistentClient(ctx context.Context, p *proxy) {
 	for ctx.Err() == nil {
-		time.Sleep(20*time.Millisecond + c.drawTime(50*time.Millisecond))
-		if !p.admitted() {
+		time.Sleep(20*time.Millisecond + c.randomDuration(50*time.Millisecond))
+		if !p.admitsConnections() {
 			continue
 		}
-		r := c.begin()
-		conn := c.send(p, r.line())
+		r := c.newRequest()
+		conn := c.dialAndSend(p, r.line())
 		if conn == nil {
 			continue
 		}
-		c.record(r)
+		c.recordRequest(r)
 		if reader, ok := c.readAnswer(p, conn, r); ok {
-			c.useConnection(ctx, p, conn, reader, r)
+			c.echoLines(ctx, p, conn, reader, r)
 		}
 		_ = conn.Close()
 	}
 }
 
-// useConnection sends lines over an established connection, until its end, and expects each back.
-func (c *clients) useConnection(ctx context.Context, p *proxy, conn net.Conn, reader *bufio.Reader, r request) {
+// echoLines sends lines over an established connection until it ends, and checks that the endpoint echoes each.
+func (c *clients) echoLines(ctx context.Context, p *proxy, conn net.Conn, reader *bufio.Reader, r request) {
 	for n := 0; ctx.Err() == nil; n++ {
 		line := fmt.Sprintf("line %d of %s\r\n", n, r.id)
 		sentAt := time.Now()
-		_, _ = io.WriteString(conn, line) // a failure shows in what is read
-		_ = conn.SetReadDeadline(sentAt.Add(maxEchoDelay + 2*badClientTime))
+		_, _ = io.WriteString(conn, line) // the read below reports a failure
+		_ = conn.SetReadDeadline(sentAt.Add(maxEchoDelay + 2*partialRequestTimeout))
 		got, err := reader.ReadString('\n')
 		waited := time.Since(sentAt)
 		switch {
 		case got == "MOVE\r\n":
-			c.count("MOVE")
+			c.countAnswer("MOVE")
 			return
-		case err != nil && p.killedBy(time.Now()):
-			c.violate("connection %s was still held at the kill", r.id)
+		case err != nil && p.endedBy(time.Now()):
+			c.reportViolation("connection %s was still open when its process ended", r.id)
 			return
 		case err != nil:
-			c.violate("connection %s ended without MOVE: %q, %v", r.id, got, err)
+			c.reportViolation("connection %s ended without MOVE: %q, %v", r.id, got, err)
 			return
 		case got != line:
-			c.violate("connection %s brought %q for %q", r.id, got, line)
+			c.reportViolation("connection %s returned %q for %q", r.id, got, line)
 			return
-		case waited > maxEchoDelay+p.heldUpSince(sentAt)+harnessDelay:
-			c.violate("connection %s held a line back for %v", r.id, waited)
+		case waited > maxEchoDelay+p.suspendedSince(sentAt)+schedulingSlack:
+			c.reportViolation("connection %s delayed a line by %v", r.id, waited)
 		}
-		time.Sleep(50*time.Millisecond + c.drawTime(200*time.Millisecond))
+		time.Sleep(50*time.Millisecond + c.randomDuration(200*time.Millisecond))
 	}
 }
 
-// checkAttempts compares the attempts with the requests.
+// checkAttempts reports each attempt that began after the deadline of its request or after its client had closed.
 func (c *clients) checkAttempts(attempts map[string][]time.Time) {
 	c.mu.Lock()
 	requests := c.requests
 	c.mu.Unlock()
 	for _, r := range requests {
 		for _, at := range attempts[r.id] {
-			if late := at.Sub(r.sentAt.Add(r.patience)); late > lateAttempt+harnessDelay {
-				c.violate("request %s was attempted %v after its time", r.id, late)
+			if late := at.Sub(r.sentAt.Add(r.timeout)); late > attemptGrace+schedulingSlack {
+				c.reportViolation("request %s was attempted %v after its deadline", r.id, late)
 			}
-			if late := at.Sub(r.leftAt); !r.leftAt.IsZero() && late > lateAttempt+harnessDelay {
-				c.violate("request %s was attempted %v after its client had closed", r.id, late)
+			if late := at.Sub(r.closedAt); !r.closedAt.IsZero() && late > attemptGrace+schedulingSlack {
+				c.reportViolation("request %s was attempted %v after its client had closed", r.id, late)
 			}
 		}
 	}
--- a/internal/testing/soak/costs.go
+++ b/internal/testing/soak/costs.go
@@ -14,60 +14,63 @@
 )
 
 const (
-	usualEndpoints = 200
-	manyEndpoints  = 16 * usualEndpoints
-	costTime       = 12 * time.Second // of traffic
-	costPause      = 150 * time.Millisecond
-	costSamples    = 500 * time.Millisecond // between two counts of descriptors
-	startsAtATime  = 8
-	megabyte       = 1 << 20
+	baselineEndpoints   = 200
+	scaledEndpoints     = 16 * baselineEndpoints
+	trafficDuration     = 12 * time.Second
+	costRequestInterval = 150 * time.Millisecond // mean time between the requests to a process
+	costSampleInterval  = 500 * time.Millisecond // between samples of memory and descriptors
+	maxConcurrentStarts = 8
+	megabyte            = 1 << 20
 )
 
-// Costs are what a group's processes needed in the mean.
+// Costs are the mean costs of a process of a group.
 type Costs struct {
 	CPU         time.Duration
 	Memory      float64 // peak, in bytes
-	Descriptors float64 // the most of each process
-	Connections float64 // made to endpoints
-	ListBytes   float64 // from service discovery
-	Served      float64 // share of the requests
+	Descriptors float64 // peak
+	Connections float64 // opened to endpoints
+	ListBytes   float64 // received from service discovery
+	ServedShare float64 // share of all requests in the group that were connected to an endpoint, 0 to 1
 }
 
-// Bound is one bound on what a list of manyEndpoints may cost beside one of usualEndpoints.
+// Bound limits what a list of scaledEndpoints may cost, relative to the cost of a list of baselineEndpoints. Scaled may be at most
+// Factor*Baseline + Extra.
 type Bound struct {
-	Name          string
-	Usual, Many   float64
-	Factor, Extra float64 // Many may be Factor times Usual, and Extra more
-	Least         bool    // the bound is from below
+	Name             string
+	Baseline, Scaled float64
+	Factor, Extra    float64
+	LowerBound       bool // Scaled must be at least Factor*Baseline + Extra instead
 }
 
-// Met reports whether the larger list costs no more than the bound allows.
+// Met reports whether Scaled satisfies the bound.
 func (b Bound) Met() bool {
-	limit := b.Factor*b.Usual + b.Extra
-	if b.Least {
-		return b.Many >= limit
+	limit := b.Factor*b.Baseline + b.Extra
+	if b.LowerBound {
+		return b.Scaled >= limit
 	}
-	return b.Many <= limit
+	return b.Scaled <= limit
 }
 
-// String is a row of a table: the costs at both sizes, and the bound.
+// String returns a table row with the name, both costs, and the limit for the scaled cost.
 func (b Bound) String() string {
-	return fmt.Sprintf("| %s | %.3f | %.3f | %.3f |", b.Name, b.Usual, b.Many, b.Factor*b.Usual+b.Extra)
+	return fmt.Sprintf("| %s | %.3f | %.3f | %.3f |", b.Name, b.Baseline, b.Scaled, b.Factor*b.Baseline+b.Extra)
 }
 
-// Comparison is what CompareCosts has found.
+// Comparison is the result of CompareCosts.
 type Comparison struct {
 	Bounds      []Bound
-	Violations  []string      // of the rules for requests
-	LongestWait time.Duration // for an answer, with manyEndpoints
+	Violations  []string      // of the rules for requests, in both groups
+	LongestWait time.Duration // for an answer, with scaledEndpoints
 }
 
-// CompareCosts runs two groups of processes side by side, with the same traffic and the same share of their lists replaced, and
-// returns the bounds that operators set (the page of the standing test). loadReports says that endpoints are asked for their load.
+// CompareCosts runs two groups of processes concurrently, one with a list of baselineEndpoints and one with scaledEndpoints. Both get
+// the same traffic, and the same share of both lists is replaced. It returns the costs with the bounds that the operators set on the
+// page of the standing test. With loadReports, the proxies ask endpoints for their load. It returns an error if dir cannot be written
+// or a process does not start.
 func CompareCosts(ctx context.Context, dir string, processes int, loadReports bool, program func() *exec.Cmd) (*Comparison, error) {
-	usual := &costGroup{endpointCount: usualEndpoints, loadReports: loadReports}
-	many := &costGroup{endpointCount: manyEndpoints, loadReports: loadReports}
-	groups := []*costGroup{usual, many}
+	baseline := &costGroup{endpointCount: baselineEndpoints, loadReports: loadReports}
+	scaled := &costGroup{endpointCount: scaledEndpoints, loadReports: loadReports}
+	groups := []*costGroup{baseline, scaled}
 	for i, group := range groups {
 		group.dir = filepath.Join(dir, fmt.Sprint(i))
 		if err := os.Mkdir(group.dir, 0o700); err != nil {
@@ -79,29 +82,29 @@
 		defer group.run.endpoints.close()
 		defer group.run.discovery.Close()
 	}
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for _, group := range groups {
-		playing.Go(func() { group.play(ctx) })
+		running.Go(func() { group.runTraffic(ctx) })
 	}
-	playing.Wait()
-	a, b := usual.costs(), many.costs()
-	const thousands = manyEndpoints / 1000.0
+	running.Wait()
+	baselineCosts, scaledCosts := baseline.meanCosts(), scaled.meanCosts()
+	const thousands = scaledEndpoints / 1000.0
 	bounds := []Bound{
-		{Name: "processor time, s", Usual: a.CPU.Seconds(), Many: b.CPU.Seconds(), Factor: 1.4, Extra: 0.02 + 0.03*thousands},
-		{Name: "peak memory, MB", Usual: a.Memory / megabyte, Many: b.Memory / megabyte, Factor: 1.5, Extra: 8 + 4*thousands},
-		{Name: "descriptors", Usual: a.Descriptors, Many: b.Descriptors, Factor: 2, Extra: 40},
-		{Name: "connections to endpoints", Usual: a.Connections, Many: b.Connections, Factor: 2.5, Extra: 40},
-		{Name: "list bytes, KB", Usual: a.ListBytes / 1000, Many: b.ListBytes / 1000, Factor: 2, Extra: 64 + 500*thousands},
-		{Name: "share served", Usual: a.Served, Many: b.Served, Factor: 0.85, Least: true},
+		{Name: "processor time, s", Baseline: baselineCosts.CPU.Seconds(), Scaled: scaledCosts.CPU.Seconds(), Factor: 1.4, Extra: 0.02 + 0.03*thousands},
+		{Name: "peak memory, MB", Baseline: baselineCosts.Memory / megabyte, Scaled: scaledCosts.Memory / megabyte, Factor: 1.5, Extra: 8 + 4*thousands},
+		{Name: "descriptors", Baseline: baselineCosts.Descriptors, Scaled: scaledCosts.Descriptors, Factor: 2, Extra: 40},
+		{Name: "connections to endpoints", Baseline: baselineCosts.Connections, Scaled: scaledCosts.Connections, Factor: 2.5, Extra: 40},
+		{Name: "list bytes, KB", Baseline: baselineCosts.ListBytes / 1000, Scaled: scaledCosts.ListBytes / 1000, Factor: 2, Extra: 64 + 500*thousands},
+		{Name: "share served", Baseline: baselineCosts.ServedShare, Scaled: scaledCosts.ServedShare, Factor: 0.85, LowerBound: true},
 	}
 	return &Comparison{
 		Bounds:      bounds,
-		Violations:  slices.Concat(usual.run.clients.violations, many.run.clients.violations),
-		LongestWait: many.run.clients.longest,
+		Violations:  slices.Concat(baseline.run.clients.violations, scaled.run.clients.violations),
+		LongestWait: scaled.run.clients.longestWait,
 	}, nil
 }
 
-// costGroup is a group of processes with lists of one size.
+// costGroup is a group of processes whose endpoint lists have the same size.
 type costGroup struct {
 	endpointCount int
 	loadReports   bool
@@ -109,16 +112,17 @@
 	run           *run
 
 	mu          sync.Mutex
-	descriptors map[*proxy]int     // the most that were open
+	descriptors map[*proxy]int     // peak of the open ones
 	memory      map[*proxy]float64 // peak, in bytes
-	states      []*os.ProcessState
+	exitStates  []*os.ProcessState
 }
 
+// start starts the processes of the group, at most maxConcurrentStarts at a time, and waits until they serve.
 func (g *costGroup) start(processes int, program func() *exec.Cmd) error {
 	plan := Plan{
 		Endpoints:   g.endpointCount,
-		Patience:    2 * time.Second,
-		Longest:     2 * time.Second,
+		MeanTimeout: 2 * time.Second,
+		MaxTimeout:  2 * time.Second,
 		Behaviors:   make([]endpointBehavior, listenerCount),
 		LoadReports: g.loadReports,
 	}
@@ -130,16 +134,16 @@
 	}
 	errs := make([]error, processes)
 	var starting sync.WaitGroup
-	slots := make(chan struct{}, startsAtATime)
+	permits := make(chan struct{}, maxConcurrentStarts)
 	for i := range processes {
 		p, err := g.run.addProxy(i)
 		if err != nil {
 			return err
 		}
 		starting.Go(func() {
-			slots <- struct{}{}
+			permits <- struct{}{}
 			errs[i] = p.start()
-			<-slots
+			<-permits
 		})
 	}
 	starting.Wait()
@@ -149,40 +153,40 @@
 	return nil
 }
 
-// play sends requests to all processes while the list is replaced, and ends them.
-func (g *costGroup) play(ctx context.Context) {
-	playing, cancel := context.WithTimeout(ctx, costTime)
+// runTraffic sends requests to all processes for trafficDuration while the endpoints are replaced, and then stops the processes.
+func (g *costGroup) runTraffic(ctx context.Context) {
+	trafficCtx, cancel := context.WithTimeout(ctx, trafficDuration)
 	defer cancel()
-	var working sync.WaitGroup
+	var tasks sync.WaitGroup
 	for _, p := range g.run.proxies {
-		working.Go(func() {
-			for pause(playing, costPause/2+g.run.clients.drawTime(costPause)) {
+		tasks.Go(func() {
+			for sleep(trafficCtx, costRequestInterval/2+g.run.clients.randomDuration(costRequestInterval)) {
 				g.run.clients.wg.Go(func() { g.run.clients.requestOnce(p) })
 			}
 		})
 	}
-	working.Go(func() { g.run.release(playing) })
-	working.Go(func() {
-		for pause(playing, costSamples) {
+	tasks.Go(func() { g.run.rollOutEndpoints(trafficCtx) })
+	tasks.Go(func() {
+		for sleep(trafficCtx, costSampleInterval) {
 			g.sample()
 		}
 	})
-	working.Wait()
+	tasks.Wait()
 	g.run.clients.wg.Wait()
 	g.sample()
 	for _, p := range g.run.proxies {
-		working.Go(func() {
+		tasks.Go(func() {
 			p.signal(syscall.SIGTERM)
-			_ = p.command.Wait() // the state tells how it ended
+			_ = p.command.Wait() // ProcessState records how it ended
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			g.states = append(g.states, p.command.ProcessState)
+			g.exitStates = append(g.exitStates, p.command.ProcessState)
 		})
 	}
-	working.Wait()
+	tasks.Wait()
 }
 
-// sample reads what the kernel counts of each process.
+// sample updates the peaks of descriptors and memory of each process from /proc.
 func (g *costGroup) sample() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -194,8 +198,8 @@
 	}
 }
 
-// peakMemory is the most memory that a process has had. What the kernel gives with the process's end is of no use: it has the memory
-// of the process that started it as well.
+// peakMemory returns the peak resident memory of a process, or 0 if it cannot be read. The peak in os.ProcessState is unusable,
+// because it includes the memory of the process that started it.
 func peakMemory(pid int) (bytes float64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -209,12 +213,12 @@
 	return kilobytes * 1024
 }
 
-// costs sums up the group.
-func (g *costGroup) costs() Costs {
+// meanCosts returns the mean costs of the processes of the group.
+func (g *costGroup) meanCosts() Costs {
 	var costs Costs
-	count := float64(len(g.states))
-	for _, state := range g.states {
-		costs.CPU += (state.UserTime() + state.SystemTime()) / time.Duration(len(g.states))
+	count := float64(len(g.exitStates))
+	for _, state := range g.exitStates {
+		costs.CPU += (state.UserTime() + state.SystemTime()) / time.Duration(len(g.exitStates))
 	}
 	for _, peak := range g.memory {
 		costs.Memory += peak / count
@@ -227,10 +231,10 @@
 	total := 0
 	for answer, n := range g.run.clients.answers {
 		if strings.HasPrefix(answer, "UP") {
-			costs.Served = float64(n)
+			costs.ServedShare = float64(n)
 		}
 		total += n
 	}
-	costs.Served /= float64(max(total, 1))
+	costs.ServedShare /= float64(max(total, 1))
 	return costs
 }
--- a/internal/testing/soak/endpoints.go
+++ b/internal/testing/soak/endpoints.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// endpointBehavior is what the endpoints of a listener do with a request.
+// endpointBehavior is how the endpoints of a listener respond to a request.
 type endpointBehavior int
 
 const (
@@ -28,30 +28,32 @@
 	behaviorCount
 )
 
-// String names a behavior.
+// String returns the name of a behavior in logs.
 func (b endpointBehavior) String() string {
 	return [...]string{"normal", "slow", "hang", "reset", "busy", "error", "refuse"}[b]
 }
 
-const slowAnswer = 120 * time.Millisecond
+// slowAnswerDelay is how long an endpoint with behaviorSlow waits before it answers.
+const slowAnswerDelay = 120 * time.Millisecond
 
-// attemptRecord is one attempt as an endpoint saw it.
+// attemptRecord is one attempt that an endpoint received.
 type attemptRecord struct {
-	request string // its id
-	at      time.Time
+	requestID string
+	at        time.Time
 }
 
-// endpoints plays all endpoints of a run on a few listeners.
+// endpoints simulates all endpoints of a run with a few listeners.
 type endpoints struct {
 	addrs    []string // of the listeners
 	closers  []func()
-	accepted atomic.Int64 // connections
+	accepted atomic.Int64 // number of connections
 
 	mu       sync.Mutex
 	attempts []attemptRecord
-	ended    map[string]bool // requests whose connection an endpoint has ended
+	ended    map[string]bool // IDs of requests whose connection an endpoint closed
 }
 
+// startEndpoints starts one listener for each behavior.
 func startEndpoints(behaviors []endpointBehavior) (*endpoints, error) {
 	e := &endpoints{ended: map[string]bool{}}
 	for _, behavior := range behaviors {
@@ -83,14 +85,14 @@
 	}
 }
 
-// reservedPort is a port that refuses connections and that nobody else gets.
+// reservedPort is a port that refuses connections and that no other socket can bind.
 type reservedPort struct {
 	addr  string
 	close func()
 }
 
-// reservePort binds a socket that does not listen. A listener that is closed would give its port to others, whose peers would then get
-// the connections that are to be refused.
+// reservePort binds a socket that does not listen. A closed listener would free its port, and another process that got the port would
+// accept the connections that must be refused.
 func reservePort() (reservedPort, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -109,7 +111,7 @@
 	return reservedPort{addr: fmt.Sprintf("127.0.0.1:%d", bound.(*unix.SockaddrInet4).Port), close: release}, nil
 }
 
-// entry is an entry of the endpoint list.
+// entry returns the list entry of an endpoint. Its number selects its listener and its zone.
 func (e *endpoints) entry(number int, lifecycle string, startedAt time.Time) fakes.Entry {
 	return fakes.Entry{
 		ID:        fmt.Sprintf("s-%05d", number),
@@ -120,7 +122,7 @@
 	}
 }
 
-// entries are count entries from a number on.
+// entries returns the list entries of the endpoints from first to first+count-1.
 func (e *endpoints) entries(first, count int, lifecycle string, startedAt time.Time) []fakes.Entry {
 	entries := make([]fakes.Entry, 0, count)
 	for i := first; i < first+count; i++ {
@@ -140,6 +142,7 @@
 	}
 }
 
+// serve reads one request from a connection, answers according to the behavior, and echoes lines once the client is connected.
 func (e *endpoints) serve(conn net.Conn, behavior endpointBehavior) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -159,7 +162,7 @@
 	answer := "UP r\r\n"
 	switch behavior {
 	case behaviorSlow:
-		time.Sleep(slowAnswer)
+		time.Sleep(slowAnswerDelay)
 	case behaviorHang:
 		_, _ = reader.ReadString('\n')
 		return
@@ -184,13 +187,13 @@
 	}
 }
 
-// attemptsByRequest returns when the attempts for each request came.
+// attemptsByRequest returns the arrival times of the attempts for each request ID.
 func (e *endpoints) attemptsByRequest() map[string][]time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	byRequest := map[string][]time.Time{}
 	for _, attempt := range e.attempts {
-		byRequest[attempt.request] = append(byRequest[attempt.request], attempt.at)
+		byRequest[attempt.requestID] = append(byRequest[attempt.requestID], attempt.at)
 	}
 	return byRequest
 }
--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -7,57 +7,57 @@
 	"time"
 )
 
-// Plan is what a run consists of.
+// Plan describes the load and the faults of a run.
 type Plan struct {
-	Seed      uint64
-	Endpoints int
-	Patience  time.Duration // of a request's client, in the mean
-	Longest   time.Duration // deadline of the settings: a process is killed so long and killDelay after SIGTERM
-	Crowd     int           // idle clients at a time
-	HoldUps   []time.Duration
-	Clock     time.Duration // by which the processes' wall clock is set midway
-	// FaultEvery is every how many system calls on a socket one fails; 0: none does.
-	FaultEvery int
-	Behaviors  []endpointBehavior // of the listeners on which endpoints are played
-	// HotRestart says that the first process hands over to its successor, in place of a stop and a start.
+	Seed        uint64
+	Endpoints   int
+	MeanTimeout time.Duration   // mean timeout of a request
+	MaxTimeout  time.Duration   // timeout in the settings; a process is killed MaxTimeout + killDelay after SIGTERM
+	IdleClients int             // number of idle connections to each proxy
+	Suspensions []time.Duration // how long the last proxy is stopped with SIGSTOP, each time
+	ClockStep   time.Duration   // step of the processes' wall clock halfway through the run; 0: none
+	// CallsPerFault is the mean number of system calls on sockets for each one that fails; 0: none fails.
+	CallsPerFault int
+	Behaviors     []endpointBehavior // of each listener that simulates endpoints
+	// HotRestart makes the first process hand over to its successor, instead of a stop and a start.
 	HotRestart  bool
-	LoadReports bool // endpoints report their load when they are asked
+	LoadReports bool // proxies ask endpoints for their load
 }
 
 const (
-	killDelay      = 700 * time.Millisecond // after the longest deadline
-	runTime        = 6 * time.Second        // of clients, before the last processes are ended
-	proxyCount     = 2
-	listenerCount  = 8
-	largeList      = 3200
-	releaseParts   = 12
-	releaseStep    = 350 * time.Millisecond
-	requestPause   = 15 * time.Millisecond // between the requests to a proxy, in the mean
-	persistentOnes = 12                    // clients with established connections, by proxy
+	killDelay           = 700 * time.Millisecond // after Plan.MaxTimeout
+	runDuration         = 6 * time.Second        // until all processes are stopped
+	proxyCount          = 2
+	listenerCount       = 8
+	maxEndpoints        = 3200
+	rolloutBatches      = 12
+	rolloutInterval     = 350 * time.Millisecond
+	meanRequestInterval = 15 * time.Millisecond // mean time between the requests to a proxy
+	persistentClients   = 12                    // clients with established connections to each proxy
 )
 
-// NewPlan draws a plan.
+// NewPlan returns the plan that the seed determines.
 func NewPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 26181))
 	between := func(from, to time.Duration) time.Duration { return from + time.Duration(random.Int64N(int64(to-from))) }
 	plan := Plan{
-		Seed:      seed,
-		Endpoints: []int{24, 200, largeList}[random.IntN(3)],
-		Patience:  between(300*time.Millisecond, 1500*time.Millisecond),
-		Longest:   between(1800*time.Millisecond, 3*time.Second),
-		Behaviors: make([]endpointBehavior, listenerCount),
+		Seed:        seed,
+		Endpoints:   []int{24, 200, maxEndpoints}[random.IntN(3)],
+		MeanTimeout: between(300*time.Millisecond, 1500*time.Millisecond),
+		MaxTimeout:  between(1800*time.Millisecond, 3*time.Second),
+		Behaviors:   make([]endpointBehavior, listenerCount),
 	}
 	if random.IntN(2) == 0 {
-		plan.Crowd = 100 + random.IntN(200)
+		plan.IdleClients = 100 + random.IntN(200)
 	}
 	for range random.IntN(3) {
-		plan.HoldUps = append(plan.HoldUps, between(50*time.Millisecond, 1500*time.Millisecond))
+		plan.Suspensions = append(plan.Suspensions, between(50*time.Millisecond, 1500*time.Millisecond))
 	}
 	if random.IntN(3) == 0 {
-		plan.Clock = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}[random.IntN(4)]
+		plan.ClockStep = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}[random.IntN(4)]
 	}
 	if random.IntN(2) == 0 {
-		plan.FaultEvery = 10 + random.IntN(200)
+		plan.CallsPerFault = 10 + random.IntN(200)
 	}
 	for i := range 2 {
 		plan.Behaviors[i] = endpointBehavior(random.IntN(int(behaviorCount)))
@@ -67,21 +67,21 @@
 	return plan
 }
 
-// String says what is special in a plan.
+// String describes the plan for logs. It names only the faults that the plan has.
 func (p Plan) String() string {
-	parts := []string{fmt.Sprintf("seed %d: %d endpoints (%v, %v), patience %v, deadline %v", p.Seed, p.Endpoints, p.Behaviors[0], p.Behaviors[1],
-		p.Patience.Round(time.Millisecond), p.Longest.Round(time.Millisecond))}
-	if p.Crowd > 0 {
-		parts = append(parts, fmt.Sprintf("crowd of %d", p.Crowd))
+	parts := []string{fmt.Sprintf("seed %d: %d endpoints (%v, %v), mean timeout %v, maximum timeout %v", p.Seed, p.Endpoints, p.Behaviors[0], p.Behaviors[1],
+		p.MeanTimeout.Round(time.Millisecond), p.MaxTimeout.Round(time.Millisecond))}
+	if p.IdleClients > 0 {
+		parts = append(parts, fmt.Sprintf("%d idle clients", p.IdleClients))
 	}
-	for _, holdUp := range p.HoldUps {
-		parts = append(parts, fmt.Sprintf("held up for %v", holdUp.Round(time.Millisecond)))
+	for _, suspension := range p.Suspensions {
+		parts = append(parts, fmt.Sprintf("suspended for %v", suspension.Round(time.Millisecond)))
 	}
-	if p.Clock != 0 {
-		parts = append(parts, fmt.Sprintf("clock set by %v", p.Clock))
+	if p.ClockStep != 0 {
+		parts = append(parts, fmt.Sprintf("clock stepped by %v", p.ClockStep))
 	}
-	if p.FaultEvery > 0 {
-		parts = append(parts, fmt.Sprintf("every %dth system call fails", p.FaultEvery))
+	if p.CallsPerFault > 0 {
+		parts = append(parts, fmt.Sprintf("one in %d system calls fails", p.CallsPerFault))
 	}
 	if p.HotRestart {
 		parts = append(parts, "hot restart")
--- a/internal/testing/soak/proxies.go
+++ b/internal/testing/soak/proxies.go
@@ -15,33 +15,34 @@
 
 const (
 	startTimeout = 20 * time.Second
-	// arrivals is how long after SIGTERM new connections still come.
-	arrivals   = 300 * time.Millisecond
-	servesText = " serves at "
-	// successorTime is how long two processes run side by side at a hot restart.
-	successorTime = 400 * time.Millisecond
+	// admissionGrace is how long after SIGTERM clients still open new connections.
+	admissionGrace = 300 * time.Millisecond
+	// addressMarker precedes the address in the log line that a process writes when it serves.
+	addressMarker = " serves at "
+	// handoverOverlap is how long both processes run during a hot restart before the predecessor gets SIGTERM.
+	handoverOverlap = 400 * time.Millisecond
 )
 
-// holdUp is a time in which a process was stopped.
-type holdUp struct{ from, to time.Time }
+// suspension is a period in which a process was stopped with SIGSTOP. to is zero while it lasts.
+type suspension struct{ from, to time.Time }
 
-// proxy is one proxy process after the other, at changing addresses.
+// proxy is a proxy process and, after restarts, its successors. The address changes with each process.
 type proxy struct {
 	name       string
 	newCommand func() *exec.Cmd
 	configPath string
 
-	mu       sync.Mutex
-	command  *exec.Cmd
-	addr     string
-	serving  bool
-	closesAt time.Time // when no connections come any more; zero: no stop has begun
-	killedAt time.Time // zero: it runs
-	holdUps  []holdUp
-	log      strings.Builder
+	mu          sync.Mutex
+	command     *exec.Cmd
+	addr        string
+	serving     bool
+	admitsUntil time.Time // when clients stop opening connections; zero if no stop has begun
+	endedAt     time.Time // zero while the process runs
+	suspensions []suspension
+	log         strings.Builder
 }
 
-// start starts a process and waits until it serves.
+// start starts a process and waits until it serves. It returns an error with the log if that takes longer than startTimeout.
 func (p *proxy) start() error {
 	command := p.newCommand()
 	stderr, err := command.StderrPipe()
@@ -56,7 +57,7 @@
 		lines := bufio.NewScanner(stderr)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			if _, rest, ok := strings.Cut(lines.Text(), servesText); ok {
+			if _, rest, ok := strings.Cut(lines.Text(), addressMarker); ok {
 				select {
 				case addr <- strings.Fields(rest)[0]:
 				default:
@@ -68,48 +69,49 @@
 		}
 	}()
 	select {
-	case served := <-addr:
+	case servingAddr := <-addr:
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.command, p.addr, p.serving = command, served, true
-		p.closesAt, p.killedAt = time.Time{}, time.Time{}
+		p.command, p.addr, p.serving = command, servingAddr, true
+		p.admitsUntil, p.endedAt = time.Time{}, time.Time{}
 		return nil
 	case <-time.After(startTimeout):
 		_ = command.Process.Kill()
-		return fmt.Errorf("%s does not serve: %s", p.name, p.log.String())
+		return fmt.Errorf("%s did not start serving: %s", p.name, p.log.String())
 	}
 }
 
-// admitted reports whether the front sends the process connections.
-func (p *proxy) admitted() bool {
+// admitsConnections reports whether clients may open connections to the process.
+func (p *proxy) admitsConnections() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.serving && (p.closesAt.IsZero() || time.Now().Before(p.closesAt))
+	return p.serving && (p.admitsUntil.IsZero() || time.Now().Before(p.admitsUntil))
 }
 
-// killedBy reports whether the process had been killed at a time.
-func (p *proxy) killedBy(at time.Time) bool {
+// endedBy reports whether the process had exited or had been killed by a time.
+func (p *proxy) endedBy(at time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.killedAt.IsZero() && !at.Before(p.killedAt)
+	return !p.endedAt.IsZero() && !at.Before(p.endedAt)
 }
 
-// heldUpSince returns for how long the process has been stopped since a time.
-func (p *proxy) heldUpSince(since time.Time) (length time.Duration) {
+// suspendedSince returns the total length of the suspensions that ended after a time or still last.
+func (p *proxy) suspendedSince(since time.Time) (length time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, h := range p.holdUps {
-		to := h.to
+	for _, s := range p.suspensions {
+		to := s.to
 		if to.IsZero() {
 			to = time.Now()
 		}
 		if to.After(since) {
-			length += to.Sub(h.from)
+			length += to.Sub(s.from)
 		}
 	}
 	return length
 }
 
+// signal sends signals to the process, in order.
 func (p *proxy) signal(signals ...syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,25 +120,25 @@
 	}
 }
 
-// stopFor has the process stand still.
-func (p *proxy) stopFor(length time.Duration) {
+// suspend stops the process with SIGSTOP for a time.
+func (p *proxy) suspend(length time.Duration) {
 	p.mu.Lock()
-	p.holdUps = append(p.holdUps, holdUp{from: time.Now()})
+	p.suspensions = append(p.suspensions, suspension{from: time.Now()})
 	p.mu.Unlock()
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(length)
 	p.signal(syscall.SIGCONT)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holdUps[len(p.holdUps)-1].to = time.Now()
+	p.suspensions[len(p.suspensions)-1].to = time.Now()
 }
 
-// stop ends the process by SIGTERM, in a series of signals, and kills it at the earliest time that operators allow. The error says
-// that it did not end in order.
-func (p *proxy) stop(longestDeadline time.Duration) error {
-	began := time.Now()
+// stop sends SIGTERM among other signals and kills the process at the earliest time that operators allow, killDelay after maxTimeout.
+// It returns an error if the process was killed or exited with an error.
+func (p *proxy) stop(maxTimeout time.Duration) error {
+	signaledAt := time.Now()
 	p.mu.Lock()
-	p.closesAt = began.Add(arrivals)
+	p.admitsUntil = signaledAt.Add(admissionGrace)
 	p.mu.Unlock()
 	p.signal(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGUSR1)
 	exited := make(chan error, 1)
@@ -145,47 +147,47 @@
 	select {
 	case err = <-exited:
 		p.mu.Lock()
-		p.killedAt = time.Now() // its connections have ended before, each with what it was owed
+		p.endedAt = time.Now() // before its exit, the process answered or moved all clients and closed their connections
 		p.serving = false
 		p.mu.Unlock()
-	case <-time.After(longestDeadline + killDelay):
+	case <-time.After(maxTimeout + killDelay):
 		p.mu.Lock()
-		p.killedAt = time.Now()
+		p.endedAt = time.Now()
 		p.serving = false
 		p.mu.Unlock()
 		p.signal(syscall.SIGKILL)
 		<-exited
-		err = errors.New("still ran at the kill")
+		err = errors.New("still running at the kill deadline")
 	}
 	if err != nil {
-		return fmt.Errorf("%s, %v after SIGTERM: %w", p.name, time.Since(began).Round(time.Millisecond), err)
+		return fmt.Errorf("%s, %v after SIGTERM: %w", p.name, time.Since(signaledAt).Round(time.Millisecond), err)
 	}
 	return nil
 }
 
-// hotRestart starts a successor, which takes the place of the process without its clients noticing, and ends the process. The error
-// says that one of both did not do so.
-func (p *proxy) hotRestart(longestDeadline time.Duration) error {
+// hotRestart starts a successor, which takes over from the process transparently to the clients, and stops the process. It returns an
+// error if the successor does not start, or if the process does not exit cleanly within maxTimeout + killDelay.
+func (p *proxy) hotRestart(maxTimeout time.Duration) error {
 	predecessor := p.command
 	if err := p.start(); err != nil {
 		return err
 	}
-	time.Sleep(successorTime)
-	began := time.Now()
+	time.Sleep(handoverOverlap)
+	signaledAt := time.Now()
 	_ = predecessor.Process.Signal(syscall.SIGTERM)
 	exited := make(chan error, 1)
 	go func() { exited <- predecessor.Wait() }()
 	select {
 	case err := <-exited:
 		return err
-	case <-time.After(longestDeadline + killDelay):
+	case <-time.After(maxTimeout + killDelay):
 		_ = predecessor.Process.Kill()
 		<-exited
-		return fmt.Errorf("%s, %v after SIGTERM: the predecessor still ran at the kill", p.name, time.Since(began).Round(time.Millisecond))
+		return fmt.Errorf("%s, %v after SIGTERM: the predecessor was still running at the kill deadline", p.name, time.Since(signaledAt).Round(time.Millisecond))
 	}
 }
 
-// reload replaces a text of the configuration and sends a series of signals.
+// reload replaces a text in the configuration file and sends signals in quick succession, SIGHUP among them.
 func (p *proxy) reload(from, to string) error {
 	text, err := os.ReadFile(p.configPath)
 	if err != nil {
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -14,23 +14,23 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// Options say how a run is played.
+// Options configure a run.
 type Options struct {
 	Plan    Plan
-	Dir     string           // for configurations; empty
-	Program func() *exec.Cmd // the proxy, in an environment in which InstallFaults runs first
+	Dir     string           // for configuration files; must be empty
+	Program func() *exec.Cmd // returns the command of the proxy, which must call InstallFaults first
 }
 
-// Report is what a run has shown.
+// Report is the result of a run.
 type Report struct {
 	Plan       Plan
-	Answers    map[string]int // by their first word
-	Attempts   int
+	Answers    map[string]int // counts, by the first word of the answer
+	Attempts   int            // number of requests that reached an endpoint
 	Violations []string
-	Logs       map[string]string // of the processes, by name
+	Logs       map[string]string // of the proxies, by name
 }
 
-// run is a run that is being played.
+// run is a run in progress.
 type run struct {
 	Options
 	random    *rand.Rand
@@ -61,7 +61,7 @@
 	return r, nil
 }
 
-// Run plays a plan. The error says that it could not be played.
+// Run executes a plan. It returns an error if the run could not start; violations of the rules are in the report.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	r, err := newRun(options)
 	if err != nil {
@@ -78,7 +78,7 @@
 			return nil, err
 		}
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	r.clients.wg.Wait()
 	attempts := r.endpoints.attemptsByRequest()
 	r.clients.checkAttempts(attempts)
@@ -89,29 +89,29 @@
 	return report, nil
 }
 
-// play has the clients send, and the faults happen, and ends all processes.
-func (r *run) play(ctx context.Context) {
-	sending, stopSending := context.WithTimeout(ctx, runTime)
-	defer stopSending()
-	using, stopUsing := context.WithCancel(ctx)
-	defer stopUsing()
-	var loads sync.WaitGroup
+// execute generates load, injects the faults of the plan, and stops all processes at the end.
+func (r *run) execute(ctx context.Context) {
+	faultCtx, endFaults := context.WithTimeout(ctx, runDuration)
+	defer endFaults()
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	var generators sync.WaitGroup
 	for _, p := range r.proxies {
-		loads.Go(func() { r.clients.load(using, p) })
+		generators.Go(func() { r.clients.generateLoad(loadCtx, p) })
 	}
 	var faults sync.WaitGroup
-	for _, fault := range []func(context.Context){r.release, r.holdUps, r.reloads, r.setClock, r.restartFirst} {
-		faults.Go(func() { fault(sending) })
+	for _, fault := range []func(context.Context){r.rollOutEndpoints, r.suspendLastProxy, r.reloadProxies, r.stepClock, r.restartFirstProxy} {
+		faults.Go(func() { fault(faultCtx) })
 	}
 	faults.Wait()
-	<-sending.Done()
-	r.stopAll() // established connections are in use until the end
-	stopUsing()
-	loads.Wait()
+	<-faultCtx.Done()
+	r.stopAllProxies() // the load continues, so that established connections are in use during the stop
+	stopLoad()
+	generators.Wait()
 }
 
-// pause waits and reports whether the run goes on.
-func pause(ctx context.Context, length time.Duration) bool {
+// sleep waits for a time. It returns false at once when ctx is done.
+func sleep(ctx context.Context, length time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -120,35 +120,38 @@
 	}
 }
 
-// release replaces endpoints in parts: draining, gone, new ones that start cold.
-func (r *run) release(ctx context.Context) {
-	part := max(r.Plan.Endpoints/releaseParts, 1)
-	for first := 0; first < r.Plan.Endpoints/2; first += part {
+// rollOutEndpoints replaces half of the endpoints in batches: the endpoints of a batch drain, then leave the list, and then new
+// endpoints join, which start cold.
+func (r *run) rollOutEndpoints(ctx context.Context) {
+	batch := max(r.Plan.Endpoints/rolloutBatches, 1)
+	for first := 0; first < r.Plan.Endpoints/2; first += batch {
 		for _, lifecycle := range []string{"terminating", "terminated"} {
-			if !pause(ctx, releaseStep) {
+			if !sleep(ctx, rolloutInterval) {
 				return
 			}
-			r.discovery.Set(r.endpoints.entries(first, part, lifecycle, time.Time{})...)
+			r.discovery.Set(r.endpoints.entries(first, batch, lifecycle, time.Time{})...)
 		}
-		if !pause(ctx, releaseStep) {
+		if !sleep(ctx, rolloutInterval) {
 			return
 		}
-		r.discovery.Set(r.endpoints.entries(r.Plan.Endpoints+first, part, "in_service", time.Now().Add(r.Plan.Clock))...)
+		r.discovery.Set(r.endpoints.entries(r.Plan.Endpoints+first, batch, "in_service", time.Now().Add(r.Plan.ClockStep))...)
 	}
 }
 
-func (r *run) holdUps(ctx context.Context) {
-	for _, length := range r.Plan.HoldUps {
-		if !pause(ctx, time.Second) {
+// suspendLastProxy suspends the last proxy for each duration of the plan.
+func (r *run) suspendLastProxy(ctx context.Context) {
+	for _, length := range r.Plan.Suspensions {
+		if !sleep(ctx, time.Second) {
 			return
 		}
-		r.proxies[len(r.proxies)-1].stopFor(length)
+		r.proxies[len(r.proxies)-1].suspend(length)
 	}
 }
 
-func (r *run) reloads(ctx context.Context) {
+// reloadProxies reloads the proxies in turn, each time with a changed setting.
+func (r *run) reloadProxies(ctx context.Context) {
 	for i := range 3 {
-		if !pause(ctx, 1500*time.Millisecond) {
+		if !sleep(ctx, 1500*time.Millisecond) {
 			return
 		}
 		from, to := `"MaxRetryAfter":1`, `"MaxRetryAfter":2`
@@ -156,53 +159,54 @@
 			from, to = to, from
 		}
 		if err := r.proxies[i%len(r.proxies)].reload(from, to); err != nil {
-			r.clients.violate("reload: %v", err)
+			r.clients.reportViolation("reload: %v", err)
 		}
 	}
 }
 
-func (r *run) setClock(ctx context.Context) {
-	if r.Plan.Clock == 0 || !pause(ctx, runTime/2) {
+// stepClock steps the wall clock of the processes halfway through the run.
+func (r *run) stepClock(ctx context.Context) {
+	if r.Plan.ClockStep == 0 || !sleep(ctx, runDuration/2) {
 		return
 	}
-	if err := os.WriteFile(r.clockFile, []byte(strconv.FormatInt(int64(r.Plan.Clock), 10)), 0o600); err != nil {
-		r.clients.violate("clock: %v", err)
+	if err := os.WriteFile(r.clockFile, []byte(strconv.FormatInt(int64(r.Plan.ClockStep), 10)), 0o600); err != nil {
+		r.clients.reportViolation("clock: %v", err)
 	}
 }
 
-// restartFirst ends the first process midway and starts it again.
-func (r *run) restartFirst(ctx context.Context) {
-	if !pause(ctx, runTime/4) {
+// restartFirstProxy restarts the first proxy after a quarter of the run.
+func (r *run) restartFirstProxy(ctx context.Context) {
+	if !sleep(ctx, runDuration/4) {
 		return
 	}
 	if r.Plan.HotRestart {
-		if err := r.proxies[0].hotRestart(r.Plan.Longest); err != nil {
-			r.clients.violate("hot restart: %v", err)
+		if err := r.proxies[0].hotRestart(r.Plan.MaxTimeout); err != nil {
+			r.clients.reportViolation("hot restart: %v", err)
 		}
 		return
 	}
-	if err := r.proxies[0].stop(r.Plan.Longest); err != nil {
-		r.clients.violate("%v", err)
+	if err := r.proxies[0].stop(r.Plan.MaxTimeout); err != nil {
+		r.clients.reportViolation("%v", err)
 	}
 	if err := r.proxies[0].start(); err != nil {
-		r.clients.violate("%v", err)
+		r.clients.reportViolation("%v", err)
 	}
 }
 
-// stopAll ends all processes at once.
-func (r *run) stopAll() {
+// stopAllProxies stops all processes concurrently.
+func (r *run) stopAllProxies() {
 	var stopping sync.WaitGroup
 	for _, p := range r.proxies {
 		stopping.Go(func() {
-			if err := p.stop(r.Plan.Longest); err != nil {
-				r.clients.violate("%v", err)
+			if err := p.stop(r.Plan.MaxTimeout); err != nil {
+				r.clients.reportViolation("%v", err)
 			}
 		})
 	}
 	stopping.Wait()
 }
 
-// addProxy writes the configuration of the i-th proxy, which it does not start.
+// addProxy writes the configuration of the i-th proxy and adds the proxy to the run, but does not start it.
 func (r *run) addProxy(i int) (*proxy, error) {
 	p := &proxy{name: fmt.Sprint("proxy", i), configPath: filepath.Join(r.Dir, fmt.Sprintf("proxy%d.json", i))}
 	if err := os.WriteFile(p.configPath, []byte(r.config(p.name)), 0o600); err != nil {
@@ -212,8 +216,8 @@
 	p.newCommand = func() *exec.Cmd {
 		command := r.Program()
 		command.Env = append(command.Env, "EDGE_CONFIG="+p.configPath, "TMPDIR="+r.Dir, envClockFile+"="+r.clockFile)
-		if r.Plan.FaultEvery > 0 {
-			command.Env = append(command.Env, fmt.Sprintf("%s=%d", envFaultEvery, r.Plan.FaultEvery), fmt.Sprintf("%s=%d", envFaultSeed, seed))
+		if r.Plan.CallsPerFault > 0 {
+			command.Env = append(command.Env, fmt.Sprintf("%s=%d", envFaultEvery, r.Plan.CallsPerFault), fmt.Sprintf("%s=%d", envFaultSeed, seed))
 		}
 		return command
 	}
@@ -221,7 +225,7 @@
 	return p, nil
 }
 
-// loadReportSettings are the members by which proxies ask endpoints for their load.
+// loadReportSettings returns the settings with which proxies ask endpoints for their load, or "" if the plan has no load reports.
 func (p Plan) loadReportSettings() string {
 	if !p.LoadReports {
 		return ""
@@ -230,12 +234,13 @@
 		"FamilyInfo":{"TenantQuotaConnections":[1000]},`
 }
 
-// config is a proxy's configuration. Its known list is the one of the run's beginning.
+// config returns the configuration of a proxy. Its list of known endpoints is the one from the start of the run, also after a
+// restart.
 func (r *run) config(name string) string {
 	return fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 		"known":%s,"settings":{"Balancers":%d,"Discovery":"subscribe","Zone":"a",%s
 		"Categories":[{"Name":"feed","Aim":1,"GiveUp":%g,"Credit":5,"Effect":"safe","DedupScope":"all"}],
 		"Limits":{"AttemptsCap":4,"ConnectTimeout":0.3,"MaxRetryAfter":1,"MaxOpen":100000,"RetryAfter":true,"MayCancel":true,"Probes":true},
 		"Invariants":{"AnswerSlack":0.016,"AskEvery":1,"Cold":8.9,"ColdFrom":0.3,"DrainGrace":3,"Fall":1,"OverloadFactor":3}}}`,
-		name, r.discovery.Addr, r.random.Uint64(), r.discovery.List(), proxyCount, r.Plan.loadReportSettings(), r.Plan.Longest.Seconds())
+		name, r.discovery.Addr, r.random.Uint64(), r.discovery.List(), proxyCount, r.Plan.loadReportSettings(), r.Plan.MaxTimeout.Seconds())
 }
