--- a/internal/testing/soak/costs.go
+++ b/internal/testing/soak/costs.go
@@ -64,8 +64,8 @@
 }
 
 // CompareCosts runs two groups of processes concurrently, one with a list of baselineEndpoints and one with scaledEndpoints. Both get
-// the same traffic, and the same share of both lists is replaced. It returns the costs with the bounds that the operators set on the
-// page of the standing test. With loadReports, the proxies ask endpoints for their load. It returns an error if dir cannot be written
+// the same traffic, and the same share of both lists is replaced. It returns the costs and their bounds, which the operators set on
+// the page of the standing test. With loadReports, the proxies ask endpoints for their load. It returns an error if dir cannot be written
 // or a process does not start.
 func CompareCosts(ctx context.Context, dir string, processes int, loadReports bool, program func() *exec.Cmd) (*Comparison, error) {
 	baseline := &costGroup{endpointCount: baselineEndpoints, loadReports: loadReports}
@@ -112,7 +112,7 @@
 	run           *run
 
 	mu          sync.Mutex
-	descriptors map[*proxy]int     // peak of the open ones
+	descriptors map[*proxy]int     // peak number of open descriptors
 	memory      map[*proxy]float64 // peak, in bytes
 	exitStates  []*os.ProcessState
 }
--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -11,14 +11,14 @@
 type Plan struct {
 	Seed        uint64
 	Endpoints   int
-	MeanTimeout time.Duration   // mean timeout of a request
-	MaxTimeout  time.Duration   // timeout in the settings; a process is killed MaxTimeout + killDelay after SIGTERM
+	MeanTimeout time.Duration   // of a request
+	MaxTimeout  time.Duration   // of a request, also in the settings; a process is killed MaxTimeout + killDelay after SIGTERM
 	IdleClients int             // number of idle connections to each proxy
-	Suspensions []time.Duration // how long the last proxy is stopped with SIGSTOP, each time
+	Suspensions []time.Duration // length of each suspension of the last proxy by SIGSTOP
 	ClockStep   time.Duration   // step of the processes' wall clock halfway through the run; 0: none
 	// CallsPerFault is the mean number of system calls on sockets for each one that fails; 0: none fails.
 	CallsPerFault int
-	Behaviors     []endpointBehavior // of each listener that simulates endpoints
+	Behaviors     []endpointBehavior // one for each listener that simulates endpoints
 	// HotRestart makes the first process hand over to its successor, instead of a stop and a start.
 	HotRestart  bool
 	LoadReports bool // proxies ask endpoints for their load
