--- a/internal/sitelang/from_json_entries.go
+++ b/internal/sitelang/from_json_entries.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// writeEntries writes a map of the language from the object or the list that the JSON form has for it. It returns false
-// if the value is not of the schema's type.
-func (w *languageWriter) writeEntries(f *field, t *fieldType, value any) bool {
+// writeEntries converts an object or a list of the JSON form to a map of the language. It returns false if the value is
+// not of the schema's type.
+func (w *cueWriter) writeEntries(f *field, t *fieldType, value any) bool {
 	if f.layout == layoutObject {
 		return w.writeObjectEntries(f, t, value)
 	}
@@ -26,7 +26,7 @@
 }
 
 // writeObjectEntries writes a map that is an object in the JSON form.
-func (w *languageWriter) writeObjectEntries(f *field, t *fieldType, value any) bool {
+func (w *cueWriter) writeObjectEntries(f *field, t *fieldType, value any) bool {
 	object, ok := value.(jsonObject)
 	if !ok {
 		return false
@@ -52,8 +52,9 @@
 	return true
 }
 
-// writePairs writes a map that is a list of objects of two members in the JSON form. hasUniqueNames holds for the list.
-func (w *languageWriter) writePairs(f *field, t *fieldType, list []any) bool {
+// writePairs writes a map that is a list of objects with two members each in the JSON form. The list must satisfy
+// hasUniqueNames.
+func (w *cueWriter) writePairs(f *field, t *fieldType, list []any) bool {
 	const membersOfPair = 2
 	w.buf.WriteString("{\n")
 	for _, element := range list {
@@ -71,9 +72,9 @@
 	return true
 }
 
-// writeRecordList writes a map that is a list of records in the JSON form. hasUniqueNames holds for the list.
-func (w *languageWriter) writeRecordList(f *field, t *fieldType, list []any) bool {
-	parallels := w.takeParallelLists(t, len(list))
+// writeRecordList writes a map that is a list of records in the JSON form. The list must satisfy hasUniqueNames.
+func (w *cueWriter) writeRecordList(f *field, t *fieldType, list []any) bool {
+	parallels := w.removeParallelLists(t, len(list))
 	ok := w.writeRecords(f, t, list, parallels)
 	if !ok {
 		w.restoreParallelLists(t, parallels)
@@ -81,7 +82,7 @@
 	return ok
 }
 
-func (w *languageWriter) writeRecords(f *field, t *fieldType, list []any, parallels parallelLists) bool {
+func (w *cueWriter) writeRecords(f *field, t *fieldType, list []any, parallels parallelLists) bool {
 	w.buf.WriteString("{\n")
 	for i, element := range list {
 		object := maps.Clone(element.(jsonObject))
@@ -98,11 +99,11 @@
 	return true
 }
 
-// hasUniqueNames reports whether all elements are objects that have a name of their own in the member key.
+// hasUniqueNames reports whether each element is an object whose member key is a non-empty string that no other element has.
 func hasUniqueNames(list []any, key string) bool {
 	seen := map[string]bool{}
 	for _, element := range list {
-		object, _ := element.(jsonObject) // an element that is none has no name
+		object, _ := element.(jsonObject) // an element that is not an object has no name
 		name, _ := object[key].(string)
 		if name == "" || seen[name] {
 			return false
@@ -112,9 +113,9 @@
 	return true
 }
 
-// takeParallelLists removes the lists beside a list of count records from the JSON form and returns them. A list that
-// doesn't match the records in length or type remains where it is.
-func (w *languageWriter) takeParallelLists(t *fieldType, count int) parallelLists {
+// removeParallelLists removes the parallel lists of a list of count records from the JSON form and returns them. It leaves a
+// list in place if it is empty, longer than count, or holds a value that is not of the schema's type.
+func (w *cueWriter) removeParallelLists(t *fieldType, count int) parallelLists {
 	out := parallelLists{}
 	if t.element.kind != kindRecord {
 		return out
@@ -145,8 +146,8 @@
 	})
 }
 
-// restoreParallelLists puts lists back into the JSON form.
-func (w *languageWriter) restoreParallelLists(t *fieldType, parallels parallelLists) {
+// restoreParallelLists returns the lists that removeParallelLists removed to the JSON form.
+func (w *cueWriter) restoreParallelLists(t *fieldType, parallels parallelLists) {
 	for name, list := range parallels {
 		setPath(w.site, t.element.record.byName[name].jsonPath, list)
 	}
--- a/internal/sitereport/diff.go
+++ b/internal/sitereport/diff.go
@@ -14,7 +14,7 @@
 	"example.org/micafront/internal/sitelang"
 )
 
-// Diff is what another version of a site would change in routing.
+// Diff lists what another version of a site would change in routing.
 type Diff struct {
 	Changes   []routing.Change `json:"changes"`
 	Pools     []string         `json:"pools,omitempty"`     // sentences: added, removed and renamed pools
@@ -25,21 +25,21 @@
 // MovedKeys counts the keys whose first endpoint changes.
 type MovedKeys struct {
 	KeysPerClass int            `json:"keys"`
-	Moved        int            `json:"moved"` // of all classes together
-	LostBy       map[string]int `json:"off"`   // keys by the endpoint that they had
-	GainedBy     map[string]int `json:"onto"`  // keys by the endpoint that they get
+	Moved        int            `json:"moved"` // in all classes together
+	LostBy       map[string]int `json:"off"`   // moved keys by their current endpoint
+	GainedBy     map[string]int `json:"onto"`  // moved keys by their new endpoint
 }
 
-// NewDiff compares two versions of a site. With an endpoint list, which may be nil, it compares the pools of the endpoints as
-// well, and the first endpoints of keysPerClass keys of each class; the keys are the same at each call. It fails if the routes
-// are too many to be compared.
+// NewDiff compares two versions of a site. If list is not nil, it also compares the pools of the listed endpoints, and the
+// first endpoints of keysPerClass keys of each class; the keys are the same in each call. It returns an error if there are
+// too many routes to compare, or if the settings of a site are invalid.
 func NewDiff(current, proposed *sitelang.Site, list *discovery.List, keysPerClass int, now balancer.Instant) (*Diff, error) {
-	space := unionSpace(&current.Space, &proposed.Space)
-	changes, err := routing.Diff(current.Table, proposed.Table, space)
+	space := unionSpace(&current.MatchSpace, &proposed.MatchSpace)
+	changes, err := routing.Diff(current.RoutingTable, proposed.RoutingTable, space)
 	if err != nil {
 		return nil, err
 	}
-	d := &Diff{Changes: changes, Pools: poolChanges(&current.Set, &proposed.Set)}
+	d := &Diff{Changes: changes, Pools: poolChanges(&current.RoutingSet, &proposed.RoutingSet)}
 	if list == nil {
 		return d, nil
 	}
@@ -56,13 +56,13 @@
 	return d, nil
 }
 
-// unionSpace returns what a connection can be under either of two versions.
+// unionSpace returns the attributes that a connection can have in either of two versions.
 func unionSpace(current, proposed *routing.MatchSpace) routing.MatchSpace {
 	space := routing.MatchSpace{
 		Classes:   union(current.Classes, proposed.Classes),
 		Listeners: union(current.Listeners, proposed.Listeners),
 	}
-	if len(current.Zones) > 0 && len(proposed.Zones) > 0 { // a version without zones allows any
+	if len(current.Zones) > 0 && len(proposed.Zones) > 0 { // a version without declared zones allows any zone
 		space.Zones = union(current.Zones, proposed.Zones)
 	}
 	return space
@@ -82,9 +82,9 @@
 	for i, pool := range current.Pools {
 		switch successor := successors[i]; {
 		case successor < 0:
-			out = append(out, fmt.Sprintf("pool %q is dropped: its connections have %s to leave", pool.Name, proposed.EffectiveDrainTimeout()))
+			out = append(out, fmt.Sprintf("pool %q is removed: its connections drain within %s", pool.Name, proposed.EffectiveDrainTimeout()))
 		case proposed.Pools[successor].Name != pool.Name:
-			out = append(out, fmt.Sprintf("pool %q goes on as %q, with all that it knows", pool.Name, proposed.Pools[successor].Name))
+			out = append(out, fmt.Sprintf("pool %q continues as %q and keeps its state", pool.Name, proposed.Pools[successor].Name))
 		}
 	}
 	for i, pool := range proposed.Pools {
@@ -95,12 +95,12 @@
 	return out
 }
 
-// endpointChanges describes which endpoints of the list change pools.
+// endpointChanges describes the endpoints of the list that change pools.
 func endpointChanges(before, after *sitePools, list *discovery.List) []string {
 	var out []string
 	for _, endpoint := range sitelang.ActiveEndpoints(list) {
-		from := before.describePoolOf(endpoint.ID)
-		to := after.describePoolOf(endpoint.ID)
+		from := before.describePool(endpoint.ID)
+		to := after.describePool(endpoint.ID)
 		if from != to {
 			out = append(out, fmt.Sprintf("next hop %q goes from %s to %s", endpoint.ID, from, to))
 		}
@@ -108,16 +108,16 @@
 	return out
 }
 
-// describePoolOf names the pool that an endpoint belongs to.
-func (p *sitePools) describePoolOf(endpoint string) string {
-	pool := p.owners.PoolOf(endpoint)
+// describePool names the pool that an endpoint belongs to.
+func (p *sitePools) describePool(endpoint string) string {
+	pool := p.membership.PoolOf(endpoint)
 	if pool < 0 {
 		return "no pool"
 	}
-	return fmt.Sprintf("pool %q", p.site.Set.Pools[pool].Name)
+	return fmt.Sprintf("pool %q", p.site.RoutingSet.Pools[pool].Name)
 }
 
-// countMovedKeys compares the first endpoint of generated keys in both versions.
+// countMovedKeys counts the generated keys whose first endpoint differs between the two versions.
 func countMovedKeys(before, after *sitePools, classes []string, keysPerClass int) *MovedKeys {
 	moved := &MovedKeys{KeysPerClass: keysPerClass, LostBy: map[string]int{}, GainedBy: map[string]int{}}
 	for _, class := range classes {
@@ -135,20 +135,20 @@
 	return moved
 }
 
-// noEndpoint is counted in place of an endpoint for keys that no endpoint would get.
+// noEndpoint is the name under which keys without an endpoint are counted.
 const noEndpoint = "none"
 
-// placement returns the first endpoint for a connection in the site's zone without further fields, that of a fallback pool if
-// its own has none.
+// placement returns the first endpoint for a connection in the site's zone without further fields. If the connection's pool
+// has no endpoint, it is the first endpoint of a fallback pool; if no pool has one, it is noEndpoint.
 func (p *sitePools) placement(connection *routing.ConnectionAttributes) string {
 	local := *connection
 	local.Zone = p.site.Settings.Zone
-	local.Fields = make([]string, len(p.site.Table.FieldNames))
-	decision, ok := p.site.Table.Decide(&local)
+	local.Fields = make([]string, len(p.site.RoutingTable.FieldNames))
+	decision, ok := p.site.RoutingTable.Decide(&local)
 	if !ok {
 		return noEndpoint
 	}
-	for _, pool := range append([]int{decision.Pool}, p.site.Table.Fallbacks(decision)...) {
+	for _, pool := range append([]int{decision.Pool}, p.site.RoutingTable.Fallbacks(decision)...) {
 		if endpoint := p.firstEndpoint(pool, &local); endpoint != "" {
 			return endpoint
 		}
@@ -159,7 +159,7 @@
 // Empty reports whether nothing would change.
 func (d *Diff) Empty() bool { return len(d.Changes)+len(d.Pools)+len(d.Endpoints) == 0 }
 
-// Write writes the differences as text. Its errors are those of w.
+// Write writes the differences as text. It returns w's errors.
 func (d *Diff) Write(w io.Writer) error {
 	var out strings.Builder
 	d.write(&out)
