--- a/internal/testing/fleettest/addresses_test.go
+++ b/internal/testing/fleettest/addresses_test.go
@@ -11,8 +11,8 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// A replica that listens on the port of a proxy that has ended must not be mistaken for it: its answer to a request line would
-// count as three final answers.
+// Guards against a client that reaches a replica on the reused port of a stopped proxy: the checker would count three lines of
+// the replica's HTTP response as final answers.
 func TestClientsOfStoppedProxyReachNoOtherProcess(t *testing.T) {
 	listener, err := net.Listen("tcp", replicaHost+":0")
 	if err != nil {
@@ -32,12 +32,12 @@
 		proxy.addr.Store(net.JoinHostPort(test.host, port))
 		clients.request(proxy, "feed1", false)
 		if clients.connectionsRefused != test.refused || clients.checker.Counts().Answers != test.answers {
-			t.Errorf("at %s: refused %d, answers %d: %q", test.host, clients.connectionsRefused, clients.checker.Counts().Answers,
-				clients.checker.Violations())
+			t.Errorf("host %s: %d connections refused, %d answers, violations %q", test.host, clients.connectionsRefused,
+				clients.checker.Counts().Answers, clients.checker.Violations())
 		}
 		if violations := strings.Join(clients.checker.Violations(), "\n"); test.answers > 0 &&
 			!strings.Contains(violations, `the latest "Connection:"`) {
-			t.Errorf("violations %q", violations)
+			t.Errorf("violations %q do not name the answer \"Connection:\"", violations)
 		}
 	}
 }
--- a/internal/testing/fleettest/build.go
+++ b/internal/testing/fleettest/build.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// RaceEnv is the environment variable that, where it is set, has the programs built with the race detector.
+// RaceEnv names the environment variable that, if set, makes Build enable the race detector.
 const RaceEnv = "FLEETTEST_RACE"
 
-// Build builds programs of this module, by the names of their folders in cmd, into a folder, and returns their paths. It
-// must be called within the module's tree.
+// Build compiles the named programs under cmd into dir and returns their paths by name. The working directory must be inside
+// this module.
 func Build(dir string, names ...string) (map[string]string, error) {
 	root, err := exec.Command("go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
--- a/internal/testing/fleettest/clients.go
+++ b/internal/testing/fleettest/clients.go
@@ -15,11 +15,11 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// contestedShare is how many requests of the contested class there are for each plain one.
+// contestedShare is the average number of contested-class requests per plain-class request.
 const contestedShare = 3
 
-// clientPool is the clients of all proxies. Each sends requests one after the other: it asks for a connection, sends a line over
-// it if it gets one, and disconnects. Every answer is checked and counted.
+// clientPool runs the clients of all proxies. Each client sends one request at a time: it opens a connection, sends one line over
+// it if the proxy accepts the request, and disconnects. The pool checks and counts every answer.
 type clientPool struct {
 	checker  *fakes.ProtocolChecker
 	interval time.Duration  // between a client's requests, on average
@@ -29,7 +29,7 @@
 	answers            []Answer
 	answersByProxy     map[string]int // by the proxy's name
 	lost               []lostRequest
-	connectionsRefused int // connections that no process accepted: no requests
+	connectionsRefused int // failed dials, which do not count as requests
 }
 
 // Answer is the final answer to a request.
@@ -37,7 +37,7 @@
 	At        time.Time
 	Proxy     string
 	Word      string        // UP, BUSY or ERR
-	Contested bool          // the request was of the contested class
+	Contested bool          // whether the request was of the contested class
 	Latency   time.Duration // from the dial to the answer
 }
 
@@ -46,11 +46,12 @@
 	proxy *Process
 	id    string
 	start time.Time // before the dial
-	end   time.Time // when the connection had ended
-	err   error     // how it ended
+	end   time.Time // after the connection failed
+	err   error     // the error of the connection
 }
 
-// start starts a client of a proxy, which sends requests until the context ends. The last one still gets its answer.
+// start starts the n-th client of a proxy, which sends requests until the context ends. A request in flight at that time still
+// waits for its answer.
 func (c *clientPool) start(ctx context.Context, proxy *Proxy, seed uint64, n int) {
 	c.wg.Go(func() {
 		rng := rand.New(rand.NewPCG(seed, uint64(proxy.Index)<<16|uint64(n)))
@@ -69,7 +70,7 @@
 	})
 }
 
-// request sends a request and reads its answer.
+// request sends a request and records its answer, or its loss.
 func (c *clientPool) request(proxy *Proxy, key string, contested bool) {
 	start := time.Now()
 	conn, err := net.Dial("tcp", proxy.Addr())
@@ -81,7 +82,7 @@
 	}
 	defer conn.Close()
 	id := fakes.NextID()
-	_ = conn.SetDeadline(time.Now().Add(2 * fakes.WaitTimeout)) // fails on a closed connection alone, and so does what follows
+	_ = conn.SetDeadline(time.Now().Add(2 * fakes.WaitTimeout)) // fails only on a closed connection, as do the calls below
 	reader := bufio.NewReader(conn)
 	word, err := open(conn, reader, id, key)
 	if err != nil {
@@ -97,11 +98,11 @@
 	c.mu.Unlock()
 	if word == "UP" {
 		if _, err := io.WriteString(conn, "M 1\r\n"); err == nil {
-			_, _ = reader.ReadString('\n') // an echo, a MOVE or the end, as the endpoint may have been stopped
+			_, _ = reader.ReadString('\n') // an echo, a MOVE, or an error if the endpoint was stopped
 		}
 		return
 	}
-	for { // no further answer may follow
+	for { // the checker reports any further answer as a violation
 		word, err := readAnswer(reader)
 		if err != nil {
 			return
@@ -126,13 +127,13 @@
 	}
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return "", errors.New("an empty line")
+		return "", errors.New("empty answer line")
 	}
 	return words[0], nil
 }
 
-// unanswered describes the requests that have no answer though their proxy was not down. A proxy that is stopping may drop
-// a request that arrived after the signal, but must answer those before.
+// unanswered describes the requests that got no answer although their proxy was up. A stopping proxy may drop a request that
+// arrived after the signal, but must answer earlier ones.
 func (c *clientPool) unanswered() (descriptions []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,13 +146,13 @@
 	return descriptions
 }
 
-// AwaitAnswers waits until a proxy has answered so many requests.
+// AwaitAnswers waits until a proxy has answered at least count requests.
 func (f *Fleet) AwaitAnswers(proxy *Proxy, count int) error {
 	ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
 	defer cancel()
 	for ; f.answerCount(proxy) < count; pause(ctx, localPollInterval) {
 		if ctx.Err() != nil {
-			return fmt.Errorf("%s has answered %d requests, never %d: %w", proxy.Name, f.answerCount(proxy), count, ctx.Err())
+			return fmt.Errorf("%s answered %d requests, want at least %d: %w", proxy.Name, f.answerCount(proxy), count, ctx.Err())
 		}
 	}
 	return nil
--- a/internal/testing/fleettest/configuration.go
+++ b/internal/testing/fleettest/configuration.go
@@ -9,8 +9,8 @@
 	"example.org/micafront/internal/routing"
 )
 
-// The two classes of keys, by their prefixes. Each version routes the contested class to another pool, and the plain one to the
-// first pool.
+// Prefixes of the two classes of keys. Consecutive versions route the contested class to different pools. All versions route the
+// plain class to the first pool.
 const (
 	ContestedClass = "x"
 	PlainClass     = "y"
@@ -19,28 +19,28 @@
 // PoolCount is the number of pools.
 const PoolCount = 4
 
-// poolNames are the pools, each with the endpoints of the zone of its name. There are four, so that a line that is up to two
-// versions stale still tells which version it followed.
+// poolNames lists the pools. Each pool selects the endpoints of the zone with the same name. With four pools, the pool that
+// receives a request line identifies the line's version even if that is up to two versions stale.
 var poolNames = [PoolCount]string{"a", "b", "c", "d"}
 
-// poolOfEndpoint returns the pool of an endpoint, by its ID: s-, the pool and a number.
+// poolOfEndpoint returns the pool of an endpoint by its ID, which endpointID formats.
 func poolOfEndpoint(id string) string {
 	return strings.TrimRight(strings.TrimPrefix(id, "s-"), "0123456789")
 }
 
-// endpointID returns the ID of a pool's i-th endpoint, from 0 on.
+// endpointID returns the ID of a pool's i-th endpoint, counted from 0: "s-", the pool's name, and i+1.
 func endpointID(pool string, i int) string { return fmt.Sprintf("s-%s%d", pool, i+1) }
 
 // contestedPool returns the pool to which a version routes the contested class.
 func contestedPool(version uint64) string { return poolNames[version%uint64(len(poolNames))] }
 
-// settings are the proxies' settings, with one category.
+// settings is the JSON encoding of the proxies' settings, with one category.
 const settings = `{"Balancers":1,"Me":0,"Zone":"a","Discovery":"subscribe",
 	"Categories":[{"Name":"feed","Aim":1,"GiveUp":30,"Credit":1,"Effect":"safe","DedupScope":"all"}],
 	"Limits":{"AttemptsCap":4,"ConnectTimeout":2,"MaxRetryAfter":1,"MaxOpen":100000,"RetryAfter":true,"MayCancel":true},
 	"Invariants":{"AnswerSlack":0.016,"AskEvery":1,"Cold":8.9,"ColdFrom":0.3,"DrainGrace":3,"Fall":1,"OverloadFactor":3}}`
 
-// routes returns the encoded routes of a version.
+// routes returns the JSON encoding of a version's pools and routes.
 func routes(version uint64) json.RawMessage {
 	var set routing.Set
 	for _, pool := range poolNames {
@@ -52,12 +52,12 @@
 	}
 	text, err := json.Marshal(set)
 	if err != nil {
-		panic(fmt.Sprint("fleettest: encoding routes: ", err)) // a defect of this function
+		panic(fmt.Sprint("fleettest: encoding routes: ", err)) // unreachable: the set contains no value that JSON cannot encode
 	}
 	return text
 }
 
-// routeOfClass is a route of all keys of a class to a pool.
+// routeOfClass returns a route that sends all keys of a class to one pool.
 func routeOfClass(name, class, pool string) routing.Route {
 	return routing.Route{
 		Name:  name,
@@ -68,27 +68,27 @@
 
 // proxyConfig is a proxy's configuration file.
 type proxyConfig struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"` // hexadecimal
-	Limits    proxyLimits     `json:"limits"`
-	Known     json.RawMessage `json:"known"` // endpoint list
-	Settings  json.RawMessage `json:"settings"`
-	Routing   json.RawMessage `json:"routing"`
-	Fleet     *fleetRecord    `json:"fleet,omitempty"`
-	Operator  string          `json:"operator,omitempty"` // address of the admin API
+	Name      string              `json:"name"`
+	Listen    string              `json:"listen"`
+	Discovery string              `json:"discovery"`
+	Seed      string              `json:"seed"` // hexadecimal
+	Limits    proxyLimits         `json:"limits"`
+	Known     json.RawMessage     `json:"known"` // endpoint list
+	Settings  json.RawMessage     `json:"settings"`
+	Routing   json.RawMessage     `json:"routing"`
+	Fleet     *controlPlaneConfig `json:"fleet,omitempty"`
+	Operator  string              `json:"operator,omitempty"` // address of the admin API
 }
 
-// proxyLimits are what a proxy may use of its machine.
+// proxyLimits bounds a proxy's use of its machine.
 type proxyLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// fleetRecord is the part of a proxy's configuration about its control plane.
-type fleetRecord struct {
+// controlPlaneConfig is the control-plane section of a proxy's configuration.
+type controlPlaneConfig struct {
 	Keepers       []string                      `json:"keepers"` // addresses of the replicas
 	Node          string                        `json:"node"`
 	AgreeWithinMS int64                         `json:"agree_within_ms"` // Terms.AgreementTimeout
--- a/internal/testing/fleettest/discovery.go
+++ b/internal/testing/fleettest/discovery.go
@@ -14,29 +14,30 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// endpointListPath is where service discovery and the replicas serve the endpoint list.
+// endpointListPath is the HTTP path at which service discovery and the replicas serve the endpoint list.
 const endpointListPath = "/registry/instances"
 
-// discovery is a fake service discovery that accepts a number of requests per second from all callers together, and rejects
-// the rest with 503. Each caller has a view of its own; in a proxy's view the endpoints have the addresses of its links.
+// discovery is a fake service discovery that limits the request rate of all callers together and rejects excess requests with
+// status 503. Each caller connects to its own view, an HTTP server that relays the list; a proxy's view replaces the endpoint
+// addresses by those of the proxy's links.
 type discovery struct {
-	rate float64 // requests per second; 0: any number
+	rate float64 // requests per second; 0: unlimited
 
 	mu           sync.Mutex
-	server       *fakes.DiscoveryServer // that the views relay to
-	entries      []fakes.Entry          // of the server, which a restart loses
-	tokens       float64                // requests that are accepted now, by a token bucket
+	server       *fakes.DiscoveryServer // the server to which the views relay
+	entries      []fakes.Entry          // the listed endpoints, which restart copies to the new server
+	tokens       float64                // the current level of the token bucket, in requests
 	refilledAt   time.Time
 	proxyCalls   callStats
-	replicaCalls callStats // of replicas, which are not among proxyCalls
+	replicaCalls callStats // not included in proxyCalls
 	views        []*http.Server
 }
 
-// callStats counts the requests of one kind of callers.
+// callStats counts the requests from proxies or from replicas.
 type callStats struct {
 	total           int
 	rejected        int   // of total
-	peak            int   // the most within one second
+	peak            int   // maximum within one second
 	currentSecond   int64 // Unix time
 	inCurrentSecond int
 }
@@ -59,7 +60,7 @@
 	return d, err
 }
 
-// set lists an endpoint, or changes it.
+// set adds an endpoint to the list, or replaces the entry with the same ID.
 func (d *discovery) set(entry fakes.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +68,7 @@
 	d.server.Set(entry)
 }
 
-// restart replaces the server by a new one, which numbers its generations from 1 on. The watches of the old one end.
+// restart replaces the server by a new one, which numbers its generations from 1 again, and ends the old server's watches.
 func (d *discovery) restart() error {
 	next, err := fakes.NewDiscoveryServer()
 	if err != nil {
@@ -89,11 +90,11 @@
 	defer d.mu.Unlock()
 	d.server.Close()
 	for _, server := range d.views {
-		_ = server.Close() // nothing is left to do
+		_ = server.Close() // ignored: the server is not used after this
 	}
 }
 
-// admit counts a request and reports whether the rate allows it. It returns the server's address.
+// admit counts a request and reports whether the rate limit allows it. If so, it returns the server's address.
 func (d *discovery) admit(stats *callStats) (addr string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,7 +112,7 @@
 	return d.server.Addr, true
 }
 
-// view listens for one caller, and replaces the addresses of endpoints by the caller's.
+// view starts a caller's view, which replaces the addresses of endpoints by those that addressOf returns.
 func (d *discovery) view(stats *callStats, addressOf func(id string) string) (addr string, err error) {
 	return d.listen(func(w http.ResponseWriter, req *http.Request) {
 		addr, ok := d.admit(stats)
@@ -123,7 +124,7 @@
 	})
 }
 
-// listen serves until the service discovery closes.
+// listen starts an HTTP server on a loopback port, which close stops, and returns its address.
 func (d *discovery) listen(serve http.HandlerFunc) (addr string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,7 +134,7 @@
 	d.mu.Lock()
 	d.views = append(d.views, server)
 	d.mu.Unlock()
-	go func() { _ = server.Serve(listener) }() // until close
+	go func() { _ = server.Serve(listener) }() // returns after close
 	return listener.Addr().String(), nil
 }
 
@@ -144,7 +145,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	upstreamReq.Close = true // the next process on this port is another one
+	upstreamReq.Close = true // after a restart another process may listen on this port
 	resp, err := http.DefaultClient.Do(upstreamReq)
 	if err != nil { // the server is restarting
 		http.Error(w, err.Error(), http.StatusBadGateway)
@@ -157,7 +158,7 @@
 		if resp.StatusCode == http.StatusOK && len(bytes.TrimSpace(line)) > 0 {
 			var decodeErr error
 			if line, decodeErr = replaceAddresses(line, addressOf); decodeErr != nil {
-				return // the caller sees the end of the response
+				return // ends the caller's response
 			}
 		}
 		if _, writeErr := w.Write(line); writeErr != nil || err != nil {
@@ -167,7 +168,7 @@
 	}
 }
 
-// currentList returns the list as one caller sees it.
+// currentList returns the list with the addresses that addressOf returns.
 func (d *discovery) currentList(addressOf func(string) string) (json.RawMessage, error) {
 	d.mu.Lock()
 	list := d.server.List()
@@ -192,5 +193,5 @@
 	return append(out, '\n'), err
 }
 
-// RestartDiscovery replaces service discovery by another one, which numbers its lists from 1 on.
+// RestartDiscovery replaces service discovery by a new server, which numbers its lists from 1 again.
 func (f *Fleet) RestartDiscovery() error { return f.discovery.restart() }
--- a/internal/testing/fleettest/endpoint_lists.go
+++ b/internal/testing/fleettest/endpoint_lists.go
@@ -17,11 +17,12 @@
 	"example.org/micafront/internal/testing/faultinject"
 )
 
-// viewIdleTimeout is how long a view keeps an idle connection to its replica.
+// viewIdleTimeout bounds how long a replica view keeps an idle connection to its replica.
 const viewIdleTimeout = 10 * time.Second
 
-// replicaView listens in front of a replica for one proxy, and replaces the addresses of endpoints by those of the proxy's
-// links. It follows the replica from run to run. While the replica is down it resets connections, as a killed process does.
+// replicaView starts a reverse proxy in front of a replica for one proxy, which replaces the addresses of endpoints by those of
+// the proxy's links. It uses the replica's new address after a restart. While the replica is down it resets connections, as a
+// killed process does.
 func (f *Fleet) replicaView(replica *Replica, addressOf func(id string) string) (addr string, err error) {
 	proxy := &httputil.ReverseProxy{
 		Rewrite:       func(req *httputil.ProxyRequest) { req.SetURL(&url.URL{Scheme: "http", Host: replica.Addr()}) },
@@ -39,7 +40,8 @@
 	})
 }
 
-// proxyReplicaLink opens a proxy's link to a replica. A link to a view is not moved when the replica restarts.
+// proxyReplicaLink opens a proxy's link to a replica. A link to a view is not registered for retarget, since the view's address
+// does not change when the replica restarts.
 func (f *Fleet) proxyReplicaLink(name string, replica *Replica, target string) (faultinject.Link, error) {
 	if f.ReplicasServeLists {
 		return f.Network.Link(name+"/"+replica.Name, target)
@@ -47,8 +49,8 @@
 	return f.link(name, replica.Name, target)
 }
 
-// replicaDiscovery opens a replica's link to service discovery, with a view of its own, and returns the address. Replicas do
-// not connect to endpoints, so their addresses do not matter.
+// replicaDiscovery starts a replica's view of service discovery, opens a link to it, and returns the link's address. Replicas do
+// not connect to endpoints, so the view lists an unused address for all of them.
 func (f *Fleet) replicaDiscovery(name string) (addr string, err error) {
 	view, err := f.discovery.view(&f.discovery.replicaCalls, func(string) string { return unusedAddress })
 	if err != nil {
@@ -61,7 +63,8 @@
 	return link.Addr(), nil
 }
 
-// setLifecycle changes the lifecycle with which service discovery lists an endpoint.
+// setLifecycle changes the lifecycle with which service discovery lists the i-th endpoint. Indexes beyond the last endpoint wrap
+// around.
 func (f *Fleet) setLifecycle(i int, lifecycle string) {
 	e := f.endpoints[i%len(f.endpoints)]
 	e.lifecycle.Lock()
@@ -71,7 +74,7 @@
 	f.discovery.set(entry)
 }
 
-// RemoveEndpoint removes an endpoint from service discovery's list; it goes on running.
+// RemoveEndpoint lists an endpoint as terminated, so that proxies remove it. The endpoint keeps running.
 func (f *Fleet) RemoveEndpoint(i int) { f.setLifecycle(i, endpointlist.Terminated) }
 
 // DrainEndpoint lists an endpoint as draining.
@@ -80,12 +83,12 @@
 // RestoreEndpoint lists an endpoint as ready.
 func (f *Fleet) RestoreEndpoint(i int) { f.setLifecycle(i, "") }
 
-// AwaitMetric waits until a metric has a value at all given proxies.
+// AwaitMetric waits until a metric equals want at all given proxies.
 func (f *Fleet) AwaitMetric(name, want string, proxies []*Proxy) error {
 	return f.awaitMetric(name, want, proxies, func(got string) bool { return got == want })
 }
 
-// awaitMetric is AwaitMetric where several values will do; want describes them.
+// awaitMetric waits until a metric satisfies a condition at all given proxies. want describes the condition in errors.
 func (f *Fleet) awaitMetric(name, want string, proxies []*Proxy, satisfied func(string) bool) error {
 	return f.forEachProxy(proxies, func(proxy *Proxy) error {
 		ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
@@ -99,11 +102,11 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("%s never had %s=%s, last %s", proxy.Name, name, want, got)
+		return fmt.Errorf("%s did not reach %s=%s, last value: %s", proxy.Name, name, want, got)
 	})
 }
 
-// metric reads a metric from a proxy's admin interface.
+// metric reads a metric from a proxy's admin API.
 func (f *Fleet) metric(ctx context.Context, proxy *Proxy, name string) (string, error) {
 	addr, err := proxy.AwaitOutput(ctx, "operators call at ")
 	if err != nil {
@@ -131,7 +134,7 @@
 	return value, nil
 }
 
-// AwaitListFromReplicas waits until proxies watch the endpoint list at replicas.
+// AwaitListFromReplicas waits until the given proxies watch the endpoint list at a replica.
 func (f *Fleet) AwaitListFromReplicas(proxies []*Proxy) error {
 	return f.awaitMetric("svc.fleet.list_from", "the index of a replica", proxies, func(got string) bool {
 		_, err := strconv.Atoi(got)
@@ -139,7 +142,7 @@
 	})
 }
 
-// AwaitListFromDiscovery waits until proxies watch the endpoint list at service discovery.
+// AwaitListFromDiscovery waits until the given proxies watch the endpoint list at service discovery.
 func (f *Fleet) AwaitListFromDiscovery(proxies []*Proxy) error {
 	return f.AwaitMetric("svc.fleet.list_from", "discovery", proxies)
 }
--- a/internal/testing/fleettest/endpoint_lists_test.go
+++ b/internal/testing/fleettest/endpoint_lists_test.go
@@ -7,8 +7,8 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// Replicas that follow service discovery give all proxies its list, and are the only ones that call it. While they are down
-// the proxies ask it themselves, and they return once the replicas are up.
+// Replicas that follow service discovery serve its list to all proxies, and no proxy calls service discovery. While all replicas
+// are down the proxies watch service discovery directly, and they return to the replicas afterwards.
 func TestReplicasServeEndpointLists(t *testing.T) {
 	fleet := startFleet(t, 20, 3, func(options *Options) { options.ReplicasServeLists = true })
 	calls := func() (proxies, replicas int) {
@@ -18,29 +18,29 @@
 	}
 	all := fleet.Proxies
 	must(t, fleet.AwaitActiveAt(1, all))
-	must(t, fleet.AwaitListFromReplicas(all)) // one that started before the replicas had a list may have asked service discovery
+	must(t, fleet.AwaitListFromReplicas(all)) // a proxy that started before the replicas had a list may call service discovery
 	before, _ := calls()
 	for _, step := range []struct {
 		name string
 		do   func(int)
 		want map[string]string
 	}{
-		{"one is removed", fleet.RemoveEndpoint, map[string]string{"svc.members": "7"}},
-		{"one is added", fleet.RestoreEndpoint, map[string]string{"svc.members": "8"}},
-		{"one drains", fleet.DrainEndpoint, map[string]string{"svc.members": "8", "svc.members_unavailable": "1"}},
-		{"one is ready again", fleet.RestoreEndpoint, map[string]string{"svc.members": "8", "svc.members_unavailable": "0"}},
+		{"endpoint removed", fleet.RemoveEndpoint, map[string]string{"svc.members": "7"}},
+		{"endpoint added", fleet.RestoreEndpoint, map[string]string{"svc.members": "8"}},
+		{"endpoint drains", fleet.DrainEndpoint, map[string]string{"svc.members": "8", "svc.members_unavailable": "1"}},
+		{"endpoint ready again", fleet.RestoreEndpoint, map[string]string{"svc.members": "8", "svc.members_unavailable": "0"}},
 	} {
 		began := time.Now()
 		step.do(7)
 		for name, want := range step.want {
 			must(t, fleet.AwaitMetric(name, want, all))
 		}
-		t.Logf("%s: all proxies know after %v", step.name, time.Since(began).Round(time.Millisecond))
+		t.Logf("%s: all proxies updated after %v", step.name, time.Since(began).Round(time.Millisecond))
 	}
 	proxies, replicas := calls()
-	testkit.Equal(t, "requests of proxies while replicas serve the list", before, proxies)
+	testkit.Equal(t, "requests by proxies to service discovery while replicas serve the list", before, proxies)
 	if replicas == 0 {
-		t.Error("no replica has called service discovery")
+		t.Error("no replica called service discovery")
 	}
 
 	for _, replica := range fleet.Replicas {
@@ -50,7 +50,7 @@
 	must(t, fleet.AwaitListFromDiscovery(all))
 	fleet.RemoveEndpoint(7)
 	must(t, fleet.AwaitMetric("svc.members", "7", all))
-	t.Logf("without replicas all proxies watch service discovery after %v", time.Since(began).Round(time.Millisecond))
+	t.Logf("replicas down: all proxies watch service discovery after %v", time.Since(began).Round(time.Millisecond))
 	fleet.RestoreEndpoint(7)
 	must(t, fleet.AwaitMetric("svc.members", "8", all))
 	for _, replica := range fleet.Replicas {
--- a/internal/testing/fleettest/endpoints.go
+++ b/internal/testing/fleettest/endpoints.go
@@ -8,17 +8,17 @@
 	"example.org/micafront/internal/testing/faultinject"
 )
 
-// maxConnsPerEndpoint is never reached.
+// maxConnsPerEndpoint is high enough that no endpoint rejects a connection.
 const maxConnsPerEndpoint = 1 << 20
 
-// endpoint is a fake endpoint behind its links.
+// endpoint is a fake endpoint that proxies reach through links.
 type endpoint struct {
 	fakes.Entry
-	lifecycle sync.Mutex      // held while it is started or stopped
-	server    *fakes.Endpoint // nil: it is stopped
+	lifecycle sync.Mutex      // held while the endpoint is started, stopped or relisted
+	server    *fakes.Endpoint // nil while the endpoint is stopped
 }
 
-// startEndpoints starts the endpoints of all pools, warmed up.
+// startEndpoints starts the endpoints of all pools as already warmed up.
 func (f *Fleet) startEndpoints() error {
 	longAgo := time.Now().Add(-time.Hour)
 	for _, pool := range poolNames {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// startEndpoint starts an endpoint and lists it. It warms up, unless it was started long ago.
+// startEndpoint starts an endpoint and adds it to service discovery. The endpoint warms up until WarmUpTime after started.
 func (f *Fleet) startEndpoint(e *endpoint, started time.Time) error {
 	e.lifecycle.Lock()
 	defer e.lifecycle.Unlock()
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// StopEndpoint stops an endpoint and its connections. It stays listed. Indexes beyond the last endpoint wrap around.
+// StopEndpoint stops the i-th endpoint and closes its connections. The endpoint stays listed in service discovery. Indexes beyond
+// the last endpoint wrap around.
 func (f *Fleet) StopEndpoint(i int) error {
 	e := f.endpoints[i%len(f.endpoints)]
 	e.lifecycle.Lock()
@@ -69,7 +70,8 @@
 	return f.Network.Set("proxy*/"+e.ID, faultinject.Fault{Kind: faultinject.Refuse})
 }
 
-// StartEndpoint starts a stopped endpoint, which then warms up.
+// StartEndpoint starts the i-th endpoint if it is stopped. The endpoint then warms up. Indexes beyond the last endpoint wrap
+// around.
 func (f *Fleet) StartEndpoint(i int) error {
 	e := f.endpoints[i%len(f.endpoints)]
 	if err := f.startEndpoint(e, time.Now()); err != nil {
--- a/internal/testing/fleettest/faults.go
+++ b/internal/testing/fleettest/faults.go
@@ -8,29 +8,29 @@
 	"example.org/micafront/internal/testing/faultinject"
 )
 
-// minReplicasForFaults is how many replicas it takes for a majority to stay while one of them is down.
+// minReplicasForFaults is the smallest number of replicas that keeps a majority while one of them is down.
 const minReplicasForFaults = 3
 
-// resource is what a fault affects. No two faults of a schedule affect the same resource at a time.
+// resource is what a fault affects. No two faults of a schedule affect the same resource at the same time.
 type resource int
 
 const (
-	affectsReplicas  resource = iota // any of them, so that a majority stays
-	affectsProxy                     // one of them
-	affectsEndpoint                  // any of them
-	affectsDiscovery                 // or the ways to it
+	affectsReplicas  resource = iota // all replicas as one resource, so that a majority stays up
+	affectsProxy                     // each proxy is a separate resource
+	affectsEndpoint                  // all endpoints as one resource
+	affectsDiscovery                 // service discovery, or the links to it
 )
 
-// faultKind is a kind of event of a schedule.
+// faultKind is a kind of fault that a schedule can contain.
 type faultKind struct {
 	name          string
-	needsReplicas bool // minReplicasForFaults at least
+	needsReplicas bool // requires at least minReplicasForFaults replicas
 	affects       resource
-	// inject begins the fault at a target, by its index. It returns what ends the fault.
+	// inject starts the fault at the target with the given index, and returns a function that ends the fault.
 	inject func(f *Fleet, target int) (repair func() error, err error)
 }
 
-// faultKinds are the faults of every schedule. Their order decides what a seed draws.
+// faultKinds lists the kinds of faults for every schedule. The schedule of a seed depends on their order.
 var faultKinds = []faultKind{
 	muteLinks("a proxy is cut off from all replicas", "proxy%d/keeper*", faultinject.Both, affectsProxy),
 	muteLinks("a proxy's renewals are lost", "proxy%d/keeper*", faultinject.Up, affectsProxy),
@@ -50,7 +50,7 @@
 	{name: "service discovery refuses proxies", affects: affectsDiscovery, inject: refuseProxiesAtDiscovery},
 }
 
-// discoveryFaultKinds are further faults of a fleet whose replicas follow service discovery.
+// discoveryFaultKinds lists the additional kinds of faults for a fleet whose replicas follow service discovery.
 var discoveryFaultKinds = []faultKind{
 	muteLinks("a replica is cut off from service discovery", "keeper%d/discovery", faultinject.Both, affectsReplicas),
 	{
@@ -61,7 +61,8 @@
 	},
 }
 
-// muteLinks is a fault that drops what links carry. The pattern has a verb for the number of the target, from 1 on.
+// muteLinks returns a fault that drops the traffic of links in one or both directions. The pattern may contain a %d verb for the
+// number of the target, counted from 1.
 func muteLinks(name, pattern string, direction faultinject.Direction, affects resource) faultKind {
 	return faultKind{
 		name: name, needsReplicas: true, affects: affects,
@@ -72,7 +73,7 @@
 	}
 }
 
-// setFault puts a fault on links, and returns what clears the faults of its kind there.
+// setFault sets a fault on the links that match a pattern, and returns a function that clears faults of that kind on these links.
 func (f *Fleet) setFault(pattern string, fault faultinject.Fault) (clearFault func() error, err error) {
 	return func() error { return f.Network.Clear(pattern, fault.Kind) }, f.Network.Set(pattern, fault)
 }
@@ -128,5 +129,5 @@
 
 func refuseProxiesAtDiscovery(f *Fleet, _ int) (func() error, error) {
 	repair, err := f.setFault("proxy*/discovery", faultinject.Fault{Kind: faultinject.Refuse})
-	return repair, errors.Join(err, f.RestartDiscovery()) // the restart ends the open watches
+	return repair, errors.Join(err, f.RestartDiscovery()) // the restart ends open watches, which the fault does not
 }
--- a/internal/testing/fleettest/findings.go
+++ b/internal/testing/fleettest/findings.go
@@ -8,42 +8,42 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// LoggedEvent is an action of the harness, such as a fault.
+// LoggedEvent is a recorded action of the harness, such as a fault.
 type LoggedEvent struct {
 	At   time.Time
 	Text string
 }
 
-// LogEvent records an action.
+// LogEvent records an action of the harness for the report.
 func (f *Fleet) LogEvent(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.events = append(f.events, LoggedEvent{time.Now(), fmt.Sprintf(format, args...)})
 }
 
-// Findings are the results of a run.
+// Findings contains the results of a run.
 type Findings struct {
 	OverlapReport
 	Tally              fakes.Counts
-	Violations         []string // descriptions of all violations; none: all guarantees held
-	ConnectionsRefused int      // connections that no process accepted
-	RequestsLost       int      // requests without an answer because their proxy was killed
-	DiscoveryCalls     int      // requests of proxies to service discovery
-	DiscoveryRejected  int      // of these, rejected as over the rate
-	DiscoveryPeak      int      // the most of these within one second
+	Violations         []string // descriptions of all violations; empty if all guarantees held
+	ConnectionsRefused int      // failed dials of clients
+	RequestsLost       int      // requests without an answer because their proxy was killed or stopping
+	DiscoveryCalls     int      // requests from proxies to service discovery
+	DiscoveryRejected  int      // requests among DiscoveryCalls that the rate limit rejected
+	DiscoveryPeak      int      // maximum of DiscoveryCalls within one second
 	Answers            []Answer
 	Rollouts           []Rollout
 	Events             []LoggedEvent
 	StartedAt          time.Time
-	Suspended          map[string]time.Duration   // by proxy, for how long it could not run
-	VersionChanges     map[string][]VersionChange // by proxy
+	Suspended          map[string]time.Duration   // how long each proxy could not run, by its name
+	VersionChanges     map[string][]VersionChange // by the proxy's name
 
-	ReplicaCalls int // requests of replicas to service discovery
-	ReplicaPeak  int // the most of these within one second
+	ReplicaCalls int // requests from replicas to service discovery
+	ReplicaPeak  int // maximum of ReplicaCalls within one second
 }
 
-// Findings returns the results of the run so far. The violations of the agreement timeout, one for each of OverBound, come first
-// in Violations.
+// Findings returns the results of the run so far. Violations begins with the violations of the agreement timeout, one for each
+// line of OverBound in the same order.
 func (f *Fleet) Findings() Findings {
 	findings := Findings{
 		StartedAt:      f.startedAt,
@@ -65,7 +65,7 @@
 	return findings
 }
 
-// addOverlaps adds what the request lines say about versions.
+// addOverlaps adds the overlaps of versions, which it determines from the request lines.
 func (f *Fleet) addOverlaps(findings *Findings) {
 	f.mu.Lock()
 	lines := slices.Clone(f.requestLines)
@@ -85,7 +85,7 @@
 	}
 }
 
-// addAnswers adds the answers to the clients' requests, and the requests without exactly one.
+// addAnswers adds the answers to the clients' requests, and a violation for each request without exactly one final answer.
 func (f *Fleet) addAnswers(findings *Findings) {
 	findings.Tally = f.answerChecker.Counts()
 	unanswered := f.clients.unanswered()
@@ -98,7 +98,7 @@
 	findings.RequestsLost = len(f.clients.lost) - len(unanswered)
 }
 
-// addDiscoveryCalls adds the requests to service discovery.
+// addDiscoveryCalls adds the counts of requests to service discovery.
 func (f *Fleet) addDiscoveryCalls(findings *Findings) {
 	f.discovery.mu.Lock()
 	defer f.discovery.mu.Unlock()
--- a/internal/testing/fleettest/fleet.go
+++ b/internal/testing/fleettest/fleet.go
@@ -14,12 +14,12 @@
 
 // Limits of the harness's own load on the machine.
 const (
-	maxParallelProxies       = 8 // that are started, reloaded or waited for at a time
+	maxParallelProxies       = 8 // proxies that are started, reloaded or awaited concurrently
 	minSampleInterval        = 100 * time.Millisecond
-	proxiesPerSampleInterval = 40 // for each further minSampleInterval between samples
+	proxiesPerSampleInterval = 40 // number of proxies that lengthens the sample interval by minSampleInterval
 )
 
-// Fleet is all processes, endpoints, clients and links of a test.
+// Fleet contains all processes, endpoints, clients and links of a test.
 type Fleet struct {
 	Options
 	Network  *faultinject.Net
@@ -29,24 +29,24 @@
 	ctx            context.Context
 	cancel         context.CancelFunc
 	startedAt      time.Time
-	answerChecker  *fakes.ProtocolChecker // of the clients
-	attemptChecker *fakes.ProtocolChecker // of the endpoints
+	answerChecker  *fakes.ProtocolChecker // checks the answers that clients receive
+	attemptChecker *fakes.ProtocolChecker // checks the attempts that endpoints receive
 	discovery      *discovery
 	endpoints      []*endpoint
 	clients        *clientPool
-	stopClients    context.CancelFunc // nil: no client has been started
-	sampler        sync.WaitGroup     // the goroutine of sampleProcesses, until the context ends
+	stopClients    context.CancelFunc // nil until the clients start
+	sampler        sync.WaitGroup     // the goroutine of sampleProcesses, which ends with the context
 
 	mu            sync.Mutex
-	linksByTarget map[string][]faultinject.Link // by the name of the target
+	linksByTarget map[string][]faultinject.Link // by the target's name
 	acknowledged  []acknowledgedVersion
 	requestLines  []RequestLine
 	rollouts      []Rollout
 	events        []LoggedEvent
 }
 
-// New starts a fleet: once it returns, all processes serve and the clients send requests. Close ends all of it; the end of the
-// context ends links, clients and all waiting.
+// New starts a fleet. When it returns, all processes serve and the clients send requests. Close stops the whole fleet. The end of
+// the context ends links, clients and all waits, but not the processes.
 func New(ctx context.Context, options Options) (*Fleet, error) {
 	if err := options.checkDescriptors(); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	return fleet, nil
 }
 
-// start starts everything, in the order in which one thing needs the other.
+// start starts all parts of the fleet in the order of their dependencies.
 func (f *Fleet) start() (err error) {
 	if f.discovery, err = newDiscovery(f.DiscoveryRate); err != nil {
 		return err
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// startProxies starts all proxies, whose request lines are recorded from then on.
+// startProxies starts all proxies, and starts to record their request lines.
 func (f *Fleet) startProxies() error {
 	var processes []*Process
 	for i := range f.ProxyCount {
@@ -113,7 +113,7 @@
 	}
 }
 
-// forEachProxy calls do for all proxies, for a few at a time, and joins the errors.
+// forEachProxy calls do for all given proxies, for at most maxParallelProxies concurrently, and joins the errors.
 func (f *Fleet) forEachProxy(proxies []*Proxy, do func(*Proxy) error) error {
 	var wg sync.WaitGroup
 	errs := make([]error, len(proxies))
@@ -129,7 +129,7 @@
 	return errors.Join(errs...)
 }
 
-// link opens a link from one process to another, which retarget moves with its target.
+// link opens a link from one process to another, and registers it for retarget.
 func (f *Fleet) link(from, to, target string) (faultinject.Link, error) {
 	link, err := f.Network.Link(from+"/"+to, target)
 	if err == nil {
@@ -140,7 +140,7 @@
 	return link, err
 }
 
-// retarget has all links to a target lead to its present address.
+// retarget points all registered links to a target at its current address.
 func (f *Fleet) retarget(to, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,10 +149,10 @@
 	}
 }
 
-// unusedAddress is where a link leads until its target serves: nothing listens on a port so low.
+// unusedAddress is the target of a link until the target process serves. No process listens on this privileged port.
 const unusedAddress = "127.0.0.1:1"
 
-// writeJSON replaces a file by one with an encoded value, at once, so that no process reads a part of it.
+// writeJSON replaces a file atomically by the JSON encoding of a value, so that no process reads a partial file.
 func writeJSON(path string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -164,7 +164,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// StopClients ends the clients once each has its answer. No process may be paused then.
+// StopClients stops the clients and waits until the last request of each has ended. No process may be paused meanwhile, since a
+// paused proxy does not answer.
 func (f *Fleet) StopClients() {
 	if f.stopClients != nil {
 		f.stopClients()
@@ -172,7 +173,7 @@
 	f.clients.wg.Wait()
 }
 
-// Close ends the whole fleet. The error says what did not end.
+// Close stops the whole fleet. The error names the processes that did not end.
 func (f *Fleet) Close() error {
 	for _, proxy := range f.Proxies {
 		_ = proxy.Resume() // it may have ended
--- a/internal/testing/fleettest/fleet_test.go
+++ b/internal/testing/fleettest/fleet_test.go
@@ -16,7 +16,7 @@
 
 var programs func() (map[string]string, error)
 
-// TestMain lets the first test that needs the programs build them, for all.
+// TestMain sets programs, which builds the programs on first use, and removes them after the tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "fleettest")
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// startFleet starts a fleet that ends with the test.
+// startFleet starts a fleet that is closed at the end of the test.
 func startFleet(t *testing.T, proxies, replicas int, change ...func(*Options)) *Fleet {
 	t.Helper()
 	paths, err := programs()
@@ -70,7 +70,7 @@
 	return fleet
 }
 
-// checkFindings stops the clients and fails the test on every violation.
+// checkFindings stops the clients and reports every violation as a test error.
 func checkFindings(t *testing.T, fleet *Fleet) Findings {
 	t.Helper()
 	fleet.StopClients()
@@ -79,7 +79,7 @@
 		t.Error(violation)
 	}
 	if findings.Tally.Served == 0 || findings.Lines == 0 {
-		t.Errorf("%d requests served, %d lines of the contested class: too few to prove anything", findings.Tally.Served, findings.Lines)
+		t.Errorf("%d requests served, %d lines of the contested class: the test exercised nothing", findings.Tally.Served, findings.Lines)
 	}
 	for _, stale := range findings.Excused {
 		t.Log("excused:", stale)
@@ -91,12 +91,12 @@
 	return findings
 }
 
-// setFault returns a step that sets a fault on links.
+// setFault returns a function that sets a fault on links.
 func setFault(fleet *Fleet, pattern string, fault faultinject.Fault) func() error {
 	return func() error { return fleet.Network.Set(pattern, fault) }
 }
 
-// clearFaults returns a step that clears all faults of links.
+// clearFaults returns a function that clears all faults of links.
 func clearFaults(fleet *Fleet, pattern string) func() error {
 	return func() error { return fleet.Network.Clear(pattern, "") }
 }
@@ -106,24 +106,24 @@
 	delayed  = faultinject.Fault{Kind: faultinject.Delay, Duration: 5 * time.Millisecond, Jitter: 20 * time.Millisecond}
 )
 
-// muteDirection mutes one direction of links.
+// muteDirection returns a fault that drops the traffic of links in one direction.
 func muteDirection(d faultinject.Direction) faultinject.Fault {
 	return faultinject.Fault{Kind: faultinject.Mute, Direction: d}
 }
 
-// faultCase is a fault under which a version is proposed.
+// faultCase is a fault during which a test proposes a version.
 type faultCase struct {
 	name     string
 	inject   func() error
 	repair   func() error
-	affected []*Proxy // that may not have the version before the repair
-	// during replaces the wait, before the repair, until the version is active at all proxies that are not away.
+	affected []*Proxy // proxies that may lack the version until the repair
+	// during, if set, replaces the wait before the repair until the version is active at all unaffected proxies.
 	during func(version uint64) error
 }
 
 func noop() error { return nil }
 
-// proxyDownCase is a fault that takes down one proxy.
+// proxyDownCase returns a fault that takes down one proxy.
 func proxyDownCase(fleet *Fleet, name string, proxy *Proxy, down func(context.Context) error, up func() error) faultCase {
 	return faultCase{name: name, inject: func() error { return down(fleet.ctx) }, repair: up, affected: []*Proxy{proxy}}
 }
@@ -140,13 +140,13 @@
 	return proxyDownCase(fleet, "a proxy pauses", proxy, proxy.Pause, proxy.Resume)
 }
 
-// linkFaultCase is a fault of links. It is cleared on all links of a second pattern.
-func linkFaultCase(fleet *Fleet, name, pattern string, fault faultinject.Fault, cleared string, away ...*Proxy) faultCase {
-	return faultCase{name: name, inject: setFault(fleet, pattern, fault), repair: clearFaults(fleet, cleared), affected: away}
+// linkFaultCase returns a fault of the links that match pattern. The repair clears all faults of the links that match cleared.
+func linkFaultCase(fleet *Fleet, name, pattern string, fault faultinject.Fault, cleared string, affected ...*Proxy) faultCase {
+	return faultCase{name: name, inject: setFault(fleet, pattern, fault), repair: clearFaults(fleet, cleared), affected: affected}
 }
 
-// Without a control plane nothing bounds for how long proxies act on conflicting versions. Each request has one answer all the
-// same, whatever happens to service discovery, links and processes.
+// In a fleet without a control plane, each request gets exactly one answer under faults of service discovery, links and processes.
+// Nothing bounds how long proxies act on conflicting versions there, so the test ignores overlaps.
 func TestProxiesWithoutControlPlane(t *testing.T) {
 	fleet := startFleet(t, 10, 0)
 	halfLine := faultinject.Fault{Kind: faultinject.HalfEnd, Direction: faultinject.Down, Offset: 2}
@@ -179,14 +179,14 @@
 	}
 	fleet.StopClients()
 	findings := fleet.Findings()
-	findings.Violations = findings.Violations[len(findings.OverBound):] // without overlaps, which are not bounded here
+	findings.Violations = findings.Violations[len(findings.OverBound):] // drops the overlaps, which have no bound here
 	for _, violation := range findings.Violations {
 		t.Error(violation)
 	}
 }
 
-// Under each fault a version is proposed, becomes active and, once the fault is over, is active everywhere. At no time do two
-// proxies act on conflicting versions for longer than the agreement timeout.
+// A version proposed during a fault becomes active at the unaffected proxies, and at all proxies after the repair. No two proxies
+// act on conflicting versions for longer than the agreement timeout.
 func TestFleetAgreesUnderFaults(t *testing.T) {
 	fleet := startFleet(t, 20, 3)
 	for _, test := range append(controlPlaneFaults(fleet), leaseFaults(fleet)...) {
@@ -202,7 +202,7 @@
 		must(t, test.repair())
 		must(t, fleet.AwaitActiveAt(number, fleet.Proxies))
 		must(t, fleet.AwaitRequestLine(number))
-		t.Logf("%s: version %d is active everywhere after %v", test.name, number, time.Since(start).Round(time.Millisecond))
+		t.Logf("%s: version %d active at all proxies after %v", test.name, number, time.Since(start).Round(time.Millisecond))
 	}
 	findings := checkFindings(t, fleet)
 	must(t, fleet.VerifyVersions())
@@ -211,7 +211,7 @@
 	}
 }
 
-// controlPlaneFaults are faults of replicas, proxies and the links between them.
+// controlPlaneFaults returns faults of replicas, proxies and the links between them.
 func controlPlaneFaults(fleet *Fleet) []faultCase {
 	first, second := fleet.Proxies[0], fleet.Proxies[1]
 	var leader *Replica
@@ -224,12 +224,12 @@
 		}
 	}
 	return []faultCase{
-		{name: "nothing", inject: noop, repair: noop},
+		{name: "no fault", inject: noop, repair: noop},
 		linkFaultCase(fleet, "links to one replica drop", "proxy*/keeper1", muteBoth, "*/keeper1"),
 		linkFaultCase(fleet, "links of one proxy drop", "proxy1/keeper*", muteBoth, "proxy1/*", first),
-		linkFaultCase(fleet, "delays", "*/keeper*", delayed, "*/keeper*"),
+		linkFaultCase(fleet, "links to replicas are slow", "*/keeper*", delayed, "*/keeper*"),
 		linkFaultCase(fleet, "renewals are lost one way", "proxy2/keeper*", muteDirection(faultinject.Up), "proxy2/*", second),
-		// The replicas receive the proxy's renewals all the while.
+		// The replicas still receive the proxy's renewals.
 		linkFaultCase(fleet, "leases are lost one way", "proxy2/keeper*", muteDirection(faultinject.Down), "proxy2/*", second),
 		{
 			name: "the leader's messages are lost",
@@ -254,14 +254,14 @@
 	}
 }
 
-// leaseFaults are what the agreement timeout is for: a proxy that has acknowledged a version is not waited for, and acts by its
-// old lease until that expires.
+// leaseFaults returns faults of a proxy that has acknowledged a version. The replicas activate the version without waiting for
+// this proxy, which follows its old lease until that expires. The agreement timeout bounds this overlap.
 func leaseFaults(fleet *Fleet) []faultCase {
 	first, second := fleet.Proxies[0], fleet.Proxies[1]
 	muteAnswers := setFault(fleet, "proxy2/keeper*", muteDirection(faultinject.Down))
-	// afterAcknowledgments does something to the first proxy once all proxies but the second have afterAcknowledgments, and goes on once the
-	// version is active. The second proxy gets no answers and blocks the version for MemberTimeout, which must be longer than
-	// the machine needs until then.
+	// afterAcknowledgments calls do when all proxies but the second have acknowledged the version, and calls then when the version
+	// is active. Until do returns, the second proxy gets no answers and so blocks the version, for at most MemberTimeout. So
+	// MemberTimeout must exceed the time that these steps take on a slow machine.
 	afterAcknowledgments := func(version uint64, do, then func() error) error {
 		for _, step := range []func() error{
 			func() error { return fleet.AwaitBlockedBy(version, second.Name) },
@@ -286,7 +286,7 @@
 	}
 	return []faultCase{
 		{
-			name: "the member timeout is much longer from now on",
+			name: "the member timeout is raised",
 			inject: func() error {
 				fleet.MemberTimeout = fakes.WaitTimeout
 				return nil
@@ -294,7 +294,7 @@
 			repair: noop,
 		},
 		{
-			name:     "a proxy is cut off once it has acknowledged",
+			name:     "a proxy is cut off after its acknowledgment",
 			inject:   muteAnswers,
 			repair:   clearFaults(fleet, "proxy1/*"),
 			affected: []*Proxy{first},
@@ -303,13 +303,13 @@
 			},
 		},
 		{
-			name:     "a proxy pauses after that, for longer than its lease",
+			name:     "a proxy pauses after its acknowledgment for longer than its lease",
 			inject:   muteAnswers,
 			repair:   first.Resume,
 			affected: []*Proxy{first},
 			during: func(version uint64) error {
 				return afterAcknowledgments(version, func() error { return first.Pause(fleet.ctx) }, func() error {
-					pause(fleet.ctx, fleet.AgreementTimeout*5/4) // the duration of the pause, for which nothing can be awaited
+					pause(fleet.ctx, fleet.AgreementTimeout*5/4) // length of the pause; a paused proxy emits no event to wait for
 					return nil
 				})
 			},
@@ -317,17 +317,18 @@
 	}
 }
 
-// generateSchedule draws a schedule for 4 proxies, 3 replicas and 8 endpoints.
+// generateSchedule generates a schedule for 4 proxies, 3 replicas and 8 endpoints.
 func generateSchedule(seed uint64, length, interval time.Duration) []Event {
 	return GenerateSchedule(ScheduleOptions{Seed: seed, Length: length, Interval: interval, Proxies: 4, Replicas: 3, Endpoints: 8})
 }
 
-// A drawn schedule is the same each time, has no two faults of a resource at a time, and leaves a fleet that agrees.
-func TestDrawnSchedule(t *testing.T) {
-	draw := func(seed uint64) []Event { return generateSchedule(seed, 100*time.Second, time.Second) }
-	testkit.Equal(t, "the second draw", draw(1), draw(1))
+// A generated schedule is the same each time and has no concurrent faults of a resource. All proxies of a fleet reach the last
+// version after it.
+func TestGeneratedSchedule(t *testing.T) {
+	generate := func(seed uint64) []Event { return generateSchedule(seed, 100*time.Second, time.Second) }
+	testkit.Equal(t, "the same seed generated twice", generate(1), generate(1))
 	busyUntil := map[string]time.Duration{}
-	for _, event := range draw(2) {
+	for _, event := range generate(2) {
 		resource := event.Kind
 		if strings.HasPrefix(resource, "a proxy") {
 			resource = fmt.Sprint("proxy", event.Target)
@@ -335,7 +336,7 @@
 			resource = "replicas"
 		}
 		if event.At < busyUntil[resource] || event.At+event.Duration >= 100*time.Second {
-			t.Errorf("%+v begins while %s has another fault, or ends too late", event, resource)
+			t.Errorf("%+v starts while %s has another fault, or ends after the schedule", event, resource)
 		}
 		busyUntil[resource] = event.At + event.Duration
 	}
@@ -358,8 +359,8 @@
 	t.Logf("%d events, %d versions", len(schedule), last)
 }
 
-// A proxy that is not given a version goes on by the old one, which is found and not excused.
-func TestStaleProxyIsFound(t *testing.T) {
+// A proxy that does not receive a version keeps following the old one. FindOverlaps reports this as a violation.
+func TestStaleProxyIsReported(t *testing.T) {
 	fleet := startFleet(t, 3, 0)
 	number, err := fleet.Propose(fleet.Proxies[0])
 	must(t, err)
@@ -367,11 +368,11 @@
 	must(t, fleet.AwaitRequestLine(number))
 	for deadline := time.Now().Add(fakes.WaitTimeout); ; pause(fleet.ctx, 20*time.Millisecond) {
 		if findings := fleet.Findings(); len(findings.OverBound) > 0 {
-			testkit.Equal(t, "who", fleet.Proxies[0].Name, findings.OverBound[0].Proxy)
+			testkit.Equal(t, "the stale proxy", fleet.Proxies[0].Name, findings.OverBound[0].Proxy)
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the stale proxy was never found")
+			t.Fatal("Findings did not report the stale proxy")
 		}
 	}
 }
@@ -390,27 +391,27 @@
 		return pauses.overlap(from, to)
 	}
 	for _, test := range []struct {
-		name            string
-		lines           []RequestLine
-		longest         time.Duration
-		broken, excused int
+		name               string
+		lines              []RequestLine
+		longest            time.Duration
+		overBound, excused int
 	}{
-		{"one after the other", []RequestLine{line(100, "b", "p"), line(5100, "c", "p"), line(9100, "d", "p")}, 0, 0, 0},
+		{"no overlap", []RequestLine{line(100, "b", "p"), line(5100, "c", "p"), line(9100, "d", "p")}, 0, 0, 0},
 		{"within the bound", []RequestLine{line(100, "b", "p"), line(5100, "c", "q"), line(6000, "b", "p"), line(7000, "b", "p")},
 			1900 * time.Millisecond, 0, 0},
-		{"over it", []RequestLine{line(5100, "c", "q"), line(7250, "b", "p")}, 2150 * time.Millisecond, 1, 0},
-		{"a later line of another proxy hides nothing",
+		{"over the bound", []RequestLine{line(5100, "c", "q"), line(7250, "b", "p")}, 2150 * time.Millisecond, 1, 0},
+		{"a later line by another proxy",
 			[]RequestLine{line(8000, "b", "p"), line(5100, "c", "q"), line(7900, "c", "q")}, 2900 * time.Millisecond, 1, 0},
-		{"paused over the bound's end, and at once after it",
+		{"paused at the end of the bound, line within ReactionTime",
 			[]RequestLine{line(5200, "c", "q"), line(8530, "b", "paused")}, 0, 0, 1},
-		{"paused, and on for longer than a turn",
+		{"paused at the end of the bound, line after ReactionTime",
 			[]RequestLine{line(5200, "c", "q"), line(8600, "b", "paused")}, 3400 * time.Millisecond, 1, 0},
 		{"paused only after the bound", []RequestLine{line(5000, "c", "q"), line(8510, "b", "paused")}, 3510 * time.Millisecond, 1, 0},
 		{"two versions behind", []RequestLine{line(9100, "d", "q"), line(11250, "b", "p")}, 2150 * time.Millisecond, 1, 0},
-		{"nothing by the later version", []RequestLine{line(100, "b", "p"), line(8000, "b", "p")}, 0, 0, 0},
+		{"no line by the later version", []RequestLine{line(100, "b", "p"), line(8000, "b", "p")}, 0, 0, 0},
 	} {
 		report := FindOverlaps(test.lines, rollouts, 2*time.Second, suspended)
-		testkit.Equal(t, test.name, []any{test.longest, test.broken, test.excused},
+		testkit.Equal(t, test.name, []any{test.longest, test.overBound, test.excused},
 			[]any{report.Longest, len(report.OverBound), len(report.Excused)})
 	}
 }
@@ -419,24 +420,24 @@
 	discovery, err := newDiscovery(5)
 	must(t, err)
 	defer discovery.close()
-	taken := 0
+	accepted := 0
 	for range 50 {
 		if _, ok := discovery.admit(&discovery.proxyCalls); ok {
-			taken++
+			accepted++
 		}
 	}
-	if taken < 5 || discovery.proxyCalls.total != 50 || discovery.proxyCalls.rejected != 50-taken ||
+	if accepted < 5 || discovery.proxyCalls.total != 50 || discovery.proxyCalls.rejected != 50-accepted ||
 		discovery.replicaCalls.total != 0 {
-		t.Errorf("%d of %d requests accepted, %d rejected", taken, discovery.proxyCalls.total, discovery.proxyCalls.rejected)
+		t.Errorf("%d of %d requests accepted, %d rejected", accepted, discovery.proxyCalls.total, discovery.proxyCalls.rejected)
 	}
 	discovery.set(fakes.Entry{ID: "s-a1", Addr: "127.0.0.1:7"})
 	must(t, discovery.restart())
 	got, err := discovery.currentList(func(id string) string { return id + ":1" })
 	must(t, err)
-	testkit.Equal(t, "as a view returns it", `{"generation":2,"reset":true,"instances":[{"cell":0,"hostPort":"s-a1:1","instanceId":"s-a1",`+
+	testkit.Equal(t, "list after a restart", `{"generation":2,"reset":true,"instances":[{"cell":0,"hostPort":"s-a1:1","instanceId":"s-a1",`+
 		`"lifecycle":"in_service","machineType":"m","startedAtMs":0,"weight":1,"zone":"a"}]}`+"\n", string(got))
 	_, err = Build(t.TempDir(), "no-such-program")
 	if err == nil {
-		t.Error("a program that does not exist was built")
+		t.Error("Build succeeded for a program that does not exist")
 	}
 }
--- a/internal/testing/fleettest/intervals.go
+++ b/internal/testing/fleettest/intervals.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// intervals is a set of times in which a process could not run, or did not exist. It is safe for concurrent use.
+// intervals is a set of periods in which a process was unavailable. It is safe for concurrent use.
 type intervals struct {
 	mu  sync.Mutex
 	all []interval
@@ -14,11 +14,11 @@
 
 type interval struct {
 	from       time.Time
-	to         time.Time     // zero: it goes on
-	maxCounted time.Duration // the longest part of it that counts; ignored while it goes on
+	to         time.Time     // zero while the interval is open
+	maxCounted time.Duration // maximum that overlap counts of this interval; ignored while the interval is open
 }
 
-// begin starts an interval that lasts until end is called.
+// begin adds an open interval, which the returned function closes.
 func (s *intervals) begin() (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,8 @@
 	s.all = append(s.all, added)
 }
 
-// overlap returns for how much of a time the intervals count, at most.
+// overlap returns an upper bound on how long the process was unavailable between two times. Of each closed interval it counts at
+// most maxCounted.
 func (s *intervals) overlap(from, to time.Time) (total time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +59,7 @@
 	return min(total, max(to.Sub(from), 0))
 }
 
-// intersects reports whether any interval has a moment in common with a time.
+// intersects reports whether any interval intersects the period between two times, inclusive.
 func (s *intervals) intersects(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/fleettest/options.go
+++ b/internal/testing/fleettest/options.go
@@ -6,30 +6,31 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// Options describe a fleet.
+// Options describes a fleet.
 type Options struct {
 	Programs map[string]string // paths by name, as Build returns them
-	Dir      string            // for configuration files and data
-	Seed     uint64            // of clients and of the links' faults
+	Dir      string            // folder for configuration files and data
+	Seed     uint64            // seed of the clients and of the links' faults
 
 	ProxyCount      int
-	ReplicaCount    int // 0: without a control plane, new versions are written to the proxies' files
+	ReplicaCount    int // 0: no control plane; new versions are written to the proxies' files
 	ClientsPerProxy int
-	RequestInterval time.Duration // between a client's requests, on average
+	RequestInterval time.Duration // average time between a client's requests
 
 	EndpointsPerPool int
-	// ConnSetupTime is how long an endpoint takes to set a connection up; coldSetupFactor times as long while it warms up.
+	// ConnSetupTime is how long a warm endpoint takes to set up a connection. It takes coldSetupFactor times as long while it
+	// warms up.
 	ConnSetupTime time.Duration
-	WarmUpTime    time.Duration // of a restarted endpoint
+	WarmUpTime    time.Duration // how long a restarted endpoint warms up
 
-	DiscoveryRate      float64 // requests per second that service discovery accepts; 0: any number
-	ReplicasServeLists bool    // the replicas follow service discovery, and proxies watch the endpoint list there
+	DiscoveryRate      float64 // requests per second that service discovery accepts; 0: unlimited
+	ReplicasServeLists bool    // whether replicas follow service discovery, and proxies watch the endpoint list at replicas
 
-	// The fleet's terms.
-	AgreementTimeout time.Duration                 // the bound of overlaps
-	MemberTimeout    time.Duration                 // for how long an unreachable proxy blocks a version
+	// The fields of fleetconfig.Terms.
+	AgreementTimeout time.Duration                 // upper bound on overlaps of versions
+	MemberTimeout    time.Duration                 // how long an unreachable proxy blocks a version
 	OnLeaseExpiry    fleetconfig.LeaseExpiryPolicy // empty: RejectOnExpiry
 }
 
-// coldSetupFactor is by how much a connection costs more while an endpoint warms up.
+// coldSetupFactor multiplies ConnSetupTime while an endpoint warms up.
 const coldSetupFactor = 10
--- a/internal/testing/fleettest/overlap.go
+++ b/internal/testing/fleettest/overlap.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ReactionTime is how long a proxy may have been able to run between the end of the agreement timeout and its write of a
-// request line, before the line counts as a violation. A turn of its event loop is far shorter.
+// ReactionTime is the longest time for which a proxy may run between the end of the agreement timeout and its write of a stale
+// request line without the line counting as a violation. One iteration of the proxy's event loop takes far less.
 const ReactionTime = 50 * time.Millisecond
 
 // RequestLine is a request line of the contested class, as a proxy wrote it to an endpoint.
@@ -16,57 +16,58 @@
 	Proxy    string
 	Pool     string
 	Endpoint string
-	ID       string // of the request
+	ID       string // the request's ID
 
-	rollout int // index of the rollout that it followed; -1: none
+	rollout int // index of the rollout that the line followed; -1: none
 }
 
 // Rollout is the proposal of a version.
 type Rollout struct {
 	Number     uint64
-	Pool       string    // that it routes the contested class to
-	ProposedAt time.Time // taken before the proposal
+	Pool       string    // the pool to which the version routes the contested class
+	ProposedAt time.Time // the time immediately before the proposal
 }
 
-// StaleLine is a line by a version after the first line by a later one.
+// StaleLine is a request line that followed one version after the first line that followed a later version.
 type StaleLine struct {
 	RequestLine
-	Version      uint64        // that it followed
-	NewerVersion uint64        // the later one
-	Staleness    time.Duration // since the first line by the later version
-	Suspended    time.Duration // the part of the time beyond the agreement timeout in which the proxy could not run
+	Version      uint64        // the version that the line followed
+	NewerVersion uint64        // the later version
+	Staleness    time.Duration // the time since the first line that followed the later version
+	Suspended    time.Duration // how long the proxy could not run between the end of the agreement timeout and the line
 }
 
 // String describes the line for a report.
 func (l StaleLine) String() string {
-	return fmt.Sprintf("%s wrote %s to %s by version %d, %v after the first line by version %d; "+
+	return fmt.Sprintf("%s wrote %s to %s according to version %d, %v after the first line of version %d; "+
 		"it could not run for %v of the time beyond the agreement timeout", l.Proxy, l.ID, l.Endpoint, l.Version, l.Staleness,
 		l.NewerVersion, l.Suspended)
 }
 
-// VersionOverlap is the longest overlap of a version with those before it.
+// VersionOverlap is the longest overlap of a version with earlier versions.
 type VersionOverlap struct {
 	Version    uint64
-	FirstLine  time.Time // of the first line by this version; zero: there was none
+	FirstLine  time.Time // the time of the first line that followed this version; zero if there was none
 	Longest    time.Duration
-	StaleLines int    // stale lines, without the excused ones
-	Proxy      string // that wrote the last of them
+	StaleLines int    // number of stale lines, without the excused lines
+	Proxy      string // the proxy that wrote the last stale line
 }
 
 // OverlapReport is the result of FindOverlaps.
 type OverlapReport struct {
-	Lines     int // of the contested class
+	Lines     int // number of request lines of the contested class
 	Overlaps  []VersionOverlap
-	Longest   time.Duration // of all overlaps, without the excused lines
-	OverBound []StaleLine   // beyond the agreement timeout: violations
-	Excused   []StaleLine   // beyond the agreement timeout, by proxies that were suspended
+	Longest   time.Duration // the longest overlap, without the excused lines
+	OverBound []StaleLine   // lines beyond the agreement timeout, which are violations
+	Excused   []StaleLine   // lines beyond the agreement timeout from proxies that were suspended
 }
 
-// SuspendedTime returns for how much of a time a proxy could not run.
+// SuspendedTime returns how long a proxy could not run between two times.
 type SuspendedTime func(proxy string, from, to time.Time) time.Duration
 
-// FindOverlaps finds the overlaps of versions. A line followed the newest version of its pool that had been proposed; so
-// versions must go round the pools, and the bound must be shorter than a round of versions takes.
+// FindOverlaps finds the overlaps of versions. It assumes that a line followed the newest version that routes the contested class
+// to the line's pool and was proposed before the line. So versions must cycle through the pools, and the bound must be shorter
+// than a cycle.
 func FindOverlaps(lines []RequestLine, rollouts []Rollout, bound time.Duration, suspended SuspendedTime) OverlapReport {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b RequestLine) int { return a.At.Compare(b.At) })
@@ -94,7 +95,7 @@
 				report.OverBound = append(report.OverBound, stale)
 			}
 			overlap.StaleLines++
-			overlap.Longest = stale.Staleness // the lines are in the order of their times
+			overlap.Longest = stale.Staleness // the lines are sorted by time
 			overlap.Proxy = line.Proxy
 			report.Longest = max(report.Longest, stale.Staleness)
 		}
--- a/internal/testing/fleettest/persistent_conns.go
+++ b/internal/testing/fleettest/persistent_conns.go
@@ -11,13 +11,13 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// openRetryDelay is between attempts to open a connection.
+// openRetryDelay is the delay between attempts to open a connection.
 const openRetryDelay = 20 * time.Millisecond
 
-// PersistentConns are connections that stay open, one at each proxy. A line is sent over each of them every second, and its
-// echo awaited.
+// PersistentConns holds one long-lived connection to each proxy. It sends a line over each connection every second and waits for
+// the echo.
 type PersistentConns struct {
-	Opened int // how many were opened
+	Opened int // number of connections opened
 
 	cancel context.CancelFunc // ends the goroutines of the connections
 	wg     sync.WaitGroup
@@ -26,7 +26,7 @@
 	failures []string
 }
 
-// OpenPersistentConns opens a connection at each proxy.
+// OpenPersistentConns opens a connection to each proxy.
 func (f *Fleet) OpenPersistentConns() (*PersistentConns, error) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	conns := &PersistentConns{Opened: len(f.Proxies), cancel: cancel}
@@ -38,7 +38,7 @@
 	return conns, nil
 }
 
-// open tries until a connection is open, since a request can be refused at any time.
+// open opens a connection to a proxy. It retries, because a proxy may refuse a request at any time.
 func (c *PersistentConns) open(ctx context.Context, proxy *Proxy) error {
 	openCtx, cancel := context.WithTimeout(ctx, fakes.WaitTimeout)
 	defer cancel()
@@ -48,7 +48,7 @@
 			pause(openCtx, openRetryDelay)
 			continue
 		}
-		_ = conn.SetDeadline(time.Now().Add(fakes.WaitTimeout)) // fails on a closed connection alone, and so does what follows
+		_ = conn.SetDeadline(time.Now().Add(fakes.WaitTimeout)) // fails only on a closed connection, as do the calls below
 		reader := bufio.NewReader(conn)
 		word, err := open(conn, reader, fakes.NextID(), PlainClass)
 		if err != nil || word != "UP" {
@@ -59,15 +59,15 @@
 		c.wg.Go(func() { c.exchange(ctx, proxy, conn, reader) })
 		return nil
 	}
-	return fmt.Errorf("no connection can be opened at %s: %w", proxy.Name, openCtx.Err())
+	return fmt.Errorf("opening a persistent connection at %s: %w", proxy.Name, openCtx.Err())
 }
 
-// exchange sends a line a second until the context or the connection ends. Its timeout for an echo is long, since a proxy
+// exchange sends a line every second until the context or the connection ends. The timeout for an echo is long because a proxy
 // may be paused.
 func (c *PersistentConns) exchange(ctx context.Context, proxy *Proxy, conn net.Conn, reader *bufio.Reader) {
 	defer conn.Close()
 	for n := 1; ctx.Err() == nil; pause(ctx, time.Second) {
-		_ = conn.SetDeadline(time.Now().Add(fakes.WaitTimeout)) // fails on a closed connection alone, and so does what follows
+		_ = conn.SetDeadline(time.Now().Add(fakes.WaitTimeout)) // fails only on a closed connection, as do the calls below
 		sent := fmt.Sprintf("M %d\r\n", n)
 		received := ""
 		_, err := conn.Write([]byte(sent))
@@ -75,7 +75,7 @@
 			received, err = reader.ReadString('\n')
 		}
 		if err == nil && received != sent {
-			err = fmt.Errorf("%q came back", received)
+			err = fmt.Errorf("sent %q, received %q", sent, received)
 		}
 		if err != nil {
 			c.mu.Lock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// Close closes the connections and returns a description of each that failed before. It may be called again.
+// Close closes the connections and returns a description of each connection that failed before. It may be called more than once.
 func (c *PersistentConns) Close() []string {
 	c.cancel()
 	c.wg.Wait()
--- a/internal/testing/fleettest/process.go
+++ b/internal/testing/fleettest/process.go
@@ -19,45 +19,45 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// Bounds, in bytes, on parts of a process's output.
+// Limits, in bytes, on parts of a process's output.
 const (
-	maxVersionLine    = 200  // more than a log line about a new active version
-	maxLastOutput     = 2000 // that an error quotes
+	maxVersionLine    = 200  // longer than a log line about a new active version
+	maxLastOutput     = 2000 // quoted in an error
 	maxRaceReportText = 4000
 )
 
-// Process is a program that is started, ended, paused and started again. Its log spans all its runs. Its methods may be called
-// concurrently.
+// Process runs a program, which can be killed, stopped, paused and restarted. Its log contains the output of all runs. Its methods
+// are safe for concurrent use.
 type Process struct {
 	Name      string
 	path      string
 	args      []string
-	env       []string // beside those of this process
-	dir       string   // where it runs
-	readyText string   // the text of its log line that says that it serves, before the address
+	env       []string // variables added to the environment of this process
+	dir       string   // working directory
+	readyText string   // text that precedes the address in the log line written when the program serves
 
-	lifecycle sync.Mutex // held while it is started, ended or reloaded
+	lifecycle sync.Mutex // held while the process is started, ended or reloaded
 
 	mu              sync.Mutex
-	cmd             *exec.Cmd     // the current run, or the last one; nil: it was never started
+	cmd             *exec.Cmd     // the current or last run; nil if the process was never started
 	ended           chan struct{} // closed when cmd has ended
-	expectedRunning bool          // false: its end is expected, and no failure
+	expectedRunning bool          // whether an end of the process is a failure
 	failures        []error       // unexpected ends
 	log             []byte
-	logGrown        chan struct{} // closed when log has grown or a run has begun
-	runStart        int           // where this run's log begins
+	logGrown        chan struct{} // closed and replaced when log grows or a run begins
+	runStart        int           // offset in log at which the current run begins
 	versionChanges  []VersionChange
-	onReady         []func() // called and dropped once it serves
+	onReady         []func() // called once, when the process serves
 
-	endPause     func()         // ends the interval of the current pause; nil: it is not paused
-	suspended    intervals      // when it could not run
-	killed       intervals      // from before it was killed until it served again
-	stopping     intervals      // from before it was asked to stop until it served again
-	runQueueWait map[int]uint64 // by thread, the nanoseconds that it had waited for a processor at sampledAt
+	endPause     func()         // ends the interval of the current pause; nil while the process is not paused
+	suspended    intervals      // periods in which the process could not run
+	killed       intervals      // each from before a SIGKILL until the process served again
+	stopping     intervals      // each from before a SIGTERM until the process served again
+	runQueueWait map[int]uint64 // total nanoseconds that each thread had waited for a processor at sampledAt
 	sampledAt    time.Time
 }
 
-// newProcess returns a process of the program at path, with a folder of its own name in dir. It is not started.
+// newProcess returns a process, not yet started, of the program at path. It creates the process's working directory, dir/name.
 func newProcess(name, path, dir, readyText string, env ...string) (*Process, error) {
 	p := &Process{
 		Name:      name,
@@ -76,7 +76,7 @@
 	defer p.mu.Unlock()
 	before := len(p.log)
 	p.log = append(p.log, b...)
-	unread := p.log[max(p.runStart, before-maxVersionLine):] // with the beginning of a line that b completes
+	unread := p.log[max(p.runStart, before-maxVersionLine):] // includes the start of a line that b may complete
 	if version, ok := lastActiveVersion(string(unread)); ok {
 		p.recordVersion(version)
 	}
@@ -84,29 +84,29 @@
 	return len(b), nil
 }
 
-// recordVersion records a change of the active version; p.mu is held.
+// recordVersion records a change of the active version. The caller must hold p.mu.
 func (p *Process) recordVersion(version uint64) {
 	if n := len(p.versionChanges); n == 0 || p.versionChanges[n-1].Version != version {
 		p.versionChanges = append(p.versionChanges, VersionChange{time.Now(), version})
 	}
 }
 
-// notifyWaiters has AwaitLog look at the log again; p.mu is held.
+// notifyWaiters makes AwaitLog check the log again. The caller must hold p.mu.
 func (p *Process) notifyWaiters() {
 	close(p.logGrown)
 	p.logGrown = make(chan struct{})
 }
 
-// VersionChange is the time when a proxy logged that a version is active there.
+// VersionChange records when a proxy logged that a version became active.
 type VersionChange struct {
 	At      time.Time
 	Version uint64
 }
 
-// activeVersionLine is a proxy's log line about a new active version.
+// activeVersionLine matches a proxy's log line about a new active version.
 var activeVersionLine = regexp.MustCompile(`fleet: version active\t\{"version": (\d+)\}\n`)
 
-// lastActiveVersion returns the last version in a log that became active.
+// lastActiveVersion returns the version in the last log line about a new active version.
 func lastActiveVersion(log string) (version uint64, ok bool) {
 	all := activeVersionLine.FindAllStringSubmatch(log, -1)
 	if len(all) == 0 {
@@ -130,7 +130,8 @@
 	return string(p.log)
 }
 
-// AwaitOutput waits until the current run has written a text and returns the rest of that line. Its errors are AwaitLog's.
+// AwaitOutput waits until the current run has written a text, and returns the rest of that line. It returns the errors of
+// AwaitLog.
 func (p *Process) AwaitOutput(ctx context.Context, text string) (line string, err error) {
 	err = p.AwaitLog(ctx, fmt.Sprintf("wrote %q", text), func(log string) bool {
 		_, rest, _ := strings.Cut(log, text)
@@ -141,8 +142,9 @@
 	return line, err
 }
 
-// AwaitLog waits, for at most fakes.WaitTimeout, until the log of the current run satisfies a condition. After an expected end
-// the next run counts. The error says that the process never did what was awaited, as what words it.
+// AwaitLog waits for at most fakes.WaitTimeout until the log of the current run satisfies a condition. After an expected end it
+// waits for the next run. It fails on the timeout and if the run ends unexpectedly. what describes the condition in the error, as
+// in "had version 2 active".
 func (p *Process) AwaitLog(ctx context.Context, what string, satisfied func(log string) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, fakes.WaitTimeout)
 	defer cancel()
@@ -152,7 +154,7 @@
 		grown := p.logGrown
 		ended := p.ended
 		if !p.expectedRunning {
-			ended = nil // the next run is awaited
+			ended = nil // wait for the next run
 		}
 		p.mu.Unlock()
 		if satisfied(log) {
@@ -173,7 +175,7 @@
 	}
 }
 
-// awaitError says that a process never did what was awaited: the time was up, or it has ended.
+// awaitError returns the error of AwaitLog. ctxErr is nil if the process ended, and otherwise the reason for the end of the wait.
 func (p *Process) awaitError(ctxErr error, what, log string) error {
 	if ctxErr == nil {
 		return fmt.Errorf("%s ended and never %s: %s", p.Name, what, lastOutput(log))
@@ -184,7 +186,7 @@
 // lastOutput returns the end of a log.
 func lastOutput(log string) string { return log[max(0, len(log)-maxLastOutput):] }
 
-// Start starts a run and waits until it serves. It returns the rest of the log line that says so: the address.
+// Start starts a run, waits until it serves, and returns its address as read from its log.
 func (p *Process) Start(ctx context.Context) (string, error) {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -194,7 +196,7 @@
 		close(ended)
 		return "", fmt.Errorf("starting %s: %w", p.Name, err)
 	}
-	go p.awaitEnd(cmd, ended) // until the process ends, at the latest when this one does
+	go p.awaitEnd(cmd, ended) // returns when the process ends, at the latest with this process
 	line, err := p.AwaitOutput(ctx, p.readyText)
 	if err != nil {
 		return "", err
@@ -208,7 +210,7 @@
 	return line, nil
 }
 
-// command returns the command of a run, which the kernel kills when this process ends.
+// command returns the command of a run. The kernel kills the run when this process ends.
 func (p *Process) command() *exec.Cmd {
 	cmd := exec.Command(p.path, p.args...)
 	cmd.Env = append(append(os.Environ(), "TMPDIR="+p.dir), p.env...)
@@ -219,8 +221,8 @@
 	return cmd
 }
 
-// beginRun makes a command the current run, at whose log AwaitLog looks from now on. It returns the channel to close once the
-// run has ended.
+// beginRun makes a command the current run, whose log AwaitLog checks from now on. It returns the channel that the caller must
+// close when the run has ended.
 func (p *Process) beginRun(cmd *exec.Cmd) (ended chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,9 +236,9 @@
 	return p.ended
 }
 
-// awaitEnd waits until a run has ended, and records an end that was not expected.
+// awaitEnd waits until a run has ended, and records an unexpected end as a failure.
 func (p *Process) awaitEnd(cmd *exec.Cmd, ended chan struct{}) {
-	_ = cmd.Wait() // the process's state says how it has ended
+	_ = cmd.Wait() // cmd.ProcessState holds the result
 	p.mu.Lock()
 	if p.expectedRunning {
 		p.failures = append(p.failures,
@@ -246,7 +248,7 @@
 	close(ended)
 }
 
-// signal sends a signal to the current run. The error is os.ErrProcessDone where that has ended.
+// signal sends a signal to the current run. It returns os.ErrProcessDone if the run has ended.
 func (p *Process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -257,15 +259,15 @@
 	return cmd.Process.Signal(s)
 }
 
-// end sends a signal and waits until the process has ended. An interval of outage lasts from before the signal until the
-// process serves again.
+// end sends a signal and waits until the process has ended. It adds an interval to outage that lasts from before the signal until
+// the process serves again.
 func (p *Process) end(ctx context.Context, s syscall.Signal, outage *intervals) error {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
 	p.mu.Lock()
 	p.expectedRunning = false
 	ended := p.ended
-	if ended == nil { // it was never started
+	if ended == nil { // never started
 		p.mu.Unlock()
 		return nil
 	}
@@ -274,7 +276,7 @@
 	p.endPause = nil
 	p.mu.Unlock()
 	err := p.signal(s)
-	if resume != nil { // a paused process handles the signal once it goes on
+	if resume != nil { // a paused process handles the signal after SIGCONT
 		err = errors.Join(err, p.signal(syscall.SIGCONT))
 		resume()
 	}
@@ -284,7 +286,7 @@
 	select {
 	case <-ended:
 	case <-ctx.Done():
-		return fmt.Errorf("%s does not end: %w", p.Name, ctx.Err())
+		return fmt.Errorf("%s did not end: %w", p.Name, ctx.Err())
 	}
 	return err
 }
@@ -306,7 +308,7 @@
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for !isStopped(pid) { // only a tracer would be notified
+	for !isStopped(pid) { // polls, because Cmd.Wait does not report stops
 		select {
 		case <-time.After(time.Millisecond):
 		case <-ctx.Done():
@@ -316,7 +318,8 @@
 	return nil
 }
 
-// Resume ends a pause. The end of the suspension is taken before the signal, so that nothing after it is excused.
+// Resume ends a pause. It records the end of the suspension before it sends the signal, so that no time in which the process runs
+// is excused.
 func (p *Process) Resume() error {
 	p.mu.Lock()
 	if p.endPause != nil {
@@ -327,8 +330,8 @@
 	return p.signal(syscall.SIGCONT)
 }
 
-// Reload sends SIGHUP to the current run. It waits until the process serves, since SIGHUP would end it before. A run that has
-// ended is no error: the next one reads the configuration anyway.
+// Reload sends SIGHUP to the current run. If the process is starting, Reload first waits until it serves, because SIGHUP would
+// terminate it before. Reload succeeds if the run has ended, since the next run reads the configuration anyway.
 func (p *Process) Reload() error {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -338,7 +341,7 @@
 	return nil
 }
 
-// Failures returns the unexpected ends, and the race detector's report.
+// Failures returns the unexpected ends of the process, and the first report of the race detector.
 func (p *Process) Failures() []error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -349,8 +352,7 @@
 	return out
 }
 
-// WasDown reports whether the process was down at any moment of a time because it had been killed, or was stopping when the
-// time began.
+// WasDown reports whether the process was down due to a SIGKILL at any moment between two times, or was stopping at the first.
 func (p *Process) WasDown(from, to time.Time) bool {
 	return p.killed.intersects(from, to) || p.stopping.intersects(from, from)
 }
--- a/internal/testing/fleettest/proxies.go
+++ b/internal/testing/fleettest/proxies.go
@@ -16,15 +16,15 @@
 // Proxy is a proxy process.
 type Proxy struct {
 	*Process
-	Index      int          // from 1 on
-	addr       atomic.Value // a string
+	Index      int          // counted from 1
+	addr       atomic.Value // string
 	configPath string
 }
 
-// Addr returns the address at which the current run serves clients, or the last one did.
+// Addr returns the address at which the current or last run serves clients.
 func (p *Proxy) Addr() string { return p.addr.Load().(string) }
 
-// launch starts a run and keeps its address.
+// launch starts a run and stores its address.
 func (p *Proxy) launch(ctx context.Context) error {
 	addr, err := p.Start(ctx)
 	if err == nil {
@@ -33,7 +33,7 @@
 	return err
 }
 
-// addProxy writes the configuration of a proxy, and opens its links. It does not start the proxy.
+// addProxy opens the links of the i-th proxy, counted from 1, and writes its configuration. It does not start the proxy.
 func (f *Fleet) addProxy(i int) error {
 	name := fmt.Sprint("proxy", i)
 	config, err := f.proxyConfig(name, i)
@@ -78,7 +78,7 @@
 		Routing:   routes(1),
 	}
 	if len(f.Replicas) > 0 {
-		if config.Fleet, err = f.fleetRecord(name, addressOf); err != nil {
+		if config.Fleet, err = f.controlPlaneConfig(name, addressOf); err != nil {
 			return config, err
 		}
 	}
@@ -88,7 +88,7 @@
 	return config, nil
 }
 
-// linkEndpoints opens a proxy's links to all endpoints, and returns their addresses by the endpoint's ID.
+// linkEndpoints opens a proxy's links to all endpoints, and returns a function from an endpoint's ID to the link's address.
 func (f *Fleet) linkEndpoints(name string) (addressOf func(id string) string, err error) {
 	addresses := map[string]string{}
 	for _, e := range f.endpoints {
@@ -101,8 +101,8 @@
 	return func(id string) string { return addresses[id] }, nil
 }
 
-// fleetRecord opens a proxy's links to the replicas and returns the part of its configuration about them.
-func (f *Fleet) fleetRecord(name string, addressOf func(id string) string) (*fleetRecord, error) {
+// controlPlaneConfig opens a proxy's links to the replicas and returns the control-plane section of its configuration.
+func (f *Fleet) controlPlaneConfig(name string, addressOf func(id string) string) (*controlPlaneConfig, error) {
 	var addresses []string
 	for _, replica := range f.Replicas {
 		target := replica.Addr()
@@ -118,7 +118,7 @@
 		}
 		addresses = append(addresses, link.Addr())
 	}
-	return &fleetRecord{
+	return &controlPlaneConfig{
 		Keepers:       addresses,
 		Node:          name,
 		AgreeWithinMS: f.AgreementTimeout.Milliseconds(),
@@ -127,23 +127,23 @@
 	}, nil
 }
 
-// RestartProxy starts a proxy that has ended.
+// RestartProxy starts a new run of a proxy that has ended.
 func (f *Fleet) RestartProxy(p *Proxy) error { return p.launch(f.ctx) }
 
-// ProxiesExcept returns all proxies except some.
+// ProxiesExcept returns all proxies except the given ones.
 func (f *Fleet) ProxiesExcept(except ...*Proxy) []*Proxy {
 	return slices.DeleteFunc(slices.Clone(f.Proxies), func(p *Proxy) bool { return slices.Contains(except, p) })
 }
 
-// AwaitActiveAt waits until a version, or a later one, is active at proxies, by their logs. A proxy that was killed or
-// stopped must be restarted meanwhile.
+// AwaitActiveAt waits until the logs of all given proxies show that a version or a later one is active. A proxy that was killed or
+// stopped must be restarted during the wait.
 func (f *Fleet) AwaitActiveAt(number uint64, proxies []*Proxy) error {
 	return f.forEachProxy(proxies, func(proxy *Proxy) error {
 		active := func(log string) bool {
 			last, _ := lastActiveVersion(log)
 			return last >= number
 		}
-		if len(f.Replicas) == 0 { // its file has the version, so it is enough to have it read once more
+		if len(f.Replicas) == 0 { // the proxy's file already contains the version, so another reload activates it
 			reloads := func(log string) int { return strings.Count(log, "configuration read again") }
 			before := reloads(proxy.Log())
 			active = func(string) bool { return reloads(proxy.Log()) > before }
--- a/internal/testing/fleettest/replicas.go
+++ b/internal/testing/fleettest/replicas.go
@@ -20,40 +20,41 @@
 	"example.org/micafront/internal/testing/faultinject"
 )
 
-// replicaName names the i-th replica, from 0 on, in links and files. A link's name is part of the seed of its faults, so a
-// renaming would change what a seed plays.
+// replicaName returns the name of the i-th replica, counted from 0, in links and files. A link's name is part of the seed of its
+// faults, so other names would change the random faults of a seed.
 func replicaName(i int) string { return fmt.Sprint("keeper", i+1) }
 
-// replicaID is the ID of the i-th replica, from 0 on.
+// replicaID returns the ID of the i-th replica, counted from 0.
 func replicaID(i int) uint64 { return uint64(i + 1) }
 
 // Replica is a replica of the control plane.
 type Replica struct {
 	*Process
 	ID   uint64
-	addr atomic.Value // a string
+	addr atomic.Value // string
 }
 
-// Addr returns the address at which the current run serves, without a link, or the last one did.
+// Addr returns the address at which the current or last run serves. It bypasses the links.
 func (r *Replica) Addr() string { return r.addr.Load().(string) }
 
-// acknowledgedVersion is a version whose proposal was answered as committed.
+// acknowledgedVersion is a version whose proposal a replica acknowledged as committed.
 type acknowledgedVersion struct {
 	number uint64
 	digest string
 }
 
-// maxVerifiedVersions is how many versions VerifyVersions asks for, a few less than replicas retain for rollbacks.
+// maxVerifiedVersions bounds how many versions VerifyVersions requests. It is slightly below the number of versions that replicas
+// retain for rollbacks.
 const maxVerifiedVersions = 60
 
 const (
-	statusTimeout     = time.Second           // of a request for a replica's status
-	retryDelay        = 50 * time.Millisecond // between requests that may be repeated
-	pollInterval      = 20 * time.Millisecond // between looks at another process's state that is awaited
-	localPollInterval = 5 * time.Millisecond  // between looks at counts of this process that are awaited
+	statusTimeout     = time.Second           // timeout of a request for a replica's status
+	retryDelay        = 50 * time.Millisecond // delay before a request is retried
+	pollInterval      = 20 * time.Millisecond // interval of polls of another process's state
+	localPollInterval = 5 * time.Millisecond  // interval of polls of state in this process
 )
 
-// callTimeout is how long a request to one replica may take before the next replica is asked.
+// callTimeout is the timeout of a request to one replica, after which a proposal goes to the next replica.
 const callTimeout = 3 * time.Second
 
 // startReplicas writes the replicas' configurations, opens their links, starts them and proposes the first version.
@@ -74,7 +75,7 @@
 	return f.propose(1)
 }
 
-// addReplica writes the configuration of the i-th replica, from 0 on, and opens its links. It does not start the replica.
+// addReplica opens the links of the i-th replica, counted from 0, and writes its configuration. It does not start the replica.
 func (f *Fleet) addReplica(i int) error {
 	name := replicaName(i)
 	config := replicaConfig{ID: replicaID(i), Listen: replicaHost + ":0", Data: filepath.Join(f.Dir, name, "data")}
@@ -107,7 +108,7 @@
 	for j := range f.ReplicaCount {
 		id := strconv.FormatUint(replicaID(j), 10)
 		if j == i {
-			peers[id] = unusedAddress // it sends nothing to itself
+			peers[id] = unusedAddress // a replica sends nothing to itself
 			continue
 		}
 		link, err := f.link(replicaName(i), replicaName(j), unusedAddress)
@@ -119,12 +120,12 @@
 	return peers, nil
 }
 
-// KillReplica ends a replica with SIGKILL, and has its links refuse connections.
+// KillReplica ends a replica with SIGKILL, and makes the links to it refuse connections.
 func (f *Fleet) KillReplica(replica *Replica) error {
 	return errors.Join(replica.Kill(f.ctx), f.Network.Set("*/"+replica.Name, faultinject.Fault{Kind: faultinject.Refuse}))
 }
 
-// StartReplica starts a run of a replica and has its links lead there.
+// StartReplica starts a run of a replica and points the links to it at its address.
 func (f *Fleet) StartReplica(replica *Replica) error {
 	addr, err := replica.Start(f.ctx)
 	if err != nil {
@@ -155,7 +156,7 @@
 		return err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Close = true // the next process at this port is another one
+	req.Close = true // after a restart another process may listen on this port
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
@@ -171,8 +172,8 @@
 	return json.Unmarshal(text, to)
 }
 
-// propose proposes a version at one replica after the other until it is committed. A version is always proposed under the same
-// id, so that a response that was lost is repeated.
+// propose sends a version to one replica after another until a replica commits it. All requests for a version have the same ID, so
+// that a replica repeats the response of an earlier request whose response was lost.
 func (f *Fleet) propose(number uint64) error {
 	body := fleetconfig.Body{
 		Settings: json.RawMessage(settings),
@@ -201,7 +202,7 @@
 				continue
 			}
 			if version.Number != number {
-				return fmt.Errorf("%s gave version %d the number %d", replica.Name, number, version.Number)
+				return fmt.Errorf("%s committed version %d under number %d", replica.Name, number, version.Number)
 			}
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -210,10 +211,10 @@
 		}
 		pause(ctx, retryDelay)
 	}
-	return fmt.Errorf("no replica commits version %d: %w", number, lastErr)
+	return fmt.Errorf("no replica committed version %d: %w", number, lastErr)
 }
 
-// replicaStatus is the part of a replica's status about versions.
+// replicaStatus contains the fields of a replica's status about versions.
 type replicaStatus struct {
 	Leader    uint64                   `json:"leader"`
 	Active    *struct{ Number uint64 } `json:"active"`
@@ -221,7 +222,8 @@
 	BlockedBy []string                 `json:"holds_up"`
 }
 
-// awaitLeader waits until a replica whose status says that it leads satisfies a condition, and returns the replica.
+// awaitLeader waits until a replica reports itself as the leader with a status that satisfies a condition, and returns the replica.
+// what describes the condition in the error.
 func (f *Fleet) awaitLeader(what string, satisfied func(replicaStatus) bool) (*Replica, error) {
 	ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
 	defer cancel()
@@ -234,15 +236,15 @@
 			}
 		}
 	}
-	return nil, fmt.Errorf("no leader says that %s: %w", what, ctx.Err())
+	return nil, fmt.Errorf("no leader reported that %s: %w", what, ctx.Err())
 }
 
-// Leader waits until a replica leads, and returns it.
+// Leader waits until a replica reports itself as the leader, and returns it.
 func (f *Fleet) Leader() (*Replica, error) {
 	return f.awaitLeader("it leads", func(replicaStatus) bool { return true })
 }
 
-// AwaitActive waits until a version, or a later one, is active.
+// AwaitActive waits until the leader reports that a version or a later one is active.
 func (f *Fleet) AwaitActive(number uint64) error {
 	_, err := f.awaitLeader(fmt.Sprintf("version %d is active", number), func(s replicaStatus) bool {
 		return s.Active != nil && s.Active.Number >= number
@@ -250,7 +252,7 @@
 	return err
 }
 
-// AwaitBlockedBy waits until a proposed version is blocked by one proxy alone.
+// AwaitBlockedBy waits until the leader reports that only the named proxy blocks a proposed version.
 func (f *Fleet) AwaitBlockedBy(number uint64, by string) error {
 	_, err := f.awaitLeader(fmt.Sprintf("version %d is blocked by %s alone", number, by), func(s replicaStatus) bool {
 		return s.Proposed != nil && s.Proposed.Number == number && slices.Equal(s.BlockedBy, []string{by})
@@ -258,7 +260,7 @@
 	return err
 }
 
-// awaitVersion waits until a replica has a version; one that was down may have to catch up.
+// awaitVersion requests a version from a replica and retries, because a replica that was down may have to catch up.
 func awaitVersion(ctx context.Context, replica *Replica, number uint64) (fleetconfig.Version, error) {
 	path := fmt.Sprintf("/v1/version/%d", number)
 	for {
@@ -271,7 +273,8 @@
 	}
 }
 
-// VerifyVersions waits until each replica has the latest acknowledged versions, as they were proposed.
+// VerifyVersions waits until each replica returns the latest acknowledged versions, and compares their digests to those of the
+// proposals.
 func (f *Fleet) VerifyVersions() error {
 	f.mu.Lock()
 	versions := slices.Clone(f.acknowledged[max(0, len(f.acknowledged)-maxVerifiedVersions):])
@@ -282,7 +285,7 @@
 		for _, version := range versions {
 			got, err := awaitVersion(ctx, replica, version.number)
 			if err != nil {
-				return fmt.Errorf("version %d was acknowledged and is lost: %w", version.number, err)
+				return fmt.Errorf("acknowledged version %d was lost: %w", version.number, err)
 			}
 			if got.Digest != version.digest || got.Body.Digest() != version.digest {
 				return fmt.Errorf("%s has version %d with digests %s and %s, not the proposed %s", replica.Name, version.number, got.Digest,
--- a/internal/testing/fleettest/resources.go
+++ b/internal/testing/fleettest/resources.go
@@ -12,23 +12,23 @@
 	"example.org/micafront/internal/apperror"
 )
 
-// errDescriptors is the kind of errors of a fleet that needs too many open files.
+// errDescriptors is the kind of errors for a fleet that needs more open files than the limit allows.
 var errDescriptors = apperror.NewKind("fleettest/descriptors", "raise the hard limit of open files (ulimit -Hn), or play fewer "+
 	"proxies, clients or endpoints")
 
-// The files that a fleet may have open in this process.
+// Upper bounds on the number of open files of a fleet in this process.
 const (
 	descriptorsOfHarness   = 100 // standard streams, pipes and servers
-	descriptorsPerLink     = 3   // it listens, and most have a persistent connection with two ends
-	descriptorsPerClient   = 5   // its connection, two ends on a link to an endpoint, one at the endpoint, and one to spare
-	descriptorsPerProxy    = 4   // its view of service discovery, and its output
+	descriptorsPerLink     = 3   // the listener, and the two ends of a persistent connection, which most links have
+	descriptorsPerClient   = 5   // the client's connection, two ends on a link, one at the endpoint, and one in reserve
+	descriptorsPerProxy    = 4   // the view of service discovery, and the pipe of the output
 	discoveryLinksPerProxy = 1
 )
 
-// descriptorsNeeded returns how many files a fleet may have open in this process.
+// descriptorsNeeded returns an upper bound on the open files of a fleet in this process.
 func (o Options) descriptorsNeeded() uint64 {
 	linksPerProxy := len(poolNames)*o.EndpointsPerPool + o.ReplicaCount + discoveryLinksPerProxy
-	if o.ReplicasServeLists { // a view in front of each replica
+	if o.ReplicasServeLists { // each proxy has a view in front of each replica
 		linksPerProxy += o.ReplicaCount
 	}
 	links := o.ProxyCount*linksPerProxy + o.ReplicaCount*o.ReplicaCount
@@ -36,7 +36,8 @@
 	return uint64(descriptorsOfHarness + links*descriptorsPerLink + o.ProxyCount*perProxy)
 }
 
-// checkDescriptors checks that this process may open enough files. Go's runtime has raised the limit to the hard limit.
+// checkDescriptors checks that the limit of open files suffices for the fleet. The Go runtime has already raised the soft limit to
+// the hard limit.
 func (o Options) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// Memory returns the memory that all processes use together, in bytes, by the kernel's proportional set size: a page that
-// several processes share counts once.
+// Memory returns the memory of all proxies and replicas in bytes. It sums the kernel's proportional set size, which counts a page
+// shared by several of them once.
 func (f *Fleet) Memory() (sum int64) {
 	for _, process := range f.processes() {
 		process.mu.Lock()
@@ -60,10 +61,10 @@
 		if cmd == nil || cmd.Process == nil {
 			continue
 		}
-		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/smaps_rollup", cmd.Process.Pid)) // a process that has ended uses none
+		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/smaps_rollup", cmd.Process.Pid)) // empty if the process has ended
 		for scanner := bufio.NewScanner(bytes.NewReader(text)); scanner.Scan(); {
 			if words := strings.Fields(scanner.Text()); len(words) == 3 && words[0] == "Pss:" {
-				kib, _ := strconv.ParseInt(words[1], 10, 64) // a number, by the kernel
+				kib, _ := strconv.ParseInt(words[1], 10, 64) // the kernel writes a number
 				sum += kib << 10
 			}
 		}
--- a/internal/testing/fleettest/rollouts.go
+++ b/internal/testing/fleettest/rollouts.go
@@ -20,8 +20,8 @@
 	f.rollouts = append(f.rollouts, rollout)
 }
 
-// Propose proposes the next version and returns its number: through the replicas or, without any, by rewriting the files of
-// all proxies but the excepted ones and sending SIGHUP. It does not wait until the version is active.
+// Propose proposes the next version and returns its number. In a fleet without replicas it rewrites the configuration files of all
+// proxies except the given ones and sends them SIGHUP. It does not wait until the version is active.
 func (f *Fleet) Propose(except ...*Proxy) (uint64, error) {
 	f.mu.Lock()
 	next := uint64(len(f.rollouts) + 1)
@@ -47,7 +47,7 @@
 	})
 }
 
-// AwaitRequestLine waits until a proxy has written a request line by a version.
+// AwaitRequestLine waits until a proxy has written a request line that follows a version.
 func (f *Fleet) AwaitRequestLine(number uint64) error {
 	ctx, cancel := context.WithTimeout(f.ctx, fakes.WaitTimeout)
 	defer cancel()
@@ -69,7 +69,7 @@
 	}
 }
 
-// recordRequestLine records the first line of a connection from a proxy to an endpoint, if it is of the contested class.
+// recordRequestLine records the first line of a connection from a proxy to an endpoint if it is a request of the contested class.
 func (f *Fleet) recordRequestLine(segment faultinject.Segment) {
 	if segment.Direction != faultinject.Up || segment.Byte != 0 {
 		return
--- a/internal/testing/fleettest/schedule.go
+++ b/internal/testing/fleettest/schedule.go
@@ -13,30 +13,30 @@
 const (
 	minFaultDuration = time.Second
 	maxFaultDuration = 6 * time.Second
-	recoveryTime     = 2 * time.Second // between two faults of the same resource
-	outageMargin     = 5 * time.Second // before and after an outage in which replicas have no other faults
+	recoveryTime     = 2 * time.Second // minimum time between two faults of the same resource
+	outageMargin     = 5 * time.Second // time before and after an outage without other faults of replicas
 )
 
-// Event is a fault at a time.
+// Event is a scheduled fault.
 type Event struct {
 	At       time.Duration // since the start of the schedule
 	Duration time.Duration
-	Kind     string // the name of a fault
+	Kind     string // name of the fault
 	Target   int    // index of the proxy, replica or endpoint
 }
 
-// ScheduleOptions describe a schedule and the fleet that it is for.
+// ScheduleOptions describes a schedule and the fleet that it is for.
 type ScheduleOptions struct {
 	Seed               uint64
 	Length             time.Duration // all events end within it
-	Interval           time.Duration // between the beginnings of two events, on average
+	Interval           time.Duration // average time between the starts of two events
 	Proxies            int
 	Replicas           int
 	Endpoints          int
-	ReplicasServeLists bool // the replicas follow service discovery, and have faults of that too
+	ReplicasServeLists bool // whether the schedule includes faults between replicas and service discovery
 }
 
-// targets is how many targets a kind of fault has.
+// targets returns the number of targets of a kind of fault; 0 if the fleet is too small for it.
 func (o *ScheduleOptions) targets(kind faultKind) int {
 	if kind.needsReplicas && o.Replicas < minReplicasForFaults {
 		return 0
@@ -50,10 +50,10 @@
 	return o.Endpoints
 }
 
-// GenerateSchedule draws a schedule of about one event in each interval. It is the same for the same options. Faults that the fleet
-// has no targets for are left out, and so are those of a resource that has another one at the time.
+// GenerateSchedule generates a random schedule with about one event per interval. The same options yield the same schedule. It
+// omits faults for which the fleet has no targets, and faults of a resource that is still affected by an earlier fault.
 func GenerateSchedule(options ScheduleOptions) (schedule []Event) {
-	const stream = 7 // of the seed's random numbers
+	const stream = 7 // selects a random sequence of the seed
 	rng := rand.New(rand.NewPCG(options.Seed, stream))
 	kinds := faultKinds
 	if options.ReplicasServeLists {
@@ -89,7 +89,7 @@
 	}
 }
 
-// ExcludeReplicaEvents leaves out of a schedule what affects replicas from one time to another, with a margin.
+// ExcludeReplicaEvents returns a schedule without the events that affect replicas between two times or within outageMargin of them.
 func ExcludeReplicaEvents(schedule []Event, from, to time.Duration) []Event {
 	return slices.DeleteFunc(slices.Clone(schedule), func(event Event) bool {
 		i := slices.IndexFunc(faultKinds, func(kind faultKind) bool { return kind.name == event.Kind })
@@ -98,7 +98,7 @@
 	})
 }
 
-// RunSchedule carries out a schedule and returns once its last event has ended. It joins the errors of all events.
+// RunSchedule runs the events of a schedule and returns when the last event has ended. It joins the errors of all events.
 func (f *Fleet) RunSchedule(schedule []Event) error {
 	kindsByName := map[string]faultKind{}
 	for _, kind := range slices.Concat(faultKinds, discoveryFaultKinds) {
@@ -110,7 +110,7 @@
 	for i, event := range schedule {
 		kind, ok := kindsByName[event.Kind]
 		if !ok {
-			return fmt.Errorf("event %d of the schedule: there is no fault %q", i, event.Kind)
+			return fmt.Errorf("event %d of the schedule: unknown fault %q", i, event.Kind)
 		}
 		wg.Go(func() {
 			pause(f.ctx, time.Until(start.Add(event.At)))
@@ -121,7 +121,7 @@
 	return errors.Join(errs...)
 }
 
-// runEvent injects the fault of an event, and repairs it after its duration.
+// runEvent injects the fault of an event, and ends it after the event's duration.
 func (f *Fleet) runEvent(event Event, kind faultKind) error {
 	f.LogEvent("%s (%d) for %v", event.Kind, event.Target+1, event.Duration.Round(time.Millisecond))
 	repair, err := kind.inject(f, event.Target)
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// ProposeVersions proposes one version after the other, with an interval between them, until the context ends. It returns for
-// each how long it took from the proposal until the version was active; without a control plane, until the files were written.
+// ProposeVersions proposes one version after another, with an interval between them, until the context ends. It returns the time
+// from each proposal until the version was active or, in a fleet without a control plane, until the files were written.
 func (f *Fleet) ProposeVersions(ctx context.Context, interval time.Duration) (durations []time.Duration, err error) {
 	for {
 		pause(ctx, interval)
--- a/internal/testing/fleettest/seeds.go
+++ b/internal/testing/fleettest/seeds.go
@@ -9,14 +9,14 @@
 	"example.org/micafront/internal/apperror"
 )
 
-// errSeeds is the kind of errors of ParseSeeds.
+// errSeeds is the kind of errors that ParseSeeds returns.
 var errSeeds = apperror.NewKind("fleettest/seeds", "write numbers and ranges with commas between them, such as 1-20 or 1-4,9; "+
 	"each seed once")
 
-// maxSeeds bounds the seeds of one command.
+// maxSeeds bounds the number of seeds that ParseSeeds returns.
 const maxSeeds = 10_000
 
-// ParseSeeds reads numbers and ranges with commas between them, such as 1-20 or 1-4,9. Each seed may come once.
+// ParseSeeds parses comma-separated numbers and ranges, such as 1-20 or 1-4,9. Each seed may appear only once.
 func ParseSeeds(text string) (seeds []uint64, err error) {
 	seen := map[uint64]bool{}
 	for i, part := range strings.Split(text, ",") {
@@ -40,7 +40,7 @@
 	return seeds, nil
 }
 
-// parseSeedRange reads a number, or a range of them.
+// parseSeedRange parses a number or a range of numbers. place names the text's origin in errors.
 func parseSeedRange(text, place string) (first, last uint64, err error) {
 	firstText, lastText, isRange := strings.Cut(text, "-")
 	if first, err = parseSeed(firstText, place); err != nil {
