--- a/internal/testing/fleettest/play/charts.go
+++ b/internal/testing/fleettest/play/charts.go
@@ -9,10 +9,10 @@
 	"github.com/go-echarts/go-echarts/v2/opts"
 )
 
-// chartStep is between the points of charts over time.
+// chartStep is the time between two points of a chart over time.
 const chartStep = 250 * time.Millisecond
 
-// chartTimes returns the times of the charts' points, and their labels in seconds.
+// chartTimes returns the times of the points in charts over time, and their labels in seconds.
 func (r *report) chartTimes() (times []time.Time, labels []string) {
 	end := r.StartedAt
 	for _, answer := range r.Answers {
@@ -27,7 +27,7 @@
 	return times, labels
 }
 
-// lineChart makes a line chart, over seconds unless another axis is set.
+// lineChart returns a line chart. Its x-axis is in seconds unless the caller sets another one.
 func lineChart(title, y string) *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(
@@ -41,7 +41,7 @@
 	return line
 }
 
-// versionAt returns the version that was active at a time; 0: none.
+// versionAt returns the version that was active at a time, or 0 if there was none.
 func versionAt(changes []fleettest.VersionChange, t time.Time) (version uint64) {
 	for _, change := range changes {
 		if !change.At.After(t) {
@@ -91,7 +91,7 @@
 	return bar
 }
 
-// answersChart shows final answers by their kind.
+// answersChart shows the rate of final answers by kind.
 func (r *report) answersChart() *charts.Line {
 	times, labels := r.chartTimes()
 	counts := map[string][]int{}
--- a/internal/testing/fleettest/play/main.go
+++ b/internal/testing/fleettest/play/main.go
@@ -1,10 +1,10 @@
-// Command play runs a fleet of real processes through a drawn schedule of faults, while versions of the configuration are
-// proposed one after the other, and writes the results as a table and charts.
+// Command play runs a fleet of real processes through a random schedule of faults, proposes versions of the configuration
+// meanwhile, and writes the results as a table and charts.
 //
 //	go run ./internal/testing/fleettest/play -proxies 200 -keepers 5 -seconds 120 -seed 1 -out docs/results
 //
-// With -seeds it runs several seeds, each in a process of its own, and writes a row for each. With -blackout no replica of the
-// control plane runs for a time. It exits with 1 where a guarantee was violated.
+// With -seeds it runs several seeds, each in a separate process, and writes a row for each. With -blackout it stops all replicas
+// of the control plane for a time. It exits with 1 on an error or if a guarantee was violated, and with 2 after -help.
 //
 //	go run ./internal/testing/fleettest/play -proxies 200 -keepers 5 -seconds 120 -seeds 1-20 -side 2 -between 30s -out docs/results
 //	go run ./internal/testing/fleettest/play -proxies 200 -keepers 5 -seconds 120 -blackout 30s -out docs/results
@@ -34,7 +34,7 @@
 	os.Exit(run())
 }
 
-// run runs the command until it ends or a signal arrives, and returns the exit code.
+// run runs the command, which SIGINT and SIGTERM cancel, and returns the exit code.
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -48,13 +48,13 @@
 	return 0
 }
 
-// programs are the names of the programs that a fleet consists of.
+// programs lists the programs of a fleet.
 var programs = []string{"micafront", "micafront-controlplane"}
 
-// errViolations means that the command has done its work, and found violations.
-var errViolations = errors.New("a guarantee was violated; the table says which")
+// errViolations means that the run completed and found violations.
+var errViolations = errors.New("a guarantee was violated; see the violations in the report")
 
-// command runs one seed, several, or an outage, as the flags say.
+// command parses the flags and runs one seed, several seeds, or the variants of an outage.
 func command(ctx context.Context, args []string, out, errOut io.Writer) error {
 	f, err := parseFlags(args, errOut)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// findPrograms sets the paths of the programs, which it builds unless a folder of built ones is given.
+// findPrograms sets the paths of the programs. It builds them unless a flag names a folder of built programs.
 func (f *flags) findPrograms() (err error) {
 	if f.programDir == "" {
 		f.programDir = f.Dir
--- a/internal/testing/fleettest/play/play_test.go
+++ b/internal/testing/fleettest/play/play_test.go
@@ -34,13 +34,13 @@
 
 func TestSumResults(t *testing.T) {
 	sum := sumResults(results())
-	testkit.Equal(t, "sums, without the run that did not end", []int{5, 8, 6, 8, 6, 9, 1},
+	testkit.Equal(t, "sums without the failed run", []int{5, 8, 6, 8, 6, 9, 1},
 		[]int{sum.Versions, sum.DiscoveryCalls, sum.DiscoveryPeak,
 			sum.Tally.Answers, sum.Tally.Served, sum.Files, len(sum.Lost)})
-	testkit.Equal(t, "contradictions", "2000 ms, 3000 ms, 3000 ms", quantiles(sum.Overlaps))
+	testkit.Equal(t, "overlaps", "2000 ms, 3000 ms, 3000 ms", quantiles(sum.Overlaps))
 	testkit.Equal(t, "shares", "75.00 / 12.50 / 12.50 % of 8", sum.answers())
 	empty := sumResults(nil)
-	testkit.Equal(t, "of nothing", []string{"0 ms, 0 ms, 0 ms", "none"}, []string{quantiles(empty.Overlaps), empty.answers()})
+	testkit.Equal(t, "sum of no results", []string{"0 ms, 0 ms, 0 ms", "none"}, []string{quantiles(empty.Overlaps), empty.answers()})
 }
 
 func TestViolationsAreReported(t *testing.T) {
@@ -61,10 +61,10 @@
 	}
 }
 
-// Each seed whose process fails is reported, the others keep their rows, and the command fails.
+// The table and the command's error report each seed whose process fails.
 func TestFailedProcessesAreReported(t *testing.T) {
 	t.Setenv(childEnv, "1")
-	dir := t.TempDir() // has no programs
+	dir := t.TempDir() // contains no programs, so that no fleet starts
 	var out, errOut bytes.Buffer
 	err := command(context.Background(), []string{"-proxies=1", "-keepers=1", "-seconds=1", "-seeds=4,6", "-programs=" +
 		dir}, &out, &errOut)
@@ -79,10 +79,10 @@
 	for _, c := range []struct{ args, want string }{
 		{"-seeds 1-x", `seeds "1-x", part 1: "x" is not a number`}, {"-seeds 1,5-4", `seeds "1,5-4", part 2: 5 comes after 4`},
 		{"-seeds 1-3,2", "part 2: seed 2 comes twice"}, {"-seeds 0-18446744073709551615", "more than 10000 seeds"},
-		{"-silence sleep", `"sleep": it is neither "hold" nor "serve"`}, {"-blackout 61s -seconds 120",
-			"-blackout 1m1s: it is half"},
+		{"-silence sleep", `"sleep": must be "hold" or "serve"`}, {"-blackout 61s -seconds 120",
+			"-blackout 1m1s: must be from 0 to half"},
 		{"-blackout 5s -keepers 0", "needs -keepers"}, {"-pause 0s", "-pause"}, {"-side 0", "-side"}, {"more",
-			`"more": no argument`},
+			`"more": no arguments other than flags`},
 	} {
 		if _, err := parseFlags(strings.Fields(c.args), &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.args, err, c.want)
@@ -90,10 +90,10 @@
 	}
 	f, err := parseFlags([]string{"-seeds", "18446744073709551615,2-4", "-hops", "3", "-blackout", "0s"}, &bytes.Buffer{})
 	testkit.Equal(t, "seeds", []any{nil, []uint64{1<<64 - 1, 2, 3, 4}}, []any{err, f.seeds})
-	testkit.Equal(t, "what a seed's process is given", []string{"-blackout=0s", "-hops=3"}, f.forwarded)
+	testkit.Equal(t, "flags of a seed's process", []string{"-blackout=0s", "-hops=3"}, f.forwarded)
 }
 
-// A fleet that needs more open files than this process may have is refused before anything starts.
+// The command rejects a fleet that needs more open files than the limit before it starts any process.
 func TestTooFewDescriptors(t *testing.T) {
 	err := command(context.Background(), []string{"-proxies=100000000", "-programs=" + t.TempDir()}, &bytes.Buffer{},
 		&bytes.Buffer{})
@@ -103,13 +103,14 @@
 	}
 }
 
-// servedAfterMemberTimeout finds the whole percentages of requests served after the member timeout with each lease expiry policy.
+// servedAfterMemberTimeout matches the percentages, without decimals, of requests served after the member timeout under each lease
+// expiry policy.
 var servedAfterMemberTimeout = regexp.MustCompile(`\| after that, without replicas \| (\d+)\.\S+ [^|]*\| (\d+)\.`)
 
-// A tiny fleet goes the whole way through several processes: once with several seeds, once with an outage.
-func TestManySeeds(t *testing.T) {
+// The command runs a small fleet in several processes and writes a report, once for several seeds and once for an outage.
+func TestSeedsAndOutage(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it runs real processes for seconds")
+		t.Skip("runs real processes for several seconds")
 	}
 	t.Setenv(childEnv, "1")
 	dir := t.TempDir()
@@ -135,7 +136,7 @@
 			t.Fatalf("%s: %v, %d bytes of chart", c.name, err, len(page))
 		}
 		if m := servedAfterMemberTimeout.FindSubmatch(text); c.name == "fleet-blackout" && (m == nil || len(m[1]) > 1 || len(m[2]) < 2) {
-			t.Errorf("after the member timeout, hold must serve less than 10 %% and serve more: %q\n%s", m, text)
+			t.Errorf("served after the member timeout: %q, want less than 10 %% with hold and at least 10 %% with serve\n%s", m, text)
 		}
 		for _, want := range append(c.want, "No guarantee was violated.") {
 			if !strings.Contains(string(text), want) {
--- a/internal/testing/fleettest/play/report.go
+++ b/internal/testing/fleettest/play/report.go
@@ -12,10 +12,10 @@
 	"github.com/go-echarts/go-echarts/v2/components"
 )
 
-// maxListed bounds the violations, and the excused lines, that a table lists.
+// maxListed bounds how many violations, and how many excused lines, a report lists.
 const maxListed = 50
 
-// table returns the report as a page in Markdown.
+// table returns the report in Markdown.
 func (r *report) table() string {
 	var page strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&page, format+"\n", args...) }
@@ -86,7 +86,7 @@
 		formatMillis(stats.Quantile(suspended, 1)))
 }
 
-// write writes the table and the charts into files.
+// write writes the table and the charts to files.
 func (r *report) write() error {
 	page := components.NewPage()
 	page.PageTitle = "A fleet under faults"
@@ -94,7 +94,7 @@
 	return writePages(r.flags, r.table(), page)
 }
 
-// writePages writes a table and charts into the files that the flags name, and creates their folder.
+// writePages writes a table and charts to the files that the flags name, and creates their folder if needed.
 func writePages(f flags, table string, chartPage *components.Page) error {
 	if err := os.MkdirAll(f.outDir, 0o755); err != nil {
 		return err
--- a/internal/testing/fleettest/play/result.go
+++ b/internal/testing/fleettest/play/result.go
@@ -11,59 +11,60 @@
 	"example.org/micafront/internal/stats"
 )
 
-// result is the result of one seed, as its process writes it for the one that runs several. Durations are in nanoseconds.
+// result is the result of one seed. The seed's process writes it as JSON for the process that runs several seeds. Durations are in
+// nanoseconds.
 type result struct {
 	Seed          uint64
 	OnLeaseExpiry fleetconfig.LeaseExpiryPolicy `json:"Silence"`
 	WithoutFaults bool                          `json:"Calm"`
 
-	Failure     string          `json:"Fault"`   // why the run failed, and the rest is not set; empty: it has not
-	Violations  []string        `json:"Broken"`  // descriptions
-	Overlaps    []time.Duration `json:"Longest"` // the longest overlap of each version that lines followed
+	Failure     string          `json:"Fault"`   // why the run failed; empty if it completed; if set, the fields below are unset
+	Violations  []string        `json:"Broken"`  // descriptions of all violations
+	Overlaps    []time.Duration `json:"Longest"` // the longest overlap of each version that request lines followed
 	CommitTimes []time.Duration `json:"Took"`    // from each proposal until the version was active
-	Versions    int             // proposed
+	Versions    int             // number of versions proposed
 	Lost        []string        // descriptions of versions that were lost
-	Unanswered  int             // of Violations, those about requests without exactly one final answer
-	Lines       int             // request lines of the contested class
-	Excused     int             // of Lines, beyond the agreement timeout by a suspended proxy
-	Waived      int             `json:"GivenUp"` // of Lines, beyond the agreement timeout where ServeOnExpiry allows it
+	Unanswered  int             // number of Violations about requests without exactly one final answer
+	Lines       int             // number of request lines of the contested class
+	Excused     int             // number of Lines beyond the agreement timeout from suspended proxies
+	Waived      int             `json:"GivenUp"` // number of Lines beyond the agreement timeout that ServeOnExpiry allows
 	Tally       fakes.Counts
 
-	DiscoveryCalls    int           `json:"Calls"`     // requests of proxies to service discovery
-	DiscoveryRejected int           `json:"Away"`      // of these, rejected
-	DiscoveryPeak     int           `json:"Busiest"`   // the most of these within one second
-	ReplicaCalls      int           `json:"ByKeepers"` // requests of replicas to service discovery
-	Suspended         time.Duration `json:"Stood"`     // the longest time in all that a proxy could not run
+	DiscoveryCalls    int           `json:"Calls"`     // requests from proxies to service discovery
+	DiscoveryRejected int           `json:"Away"`      // number of DiscoveryCalls that were rejected
+	DiscoveryPeak     int           `json:"Busiest"`   // maximum of DiscoveryCalls within one second
+	ReplicaCalls      int           `json:"ByKeepers"` // requests from replicas to service discovery
+	Suspended         time.Duration `json:"Stood"`     // maximum over all proxies of the total time that a proxy could not run
 	Duration          time.Duration `json:"Lasted"`    // from the start of the first process to the end of the last
-	FleetCPU          time.Duration `json:"Used"`      // used by the fleet's processes
-	HarnessCPU        time.Duration `json:"Own"`       // used by clients, endpoints and links
-	Memory            int64         // of all processes at the end, in bytes
-	Files             int           // that the process of the seed had open
+	FleetCPU          time.Duration `json:"Used"`      // CPU time of the fleet's processes
+	HarnessCPU        time.Duration `json:"Own"`       // CPU time of the seed's process, which runs clients, endpoints and links
+	Memory            int64         // memory of the fleet's processes at the end, in bytes
+	Files             int           // open files of the seed's process at the end
 	Outage            *outage       `json:"Blackout,omitempty"`
 }
 
-// outage is the result of a time without replicas.
+// outage is the result of a period in which no replica ran.
 type outage struct {
 	Phases       [phaseCount]answerShare
-	Recovery     []time.Duration `json:"Again"`  // from the end of the outage until a proxy served, for each
+	Recovery     []time.Duration `json:"Again"`  // for each proxy, the time from the end of the outage until it served
 	NotRecovered []string        `json:"Silent"` // proxies that did not serve again
-	ConnsOpened  int             `json:"Stood"`  // persistent connections
-	ConnsFailed  int             `json:"Cut"`    // of them, failed before the end
+	ConnsOpened  int             `json:"Stood"`  // number of persistent connections
+	ConnsFailed  int             `json:"Cut"`    // number of ConnsOpened that failed before the end of the run
 }
 
 // The phases of an outage, in order.
 const (
 	phaseBefore         = iota
-	phaseMembersKnown   // replicas are down, for the member timeout at most
-	phaseMembersExpired // replicas are down for longer
+	phaseMembersKnown   // replicas have been down for at most the member timeout
+	phaseMembersExpired // replicas have been down for longer than the member timeout
 	phaseAfter
 	phaseCount
 )
 
-// maxViolationsPerSeed bounds the violations of a seed that violationsError describes.
+// maxViolationsPerSeed bounds how many violations of a seed violationsError describes.
 const maxViolationsPerSeed = 5
 
-// phaseNames are the descriptions of the phases, in order.
+// phaseNames returns the descriptions of the phases, in order.
 func phaseNames(memberTimeout time.Duration) []string {
 	return []string{
 		phaseBefore:         "before",
@@ -80,7 +81,7 @@
 	Failed  int
 }
 
-// percent is a count's share of all requests; 0 where there are none.
+// percent returns count as a percentage of all requests, or 0 if there are none.
 func (s answerShare) percent(count int) float64 {
 	return 100 * float64(count) / float64(max(s.all(), 1))
 }
@@ -89,7 +90,7 @@
 
 func (s answerShare) all() int { return s.Served + s.Refused + s.Failed }
 
-// String returns the percentages, and the total.
+// String returns the percentages of requests served, refused and failed, and the total.
 func (s answerShare) String() string {
 	if s.all() == 0 {
 		return "none"
@@ -184,8 +185,8 @@
 	return out
 }
 
-// sumResults adds results up, without those of failed runs. Times are concatenated; of peaks, suspensions, memory and files the
-// maximum counts.
+// sumResults sums results, except those of failed runs. It concatenates lists, and takes the maximum of peaks, suspensions, memory
+// and files.
 func sumResults(results []result) (sum result) {
 	for _, result := range results {
 		if result.Failure != "" {
@@ -217,7 +218,7 @@
 	return sum
 }
 
-// violationsError describes the failures and the violations of each seed; nil: there are none.
+// violationsError returns an error that describes the failures and violations of each seed, or nil if there are none.
 func violationsError(results []result) error {
 	var errs []error
 	for _, result := range results {
@@ -239,7 +240,7 @@
 	return errors.Join(errs...)
 }
 
-// variant describes how an outage was run.
+// variant describes the lease expiry policy and the faults of an outage's run.
 func (r *result) variant() string {
 	if r.WithoutFaults {
 		return fmt.Sprintf("%s, without other faults", r.OnLeaseExpiry)
@@ -247,7 +248,7 @@
 	return fmt.Sprintf("%s, with other faults", r.OnLeaseExpiry)
 }
 
-// processors returns how many processors were busy with a fleet, on average.
+// processors returns the average number of processors that the fleet and the harness used.
 func (r *result) processors() float64 {
 	if r.Duration == 0 {
 		return 0
@@ -255,12 +256,12 @@
 	return (r.FleetCPU + r.HarnessCPU).Seconds() / r.Duration.Seconds()
 }
 
-// answers returns the shares of the final answers.
+// answers returns the percentages of final answers by kind.
 func (r *result) answers() string {
 	return answerShare{Served: r.Tally.Served, Refused: r.Tally.Rejected, Failed: r.Tally.Failed}.String()
 }
 
-// quantiles returns the median, the 99th percentile and the maximum.
+// quantiles formats the median, the 99th percentile and the maximum.
 func quantiles(values []time.Duration) string {
 	return fmt.Sprintf("%s, %s, %s", formatMillis(stats.Quantile(values, 0.5)), formatMillis(stats.Quantile(values, 0.99)),
 		formatMillis(stats.Quantile(values, 1)))
--- a/internal/testing/fleettest/play/run.go
+++ b/internal/testing/fleettest/play/run.go
@@ -14,7 +14,7 @@
 	"example.org/micafront/internal/testing/fleettest"
 )
 
-// runFleet runs a fleet through a schedule of faults. A lost version is a violation in the report.
+// runFleet runs a fleet through a schedule of faults, and reports violations, such as lost versions, in the result.
 func runFleet(ctx context.Context, f flags, errOut io.Writer) (result *report, err error) {
 	result = &report{flags: f}
 	start := time.Now()
@@ -35,7 +35,7 @@
 	}
 	fmt.Fprintf(errOut, "%d proxies and %d replicas serve after %v\n", len(fleet.Proxies), len(fleet.Replicas),
 		time.Since(start).Round(time.Millisecond))
-	result.schedule = f.drawSchedule()
+	result.schedule = f.generateSchedule()
 	if f.outage > 0 {
 		if result.conns, err = fleet.OpenPersistentConns(); err != nil {
 			return nil, err
@@ -63,8 +63,8 @@
 	return result, nil
 }
 
-// drawSchedule draws the schedule of faults, which leaves replicas alone around an outage.
-func (f *flags) drawSchedule() (schedule []fleettest.Event) {
+// generateSchedule generates the schedule of faults. It excludes faults of replicas around an outage.
+func (f *flags) generateSchedule() (schedule []fleettest.Event) {
 	if !f.withoutFaults {
 		schedule = fleettest.GenerateSchedule(fleettest.ScheduleOptions{
 			Seed:               f.Seed,
@@ -82,7 +82,7 @@
 	return schedule
 }
 
-// runSchedule carries out the schedule, while versions are proposed and the outage happens.
+// runSchedule runs the schedule and, concurrently, the proposals of versions and the outage.
 func (r *report) runSchedule(ctx context.Context, fleet *fleettest.Fleet) error {
 	r.readyAt = time.Now()
 	ctx, cancel := context.WithTimeout(ctx, r.length())
@@ -104,7 +104,7 @@
 	return errors.Join(scheduleErr, <-errs, <-errs)
 }
 
-// sleep waits for a duration. It fails when the context ends before.
+// sleep waits for a duration. It returns the context's error if the context ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -114,7 +114,7 @@
 	}
 }
 
-// report is the results of a run.
+// report contains the flags and the results of a run.
 type report struct {
 	flags
 	fleettest.Findings
@@ -124,19 +124,19 @@
 	readyAt      time.Time // when all processes served
 	outageBegan  time.Time
 	outageEnded  time.Time
-	conns        *fleettest.PersistentConns // nil: without an outage
-	connFailures []string                   // of conns
-	lostVersions []string                   // descriptions
-	waived       int                        // stale lines over the bound, which ServeOnExpiry allows
-	memory       int64                      // of the fleet's processes at the end, in bytes
-	openFiles    int                        // of this process at the end
-	fleetCPU     time.Duration              // used by the fleet's processes
-	harnessCPU   time.Duration              // used by this process
+	conns        *fleettest.PersistentConns // nil in a run without an outage
+	connFailures []string                   // descriptions of the failed connections of conns
+	lostVersions []string                   // descriptions of versions that were lost
+	waived       int                        // stale lines beyond the agreement timeout that ServeOnExpiry allows
+	memory       int64                      // memory of the fleet's processes at the end, in bytes
+	openFiles    int                        // open files of this process at the end
+	fleetCPU     time.Duration              // CPU time of the fleet's processes
+	harnessCPU   time.Duration              // CPU time of this process
 	duration     time.Duration
 }
 
-// addViolations adds the violations beside the findings' own. In an outage, ServeOnExpiry allows overlaps beyond the
-// agreement timeout.
+// addViolations adds the violations that Findings does not report. It removes the overlaps beyond the agreement timeout if
+// ServeOnExpiry allows them because of an outage.
 func (r *report) addViolations(lostErr error) {
 	overlaps := len(r.OverBound)
 	if r.OnLeaseExpiry == fleetconfig.ServeOnExpiry && r.outage > 0 {
@@ -153,7 +153,7 @@
 			r.Violations = append(r.Violations, "a version was lost: "+version)
 		}
 	}
-	if r.withoutFaults { // other faults close some of them
+	if r.withoutFaults { // other faults may close persistent connections
 		for _, failure := range r.connFailures {
 			r.Violations = append(r.Violations, "a persistent connection was closed: "+failure)
 		}
@@ -163,7 +163,7 @@
 	}
 }
 
-// recordCost records what the run used of this machine, once all its processes have ended.
+// recordCost records the duration and the CPU time of the run. It must be called after all processes of the fleet have ended.
 func (r *report) recordCost(duration time.Duration) {
 	cpuTime := func(who int) time.Duration {
 		var usage syscall.Rusage
@@ -177,8 +177,8 @@
 	r.harnessCPU = cpuTime(syscall.RUSAGE_SELF)
 }
 
-// countOpenFiles returns how many files this process has open.
+// countOpenFiles returns the number of open files of this process.
 func countOpenFiles() int {
-	entries, _ := os.ReadDir("/proc/self/fd") // only for the report
+	entries, _ := os.ReadDir("/proc/self/fd") // on an error the report shows 0
 	return len(entries)
 }
--- a/internal/testing/fleettest/play/seed_charts.go
+++ b/internal/testing/fleettest/play/seed_charts.go
@@ -10,7 +10,7 @@
 	"github.com/go-echarts/go-echarts/v2/opts"
 )
 
-// label names a run in charts.
+// label returns the name of a run in charts.
 func (r *result) label() string {
 	if r.Outage != nil {
 		return r.variant()
@@ -18,13 +18,13 @@
 	return fmt.Sprint(r.Seed)
 }
 
-// millis converts a duration to milliseconds.
+// millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 {
 	const microsPerMilli = 1000
 	return float64(d.Microseconds()) / microsPerMilli
 }
 
-// overlapBoxPlot shows the overlaps of each seed's versions as a box, and the agreement timeout.
+// overlapBoxPlot shows the distribution of each seed's overlaps as a box, and the agreement timeout.
 func overlapBoxPlot(f flags, results []result) *charts.BoxPlot {
 	var names []string
 	var boxes []opts.BoxPlotData
@@ -54,7 +54,7 @@
 	return charts.WithMarkLineNameYAxisItemOpts(opts.MarkLineNameYAxisItem{Name: "bound", YAxis: millis(agreementTimeout)})
 }
 
-// overlapDistributionChart shows the overlaps of all versions of all seeds in order, and the agreement timeout.
+// overlapDistributionChart shows the sorted overlaps of all versions of all seeds, and the agreement timeout.
 func overlapDistributionChart(f flags, results []result) *charts.Line {
 	longest := slices.Sorted(slices.Values(sumResults(results).Overlaps))
 	var names []string
@@ -69,7 +69,7 @@
 	return line
 }
 
-// servedByPhaseChart shows the share of requests served in each phase of an outage.
+// servedByPhaseChart shows the percentage of requests served in each phase of an outage.
 func servedByPhaseChart(f flags, results []result) *charts.Bar {
 	bar := charts.NewBar()
 	bar.SetGlobalOptions(
--- a/internal/testing/fleettest/play/seed_tables.go
+++ b/internal/testing/fleettest/play/seed_tables.go
@@ -12,10 +12,10 @@
 	"github.com/go-echarts/go-echarts/v2/components"
 )
 
-// abbreviatedCommit is the length of a commit in reports.
+// abbreviatedCommit is the length of a commit hash in reports.
 const abbreviatedCommit = 7
 
-// revision returns the commit of the sources, from the build or else from git.
+// revision returns the commit of the sources from the build information, or else from git.
 func revision() string {
 	if commit := stats.Commit(abbreviatedCommit); commit != "" {
 		return commit
@@ -31,7 +31,7 @@
 	return commit
 }
 
-// header returns the beginning of a page: its title, the command, and what the figures depend on.
+// header returns the first lines of a report: the title, the command, and the conditions under which the figures were measured.
 func header(f flags, title, seeds string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n", title)
@@ -42,7 +42,7 @@
 	return b.String()
 }
 
-// seedTable returns a table with a row for each seed, and one for their sum.
+// seedTable returns a report with a row for each seed and a row for their sum.
 func seedTable(f flags, results []result) string {
 	title := fmt.Sprintf("%d proxies and %d replicas, %d seeds of %d seconds of faults", f.ProxyCount, f.ReplicaCount, len(results),
 		f.seconds)
@@ -69,7 +69,7 @@
 	"requests to service discovery by proxies, rejected, busiest second", "by replicas", "proposal until active: p50, p99, max",
 	"served / refused / failed", "processors busy", "memory"}
 
-// row returns a seed's row under seedColumns.
+// row returns a seed's table row, with a cell for each of seedColumns.
 func (r *result) row(name string) string {
 	if r.Failure != "" {
 		return fmt.Sprintf("| %s | failed: %s |%s\n", name, strings.ReplaceAll(r.Failure, "|", "\\|"),
@@ -98,7 +98,7 @@
 	return "| " + strings.Join(cells, " | ") + " |\n"
 }
 
-// violationsText returns the end of a page: the violations of all runs.
+// violationsText returns the last section of a report, which lists the violations of all runs.
 func violationsText(results []result) string {
 	err := violationsError(results)
 	if err == nil {
@@ -107,7 +107,7 @@
 	return "\n## Violations\n\n- " + strings.ReplaceAll(err.Error(), "\n", "\n- ") + "\n"
 }
 
-// outageTable returns a table with a column for each variant of an outage.
+// outageTable returns a report with a column for each variant of an outage.
 func outageTable(f flags, results []result) string {
 	var b strings.Builder
 	b.WriteString(header(f, fmt.Sprintf("No replica for %v: %d proxies and %d replicas", f.outage, f.ProxyCount, f.ReplicaCount),
@@ -127,13 +127,13 @@
 	return b.String()
 }
 
-// outageRow is a row of an outage's table: its name and the value of a variant, in text.
+// outageRow is a row of an outage's table.
 type outageRow struct {
 	name  string
-	value func(r *result) string
+	value func(r *result) string // formats the cell of a variant
 }
 
-// write writes the row with the values of all variants.
+// write writes the row with a cell for each variant.
 func (row outageRow) write(b *strings.Builder, results []result) {
 	fmt.Fprintf(b, "| %s |", row.name)
 	for i := range results {
@@ -146,7 +146,7 @@
 	b.WriteByte('\n')
 }
 
-// outageRows are the rows of an outage's table.
+// outageRows returns the rows of an outage's table.
 func outageRows(memberTimeout time.Duration) (rows []outageRow) {
 	for i, name := range phaseNames(memberTimeout) {
 		rows = append(rows, outageRow{name, func(r *result) string { return r.Outage.Phases[i].String() }})
@@ -169,7 +169,7 @@
 	}...)
 }
 
-// recovery describes how long proxies took until they served again.
+// recovery describes how long proxies took to serve again, and how many did not.
 func (o *outage) recovery() string {
 	if n := len(o.NotRecovered); n > 0 {
 		return fmt.Sprintf("%s; %d never did", quantiles(o.Recovery), n)
@@ -177,7 +177,7 @@
 	return quantiles(o.Recovery)
 }
 
-// writeSeedsReport writes the table and the charts of several runs into files.
+// writeSeedsReport writes the table and the charts of several runs to files.
 func writeSeedsReport(f flags, table string, results []result) error {
 	page := components.NewPage()
 	page.PageTitle = "Overlaps of versions in a fleet under faults"
--- a/internal/testing/fleettest/play/seeds.go
+++ b/internal/testing/fleettest/play/seeds.go
@@ -20,8 +20,8 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// runSeeds runs each seed, or each variant of an outage, in a process of its own, several at a time, and writes a table and
-// charts of them all. A process that fails does not affect the results of the others.
+// runSeeds runs each seed, or each variant of an outage, in a separate process, at most f.parallel concurrently, and writes a table
+// and charts of all results. A process that fails does not affect the results of the others.
 func runSeeds(ctx context.Context, f flags, out, errOut io.Writer) error {
 	results := f.plannedResults()
 	var wg sync.WaitGroup
@@ -52,7 +52,7 @@
 	return errors.Join(err, violationsError(results))
 }
 
-// plannedResults returns a result for each seed, or for each variant of an outage, that says what is to be run.
+// plannedResults returns a result for each seed, or for each variant of an outage, with only the fields that describe the run set.
 func (f *flags) plannedResults() (results []result) {
 	if f.outage == 0 {
 		for _, seed := range f.seeds {
@@ -73,7 +73,7 @@
 	return results
 }
 
-// runSeedProcess runs one seed in another process of this program. A failure of the process is in the result.
+// runSeedProcess runs one seed in another process of this program. It reports a failure of the process in the result.
 func runSeedProcess(ctx context.Context, f flags, out result) result {
 	failed := func(format string, args ...any) result {
 		out.Failure = fmt.Sprintf(format, args...)
@@ -87,7 +87,7 @@
 	cmd := exec.CommandContext(ctx, self, slices.Concat(f.forwarded, []string{fmt.Sprint("-seed=", out.Seed),
 		fmt.Sprint("-silence=", out.OnLeaseExpiry),
 		fmt.Sprint("-calm=", out.WithoutFaults), "-findings=" + path, "-programs=" + f.programDir})...)
-	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) } // it then ends its own processes
+	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) } // on SIGTERM the process stops its fleet
 	cmd.WaitDelay = fakes.WaitTimeout
 	var stderr bytes.Buffer
 	cmd.Stderr = &stderr
@@ -98,7 +98,7 @@
 	}
 	var got result
 	if err := json.Unmarshal(text, &got); err != nil {
-		return failed("its result: %v", err)
+		return failed("decoding the result: %v", err)
 	}
 	if runErr != nil && len(got.Violations) == 0 {
 		return failed("%v: %s", runErr, lastOutput(stderr.String()))
@@ -106,10 +106,10 @@
 	return got
 }
 
-// maxLastOutput bounds what lastOutput returns, in bytes.
+// maxLastOutput bounds the length of the output that lastOutput returns, in bytes.
 const maxLastOutput = 1000
 
-// lastOutput returns the end of a log, on one line.
+// lastOutput returns the end of a log as one line.
 func lastOutput(text string) string {
 	return strings.Join(strings.Fields(text[max(0, len(text)-maxLastOutput):]), " ")
 }
