--- a/cmd/micafrontctl/bench.go
+++ b/cmd/micafrontctl/bench.go
@@ -10,23 +10,23 @@
 )
 
 type benchCommand struct {
-	Proxy   benchProxy   `cmd:"" help:"Measure the running proxy, against another build of it in the same run."`
-	Routing benchRouting `cmd:"" help:"Measure a routing decision on small and large tables."`
-	Check   benchCheck   `cmd:"" help:"Measure the check of a large site."`
+	Proxy   benchProxyCommand   `cmd:"" help:"Measure the running proxy, against another build of it in the same run."`
+	Routing benchRoutingCommand `cmd:"" help:"Measure a routing decision on small and large tables."`
+	Check   benchCheckCommand   `cmd:"" help:"Measure the check of a large site."`
 }
 
-// printHeading prints how the measurements below it can be reproduced.
+// printHeading prints the command, the seed and the environment, by which the measurements below it can be reproduced.
 func printHeading(seed uint64) {
 	fmt.Printf("command: micafront %s\nseed: %d, processors: %d, %s\n\n", strings.Join(os.Args[1:], " "), seed, runtime.NumCPU(), runtime.Version())
 }
 
-// median returns the upper median of values in any order.
+// median returns the upper median of values, which need not be sorted.
 func median[T cmp.Ordered](values []T) T {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
 
-// medianRatio returns the median of the ratios of values measured in the same round.
+// medianRatio returns the median of the ratios of values that were measured in the same round.
 func medianRatio(numerators, denominators []float64) float64 {
 	ratios := make([]float64, len(numerators))
 	for i := range numerators {
--- a/internal/testing/fleettest/fleet_test.go
+++ b/internal/testing/fleettest/fleet_test.go
@@ -102,13 +102,13 @@
 }
 
 var (
-	muteBoth = faultinject.Fault{Kind: faultinject.Mute}
+	muteBoth = faultinject.Fault{Kind: faultinject.Blackhole}
 	delayed  = faultinject.Fault{Kind: faultinject.Delay, Duration: 5 * time.Millisecond, Jitter: 20 * time.Millisecond}
 )
 
 // muteDirection returns a fault that drops the traffic of links in one direction.
 func muteDirection(d faultinject.Direction) faultinject.Fault {
-	return faultinject.Fault{Kind: faultinject.Mute, Direction: d}
+	return faultinject.Fault{Kind: faultinject.Blackhole, Direction: d}
 }
 
 // faultCase is a fault during which a test proposes a version.
@@ -149,7 +149,7 @@
 // Nothing bounds how long proxies act on conflicting versions there, so the test ignores overlaps.
 func TestProxiesWithoutControlPlane(t *testing.T) {
 	fleet := startFleet(t, 10, 0)
-	halfLine := faultinject.Fault{Kind: faultinject.HalfEnd, Direction: faultinject.Down, Offset: 2}
+	halfLine := faultinject.Fault{Kind: faultinject.HalfClose, Direction: faultinject.Down, Offset: 2}
 	for _, test := range []faultCase{
 		{name: "discovery restarts", inject: fleet.RestartDiscovery, repair: noop},
 		linkFaultCase(fleet, "discovery is cut off", "proxy*/discovery", muteBoth, "proxy*/discovery"),
