--- a/internal/testing/fleettest/outage.go
+++ b/internal/testing/fleettest/outage.go
@@ -22,7 +22,7 @@
 	if err == nil && len(f.Replicas) == 1 { // StartReplica does not clear the fault of a single replica
 		err = f.Network.Clear("*/"+f.Replicas[0].Name, faultinject.Refuse)
 	}
-	f.LogEvent("all replicas are back")
+	f.LogEvent("all replicas are restarted")
 	return from, to, err
 }
 
--- a/internal/testing/fleettest/play/charts.go
+++ b/internal/testing/fleettest/play/charts.go
@@ -51,7 +51,7 @@
 	return version
 }
 
-// versionsChart shows at how many proxies the newest version is active, and at how many an older one.
+// versionsChart shows the number of proxies at which the newest version is active, and the number of all other proxies.
 func (r *report) versionsChart() *charts.Line {
 	times, labels := r.chartTimes()
 	var newest, others []opts.LineData
@@ -67,7 +67,7 @@
 		others = append(others, opts.LineData{Value: len(r.VersionChanges) - proxiesByVersion[newestVersion]})
 	}
 	line := lineChart("Proxies by active version", "proxies")
-	line.SetXAxis(labels).AddSeries("the newest", newest).AddSeries("an older one, or none", others)
+	line.SetXAxis(labels).AddSeries("newest version", newest).AddSeries("older version or none", others)
 	return line
 }
 
--- a/internal/testing/fleettest/play/seed_tables.go
+++ b/internal/testing/fleettest/play/seed_tables.go
@@ -46,7 +46,7 @@
 func seedTable(f flags, results []result) string {
 	title := fmt.Sprintf("%d proxies and %d replicas, %d seeds of %d seconds of faults", f.ProxyCount, f.ReplicaCount, len(results),
 		f.seconds)
-	seeds := fmt.Sprintf("seeds %d to %d, %d side by side", results[0].Seed, results[len(results)-1].Seed, f.parallel)
+	seeds := fmt.Sprintf("seeds %d to %d, %d in parallel", results[0].Seed, results[len(results)-1].Seed, f.parallel)
 	var page strings.Builder
 	page.WriteString(header(f, title, seeds))
 	page.WriteString("| " + strings.Join(seedColumns, " | ") + " |\n" + strings.Repeat("| --- ", len(seedColumns)) + "|\n")
@@ -55,10 +55,10 @@
 	}
 	sum := sumResults(results)
 	page.WriteString(sum.row("all"))
-	fmt.Fprintf(&page, "\nProcessors busy: by all processes of a fleet and the one that runs it, on average. "+
-		"Memory: what the fleet's processes use at the end together; in the last row the maximum. "+
-		"The process that runs the fleet had up to %d files open. "+
-		"The longest time in all that a proxy could not run: %s.\n", sum.Files, formatMillis(sum.Suspended))
+	fmt.Fprintf(&page, "\nProcessors busy: the average number that the fleet's processes and the harness used. "+
+		"Memory: the total of the fleet's processes at the end of the run; in the last row the maximum. "+
+		"The harness had up to %d open files. "+
+		"The longest total time that a proxy could not run: %s.\n", sum.Files, formatMillis(sum.Suspended))
 	page.WriteString(violationsText(results))
 	return page.String()
 }
@@ -111,7 +111,7 @@
 func outageTable(f flags, results []result) string {
 	var b strings.Builder
 	b.WriteString(header(f, fmt.Sprintf("No replica for %v: %d proxies and %d replicas", f.outage, f.ProxyCount, f.ReplicaCount),
-		fmt.Sprintf("seed %d, %d side by side", f.Seed, f.parallel)))
+		fmt.Sprintf("seed %d, %d in parallel", f.Seed, f.parallel)))
 	fmt.Fprintf(&b, "All replicas are killed %v after all processes serve and started again %v later; the run lasts %d s. "+
 		"Requests are served / refused / failed.\n\n| figure |", f.outageStart(), f.outage, f.seconds)
 	for i := range results {
@@ -121,8 +121,8 @@
 	for _, row := range outageRows(f.MemberTimeout) {
 		row.write(&b, results)
 	}
-	b.WriteString("\nOther faults close persistent connections, as where a proxy is killed or an endpoint stops; without them " +
-		"none may be closed.\n")
+	b.WriteString("\nOther faults may close persistent connections, for example by killing a proxy or stopping an endpoint. " +
+		"Without other faults none may be closed.\n")
 	b.WriteString(violationsText(results))
 	return b.String()
 }
@@ -172,7 +172,7 @@
 // recovery describes how long proxies took to serve again, and how many did not.
 func (o *outage) recovery() string {
 	if n := len(o.NotRecovered); n > 0 {
-		return fmt.Sprintf("%s; %d never did", quantiles(o.Recovery), n)
+		return fmt.Sprintf("%s; %d did not recover", quantiles(o.Recovery), n)
 	}
 	return quantiles(o.Recovery)
 }
