--- a/scripts/helpers_test.go
+++ b/scripts/helpers_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// write writes a file below dir, and the directories on the way.
+// write writes a file below dir and creates its parent directories.
 func write(t *testing.T, dir, name, text string, mode os.FileMode) {
 	t.Helper()
 	path := filepath.Join(dir, name)
@@ -21,7 +21,7 @@
 	}
 }
 
-// run runs a command and returns its output and its exit code.
+// run runs a command and returns its combined output and exit code.
 func run(t *testing.T, cmd *exec.Cmd) (string, int) {
 	t.Helper()
 	out, err := cmd.CombinedOutput()
@@ -34,7 +34,7 @@
 	return string(out), 0
 }
 
-// fakeKit writes a fake of the operators' kit, whose programs print the given texts, and returns its directory.
+// fakeKit writes a fake operators' kit whose benches print the given texts, and returns its directory.
 func fakeKit(t *testing.T, mass, later, sim string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -48,14 +48,14 @@
 	return dir
 }
 
-// benchOutput is what a fake bench prints if its arguments contain a text.
+// benchOutput is the output of a fake bench for a call whose arguments contain a text.
 type benchOutput struct {
 	arguments string
 	output    string
 }
 
-// fakeBench returns a shell script that prints the first of the outputs whose arguments match, and appends its arguments
-// to the file argumentsPath.
+// fakeBench returns a shell script that appends its arguments to the file argumentsPath and prints the first output whose text
+// they contain.
 func fakeBench(argumentsPath string, outputs ...benchOutput) string {
 	var b strings.Builder
 	b.WriteString("#!/bin/sh\necho \"$*\" >>'" + argumentsPath + "'\ncase \"$*\" in\n")
--- a/scripts/known_red_test.go
+++ b/scripts/known_red_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A module of two packages whose tests fail where RED names them.
+// Sources of a module with two packages, whose tests fail if the environment variable RED names them.
 const (
 	redHelper = `package P
 
@@ -59,7 +59,7 @@
 `
 )
 
-// redModule writes the module with a copy of scripts/test, and returns its directory.
+// redModule writes the module and a copy of scripts/test to a temporary directory, and returns the directory.
 func redModule(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -83,8 +83,8 @@
 		entry = " | " + note + "\n"
 	)
 	for _, c := range []struct {
-		name, list string // the list is absent where it reads "absent"
-		red        string // what fails
+		name, list string // a list of "absent" means that the file does not exist
+		red        string // tests that fail
 		code       int
 		want       []string
 	}{
@@ -95,27 +95,27 @@
 		{"blank", "\n", "[two.TestSame]", 1, []string{"--- FAIL: TestSame "}},
 		{"listed and failing", "TestFine" + entry, "[one.TestFine]", 0,
 			[]string{"known red: example.org/red/one TestFine fails, as listed | " + note, "red on purpose"}},
-		{"listed and passing", "TestFine" + entry, "", 0, []string{"TestFine passes: take it off the list | " + note}},
+		{"listed and passing", "TestFine" + entry, "", 0, []string{"TestFine passes: remove it from the list | " + note}},
 		{"no newline at the end", "TestFine | " + note, "[one.TestFine]", 0, []string{"TestFine fails, as listed"}},
-		{"listed and skipping itself", "TestIdle" + entry, "[one.TestIdle]", 0, []string{"TestIdle skips itself, so nothing is known"}},
+		{"listed and skipping itself", "TestIdle" + entry, "[one.TestIdle]", 0, []string{"TestIdle skips itself, so its result is unknown"}},
 		{"three listed", "TestFine" + entry + "example.org/red/two TestSame" + entry + "TestTable/second one" + entry,
 			"[one.TestFine][two.TestSame][one.TestTable/second_one]", 0,
 			[]string{"one TestFine fails", "two TestSame fails", "one TestTable/second_one fails"}},
 		{"another test of the package fails", "TestFine" + entry, "[one.TestFine][one.TestTable]", 1, []string{"--- FAIL: TestTable "}},
-		{"a test fails whose name begins so", "TestFine" + entry, "[one.TestFine][one.TestFineToo]", 1, []string{"--- FAIL: TestFineToo "}},
+		{"a test with the listed name as a prefix fails", "TestFine" + entry, "[one.TestFine][one.TestFineToo]", 1, []string{"--- FAIL: TestFineToo "}},
 		{"a test of another package fails", "TestFine" + entry, "[one.TestFine][two.TestSame]", 1, []string{"--- FAIL: TestSame "}},
 		{"a subtest", "TestTable/second one" + entry, "[one.TestTable/second_one]", 0, []string{"TestTable/second_one fails, as listed"}},
-		{"a subtest with signs", "TestTable/first (of 2)" + entry, "[one.TestTable/first_(of_2)]", 0, []string{"first_(of_2) fails, as listed"}},
-		{"its sibling fails", "TestTable/second one" + entry, "[one.TestTable/second_one][one.TestTable/first_(of_2)]", 1,
+		{"a subtest with special characters", "TestTable/first (of 2)" + entry, "[one.TestTable/first_(of_2)]", 0, []string{"first_(of_2) fails, as listed"}},
+		{"a sibling of the listed subtest fails", "TestTable/second one" + entry, "[one.TestTable/second_one][one.TestTable/first_(of_2)]", 1,
 			[]string{"--- FAIL: TestTable/first_(of_2) "}},
-		{"its parent fails by itself", "TestTable/second one" + entry, "[one.TestTable]", 1,
+		{"the parent of the listed subtest fails by itself", "TestTable/second one" + entry, "[one.TestTable]", 1,
 			[]string{"TestTable/second_one passes", "--- FAIL: TestTable "}},
 		{"the same name in two packages", "TestSame" + entry, "[one.TestSame]", 1, []string{"several packages have a TestSame"}},
-		{"one of them named", "example.org/red/one TestSame" + entry, "[one.TestSame]", 0, []string{"one TestSame fails, as listed"}},
-		{"the other one fails", "example.org/red/one TestSame" + entry, "[one.TestSame][two.TestSame]", 1,
+		{"the same name with its package", "example.org/red/one TestSame" + entry, "[one.TestSame]", 0, []string{"one TestSame fails, as listed"}},
+		{"the test of that name in the other package fails", "example.org/red/one TestSame" + entry, "[one.TestSame][two.TestSame]", 1,
 			[]string{"one TestSame fails, as listed", "--- FAIL: TestSame "}},
-		{"one ends its process", "TestDeadly" + entry, "[one.TestDeadly]", 0, []string{"TestDeadly fails, as listed"}},
-		{"one ends its process and another fails", "TestDeadly" + entry, "[one.TestDeadly][one.TestTable]", 1, []string{"--- FAIL: TestTable "}},
+		{"a listed test ends its process", "TestDeadly" + entry, "[one.TestDeadly]", 0, []string{"TestDeadly fails, as listed"}},
+		{"a listed test ends its process and another test fails", "TestDeadly" + entry, "[one.TestDeadly][one.TestTable]", 1, []string{"--- FAIL: TestTable "}},
 		{"more than three listed", "TestFine" + entry + "TestFineToo" + entry + "TestTable" + entry + "TestDeadly" + entry,
 			"[one.TestFine][one.TestFineToo][one.TestTable][one.TestDeadly]", 0,
 			[]string{"one TestFine fails", "one TestFineToo fails", "one TestTable fails", "one TestDeadly fails"}},
@@ -124,12 +124,12 @@
 			[]string{"comes twice: example.org/red/one TestFine"}},
 		{"no issue", "TestFine | go test | a list is lost\n", "[one.TestFine]", 1, []string{"not of the form"}},
 		{"an empty issue", "TestFine | go test | a list is lost | \n", "[one.TestFine]", 1, []string{"not of the form"}},
-		{"nothing seen", "TestFine | go test |  | 12\n", "[one.TestFine]", 1, []string{"not of the form"}},
-		{"no command", "TestFine |  | a list is lost | 12\n", "[one.TestFine]", 1, []string{"not of the form"}},
+		{"an empty field for what was seen", "TestFine | go test |  | 12\n", "[one.TestFine]", 1, []string{"not of the form"}},
+		{"an empty command", "TestFine |  | a list is lost | 12\n", "[one.TestFine]", 1, []string{"not of the form"}},
 		{"the former form of three fields", "TestFine | a list is lost | 12\n", "[one.TestFine]", 1, []string{"not of the form"}},
-		{"a field too many", "TestFine" + strings.TrimSpace(entry) + " | 13\n", "[one.TestFine]", 1, []string{"not of the form"}},
+		{"an extra field", "TestFine" + strings.TrimSpace(entry) + " | 13\n", "[one.TestFine]", 1, []string{"not of the form"}},
 		{"a blank line", "TestFine" + entry + "\n", "[one.TestFine]", 1, []string{"not of the form"}},
-		{"no test's name", "one.go" + entry, "", 1, []string{"not the name of a test"}},
+		{"not the name of a test", "one.go" + entry, "", 1, []string{"not the name of a test"}},
 		{"a pattern", "Test.*" + entry, "", 1, []string{"no test has the name Test.*"}},
 		{"an unknown test", "TestGone" + entry, "", 1, []string{"no test has the name TestGone"}},
 		{"an unknown subtest", "TestTable/third" + entry, "", 1, []string{"TestTable/third did not run: no test has this name"}},
@@ -148,7 +148,7 @@
 			}
 			want := c.want
 			if c.code == 0 {
-				// The last lines are go test's own, and every package has one.
+				// The output ends with the lines of go test, one for each package.
 				last := strings.Split(strings.TrimSpace(out), "\n")
 				if !strings.HasPrefix(last[len(last)-1], "ok  \texample.org/red/two\t") {
 					t.Errorf("ends in %q", last[len(last)-1])
--- a/scripts/variants_test.go
+++ b/scripts/variants_test.go
@@ -31,7 +31,7 @@
 				t.Errorf("exit code %d, want %d", code, c.code)
 			}
 			text := strings.Join(strings.Fields(output), " ")
-			// A failure does not end the script: all days are played.
+			// The script runs all days even after a failure.
 			for _, w := range append(c.want, "east, brink days day seed-1 seed-2", "east, quick days day quick", "west, brink days", "west, quick days") {
 				if !strings.Contains(text, w) {
 					t.Errorf("output does not contain %q", w)
@@ -49,7 +49,7 @@
 
 func TestVariantsCopiesKitFiles(t *testing.T) {
 	dir := variantKit(t, func(string) string { return "#!/bin/sh\nexit 1\n" })
-	// Twice, because the copies of the kit's read-only files must be writable.
+	// The second run checks that the first run's copies of the kit's read-only files can be overwritten.
 	for range 2 {
 		cmd := exec.Command("./variants", "lay")
 		cmd.Env = append(os.Environ(), "KIT="+dir+"/kit", "SITES="+dir+"/east "+dir+"/west")
@@ -65,7 +65,7 @@
 		}
 	}
 	if _, err := os.Stat(dir + "/args"); err == nil {
-		t.Error("played something")
+		t.Error("the bench was called")
 	}
 }
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// variantKit writes a fake kit and two sites, east and west, and returns their directory. The bench appends its arguments to
-// the file args there.
+// variantKit writes a fake kit and two sites, east and west, and returns their parent directory. benchScript gets the path of
+// the file args in this directory, to which the bench appends its arguments.
 func variantKit(t *testing.T, benchScript func(argumentsPath string) string) string {
 	t.Helper()
 	dir := t.TempDir()
