--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats provides what the measuring commands share: quantiles, and the commit that a program was built from.
+// Package stats provides quantiles and the commit of the running program to the commands that measure.
 package stats
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Quantile returns the value at a fraction, from 0 to 1, of the values in order: 0 is the minimum, 1 the maximum. It does not
-// interpolate, and is 0 if there are no values. The values may come in any order, which is kept.
+// Quantile returns the value at a fraction, from 0 (the minimum) to 1 (the maximum), of the sorted values. It does not
+// interpolate, and returns 0 if there are no values. The values need not be sorted, and Quantile does not modify them.
 func Quantile(values []time.Duration, fraction float64) time.Duration {
 	if len(values) == 0 {
 		return 0
@@ -19,9 +19,8 @@
 	return values[min(int(fraction*float64(len(values))), len(values)-1)]
 }
 
-// Commit returns the first digits of the commit that the running program was built from, with a note if its sources had
-// uncommitted changes. It is empty if the build does not record a commit, as under go run. digits bounds its length, without
-// the note.
+// Commit returns up to digits digits of the hash of the commit from which the running program was built, with a suffix if the
+// sources had uncommitted changes. It returns "" if the build does not record a commit, as under go run.
 func Commit(digits int) string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -30,19 +29,19 @@
 	return commit(info.Settings, digits)
 }
 
-// commit is Commit for the settings of a build.
+// commit implements Commit for the settings of a build.
 func commit(settings []debug.BuildSetting, digits int) string {
-	revision, note := "", ""
+	revision, suffix := "", ""
 	for _, setting := range settings {
 		switch {
 		case setting.Key == "vcs.revision":
 			revision = setting.Value[:min(digits, len(setting.Value))]
 		case setting.Key == "vcs.modified" && setting.Value == "true":
-			note = " with changes"
+			suffix = " with changes"
 		}
 	}
 	if revision == "" {
 		return ""
 	}
-	return revision + note
+	return revision + suffix
 }
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -20,24 +20,24 @@
 		fraction float64
 		want     time.Duration
 	}{
-		{"of no values", nil, 0.5, 0},
-		{"the minimum", hundred, 0, 1},
-		{"the median", hundred, 0.5, 51},
-		{"99 of 100", hundred, 0.99, 100},
-		{"the maximum", hundred, 1, 100},
-		{"of one", []time.Duration{7}, 0.99, 7},
-		{"of two", []time.Duration{9, 3}, 0.5, 9},
+		{"no values", nil, 0.5, 0},
+		{"minimum", hundred, 0, 1},
+		{"median", hundred, 0.5, 51},
+		{"0.99 of 100 values", hundred, 0.99, 100},
+		{"maximum", hundred, 1, 100},
+		{"one value", []time.Duration{7}, 0.99, 7},
+		{"two values", []time.Duration{9, 3}, 0.5, 9},
 	} {
 		testkit.Equal(t, c.name, c.want, Quantile(c.values, c.fraction))
 	}
 	isDescending := slices.IsSortedFunc(hundred, func(a, b time.Duration) int { return int(b - a) })
-	testkit.Equal(t, "the values stay in their order", true, hundred[0] == 100 && isDescending)
+	testkit.Equal(t, "the order of the values is unchanged", true, hundred[0] == 100 && isDescending)
 }
 
 func TestCommit(t *testing.T) {
 	revision := debug.BuildSetting{Key: "vcs.revision", Value: "0123456789abcdef"}
 	changed := debug.BuildSetting{Key: "vcs.modified", Value: "true"}
-	testkit.Equal(t, "with changes", "0123456 with changes", commit([]debug.BuildSetting{changed, revision}, 7))
-	testkit.Equal(t, "without", "0123456789abcdef", commit([]debug.BuildSetting{revision}, 40))
-	testkit.Equal(t, "a build that does not say", "", commit([]debug.BuildSetting{changed}, 7))
+	testkit.Equal(t, "uncommitted changes", "0123456 with changes", commit([]debug.BuildSetting{changed, revision}, 7))
+	testkit.Equal(t, "no uncommitted changes", "0123456789abcdef", commit([]debug.BuildSetting{revision}, 40))
+	testkit.Equal(t, "a build without a recorded commit", "", commit([]debug.BuildSetting{changed}, 7))
 }
