--- a/internal/fakes/discovery_server.go
+++ b/internal/fakes/discovery_server.go
@@ -60,7 +60,7 @@
 }
 
 // Close stops the server and its watches.
-func (s *DiscoveryServer) Close() { _ = s.server.Close() } // an error cannot be handled
+func (s *DiscoveryServer) Close() { _ = s.server.Close() } // nothing can be done if this fails
 
 // Set adds or replaces entries in one new generation of the list. An entry with the lifecycle "terminated" is removed.
 func (s *DiscoveryServer) Set(entries ...Entry) {
--- a/internal/testing/faultinject/conn.go
+++ b/internal/testing/faultinject/conn.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// dial connects to the target. While a Blackhole applies to the up direction, it waits. It resets the client connection and
-// returns false if the target cannot be reached.
+// dial connects to the target, after waiting while a Blackhole applies to the up direction. If the target cannot be reached,
+// it resets the client connection and returns false.
 func (c *conn) dial() bool {
 	for {
 		faults, changed := c.link.activeFaults(c.number, Up)
--- a/internal/testing/faultinject/faultinject.go
+++ b/internal/testing/faultinject/faultinject.go
@@ -10,15 +10,15 @@
 // Injector injects faults on links; Net implements it.
 type Injector interface {
 	// Link opens a relay to the address target and returns it. Clients connect to the relay's address instead of the target.
-	// Each link needs its own name.
+	// Link names must be unique.
 	Link(name, target string) (Link, error)
 	// Set sets a fault on all links whose name matches the pattern (path.Match). It replaces the fault of the same kind,
 	// direction and connection. If several faults of a kind apply to a connection, a fault for that connection takes
 	// precedence over a fault for all connections, and then a fault for one direction over a fault for both. The fault
 	// applies to bytes that have not been forwarded yet.
 	Set(pattern string, f Fault) error
-	// Clear removes the faults of a kind from matching links; "" and "all" mean all kinds. When a Blackhole is cleared, a
-	// connection of which it discarded bytes or the end of stream is reset, like a connection to a host that has restarted.
+	// Clear removes the faults of a kind from matching links; "" and "all" mean all kinds. When a Blackhole is cleared,
+	// each connection that lost bytes or the end of the stream to it is reset, like a connection to a host that has restarted.
 	// Other connections continue.
 	Clear(pattern string, kind Kind) error
 	// RunSchedule executes the steps of a schedule and returns after the last one. It returns the context's error if the
--- a/internal/testing/faultinject/forward.go
+++ b/internal/testing/faultinject/forward.go
@@ -18,7 +18,7 @@
 	// The interval at which awaitDelivery polls the kernel grows by deliveryCheckStep up to maxDeliveryCheckInterval.
 	deliveryCheckStep        = 50 * time.Microsecond
 	maxDeliveryCheckInterval = 5 * time.Millisecond
-	// blackholeResetID is the fault id that logs the reset after a Blackhole is cleared. No fault in a link has this id.
+	// blackholeResetID is the id under which the reset after a cleared Blackhole is logged. No fault that was set has this id.
 	blackholeResetID = ^uint64(0)
 )
 
@@ -175,8 +175,8 @@
 	p.nextSendAt = start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// corrupt returns a copy of the data in which on average one byte in every `every` bytes is changed. Only the offset of a
-// byte determines whether and how it changes.
+// corrupt returns a copy of the data in which on average one byte in every `every` bytes is changed. The seed of
+// the pipe and the offset of a byte alone determine whether and how it changes.
 func (p *pipe) corrupt(data []byte, offset int64, every uint64) []byte {
 	out := bytes.Clone(data)
 	for i := range out {
