--- a/cmd/micafront/large_list_test.go
+++ b/cmd/micafront/large_list_test.go
@@ -13,21 +13,20 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// Sizes of endpoint lists: the largest that operators run, and how many parts a release replaces it in.
 const (
-	largeListEndpoints = 3200
-	releaseParts       = 12
+	largeListEndpoints = 3200 // endpoints in the largest list in operation
+	releaseParts       = 12   // parts in which a release replaces the endpoints
 )
 
-// answeringEndpoint accepts every connection, answers its request at once and records when which request came.
+// answeringEndpoint accepts every connection, answers its request immediately and records the request's time of arrival.
 type answeringEndpoint struct {
 	addr string
 
 	mu       sync.Mutex
-	attempts map[string]time.Time // by the request's id
+	attempts map[string]time.Time // arrival of the request, by its id
 }
 
-// newAnsweringEndpoint starts an endpoint that stops with the test.
+// newAnsweringEndpoint starts an endpoint that runs until the end of the test.
 func newAnsweringEndpoint(t *testing.T) *answeringEndpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,6 +47,7 @@
 	return e
 }
 
+// serve answers load queries and the first request of a connection, and waits until the proxy closes the connection.
 func (e *answeringEndpoint) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -63,25 +63,26 @@
 	e.attempts[strings.Fields(line)[1]] = time.Now()
 	e.mu.Unlock()
 	_, _ = conn.Write([]byte("UP r\r\n"))
-	_, _ = reader.ReadString('\n') // until the client leaves
+	_, _ = reader.ReadString('\n') // until the client disconnects
 }
 
-// attemptOf returns when a request came; false where it did not.
+// attemptOf returns when a request arrived, and whether it did.
 func (e *answeringEndpoint) attemptOf(id string) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at, attempted := e.attempts[id]
-	return at, attempted
+	arrival, attempted := e.attempts[id]
+	return arrival, attempted
 }
 
-// attemptCount returns how many requests have come.
+// attemptCount returns how many requests have arrived.
 func (e *answeringEndpoint) attemptCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.attempts)
 }
 
-// entries are count entries of an endpoint list, numbered from first, that all lead to this endpoint, in three zones.
+// entries returns count entries of an endpoint list, numbered from first. They are in three zones and all have this
+// endpoint's address.
 func (e *answeringEndpoint) entries(first, count int, lifecycle string) []string {
 	entries := make([]string, 0, count)
 	for i := first; i < first+count; i++ {
@@ -95,7 +96,7 @@
 	return entries
 }
 
-// requestTiming is one request of a steady client: how long it took to the answer.
+// requestTiming is a request with its answer and the time until the answer.
 type requestTiming struct {
 	id     string
 	sentAt time.Time
@@ -103,9 +104,9 @@
 	wait   time.Duration
 }
 
-// sendSteadily sends a request every interval, each on a connection of its own, until stop is closed. It returns the
-// timings of all of them.
-func sendSteadily(t *testing.T, addr string, interval, patience time.Duration, stop <-chan struct{}) []requestTiming {
+// sendPeriodically sends a request on a new connection every interval until stop is closed, and returns the timings of all
+// requests.
+func sendPeriodically(t *testing.T, addr string, interval, timeout time.Duration, stop <-chan struct{}) []requestTiming {
 	var mu sync.Mutex
 	var timings []requestTiming
 	var clients sync.WaitGroup
@@ -121,7 +122,7 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			timing := sendRequest(t, addr, patience)
+			timing := sendRequest(t, addr, timeout)
 			mu.Lock()
 			timings = append(timings, timing)
 			mu.Unlock()
@@ -129,8 +130,8 @@
 	}
 }
 
-// sendRequest sends one request that its client waits for no longer than patience, and reads the answer, also a late one.
-func sendRequest(t *testing.T, addr string, patience time.Duration) requestTiming {
+// sendRequest sends a request with a timeout and reads the answer, even a late one.
+func sendRequest(t *testing.T, addr string, timeout time.Duration) requestTiming {
 	id := fakes.NextID()
 	timing := requestTiming{id: id, sentAt: time.Now(), answer: "none"}
 	conn, err := net.Dial("tcp", addr)
@@ -140,7 +141,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(fakes.WaitTimeout))
-	_, _ = fmt.Fprintf(conn, "OPEN %s key%s c=feed,d=%d\r\n", id, id, patience.Milliseconds())
+	_, _ = fmt.Fprintf(conn, "OPEN %s key%s c=feed,d=%d\r\n", id, id, timeout.Milliseconds())
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err == nil {
 		timing.answer = strings.TrimSpace(line)
 	}
@@ -148,22 +149,22 @@
 	return timing
 }
 
-// lateAnswer is how long after a request's time its answer may come; later it is lost.
-const lateAnswer = 500 * time.Millisecond
+// answerTolerance is how long after a request's deadline its answer may arrive; a later answer is lost.
+const answerTolerance = 500 * time.Millisecond
 
-// TestLargeListLosesNoRequest replaces a list of 3,200 endpoints in parts while clients with little time come steadily: each
-// gets its answer in time, and no attempt begins once a request's time is over.
-func TestLargeListLosesNoRequest(t *testing.T) {
-	const patience = 100 * time.Millisecond
+// TestDeadlinesDuringLargeListUpdates checks that clients with short timeouts are answered in time while a list of 3,200
+// endpoints is replaced in parts, and that no attempt starts after a request's deadline.
+func TestDeadlinesDuringLargeListUpdates(t *testing.T) {
+	const timeout = 100 * time.Millisecond
 	endpoint := newAnsweringEndpoint(t)
 	entries := endpoint.entries(0, largeListEndpoints, "in_service")
 	proxy := startProxy(t, fakes.List(1, true, entries...))
 	stop := make(chan struct{})
 	results := make(chan []requestTiming)
-	go func() { results <- sendSteadily(t, proxy.addr, 20*time.Millisecond, patience, stop) }()
+	go func() { results <- sendPeriodically(t, proxy.addr, 20*time.Millisecond, timeout, stop) }()
 
 	fakes.Await(t, proxy.discovery.Watches)
-	const part = largeListEndpoints / releaseParts
+	const partSize = largeListEndpoints / releaseParts
 	generation := 1
 	send := func(entries []string) {
 		generation++
@@ -171,64 +172,64 @@
 		time.Sleep(350 * time.Millisecond)
 	}
 	for i := range 4 {
-		send(endpoint.entries(i*part, part, "terminating"))
-		send(endpoint.entries(i*part, part, "terminated"))
-		send(endpoint.entries(largeListEndpoints+i*part, part, "in_service"))
+		send(endpoint.entries(i*partSize, partSize, "terminating"))
+		send(endpoint.entries(i*partSize, partSize, "terminated"))
+		send(endpoint.entries(largeListEndpoints+i*partSize, partSize, "in_service"))
 	}
 	time.Sleep(time.Second)
 	close(stop)
 	_ = proxy.command.Process.Signal(syscall.SIGUSR1)
-	_, turns, _ := strings.Cut(proxy.waitForLog(" long_turns="), " long_turns=")
-	turns, _, _ = strings.Cut(turns, "\n")
-	t.Logf("long_turns=%s", turns)
+	_, longTurns, _ := strings.Cut(proxy.waitForLog(" long_turns="), " long_turns=")
+	longTurns, _, _ = strings.Cut(longTurns, "\n")
+	t.Logf("long_turns=%s", longTurns)
 
 	longest := time.Duration(0)
 	for _, timing := range <-results {
 		longest = max(longest, timing.wait)
-		if timing.wait > patience+lateAnswer {
+		if timing.wait > timeout+answerTolerance {
 			t.Errorf("request %s waited %v for %q", timing.id, timing.wait, timing.answer)
 		}
-		if at, attempted := endpoint.attemptOf(timing.id); attempted && at.Sub(timing.sentAt) > patience+lateAnswer {
-			t.Errorf("request %s was attempted %v after it was sent", timing.id, at.Sub(timing.sentAt))
+		if at, attempted := endpoint.attemptOf(timing.id); attempted && at.Sub(timing.sentAt) > timeout+answerTolerance {
+			t.Errorf("request %s reached the endpoint %v after it was sent", timing.id, at.Sub(timing.sentAt))
 		}
 	}
 	t.Logf("longest wait for an answer: %v", longest)
 }
 
-// TestHeldUpProcessAttemptsNothingThatIsOver checks that requests whose time passes while the process stands still are
-// rejected, and that one which still has time is attempted.
-func TestHeldUpProcessAttemptsNothingThatIsOver(t *testing.T) {
+// TestExpiredRequestsAfterSuspension checks that requests whose deadline passes while the process is suspended are rejected
+// without an attempt, and that a request whose deadline has not passed is served.
+func TestExpiredRequestsAfterSuspension(t *testing.T) {
 	t.Parallel()
 	endpoint := newAnsweringEndpoint(t)
 	proxy := startProxy(t, fakes.List(1, true, endpoint.entries(0, 3, "in_service")...))
-	accepted := proxy.dial() // its request comes on a connection that the process has accepted
-	idle := proxy.dial()     // and this one's in two parts
-	idle.Send("OPEN half key c=feed,")
+	accepted := proxy.dial() // sends its request on an accepted connection
+	partial := proxy.dial()  // sends its request in two parts
+	partial.Send("OPEN half key c=feed,")
 	time.Sleep(50 * time.Millisecond)
 	waiting := make(chan requestTiming, 1)
 	proxy.whileSuspended(func() {
 		accepted.Send("OPEN accepted key c=feed,d=300\r\n")
-		idle.Send("d=300\r\n")
+		partial.Send("d=300\r\n")
 		time.Sleep(400 * time.Millisecond)
 		go func() { waiting <- sendRequest(t, proxy.addr, 5*time.Second) }()
 		time.Sleep(200 * time.Millisecond)
 	})
-	for name, client := range map[string]*fakes.Peer{"accepted": accepted, "half": idle} {
+	for name, client := range map[string]*fakes.Peer{"accepted": accepted, "half": partial} {
 		if got := client.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-			t.Errorf("the request %q, whose time was over, was answered %q", name, got)
+			t.Errorf("the expired request %q got %q, want BUSY", name, got)
 		}
 		if _, attempted := endpoint.attemptOf(name); attempted {
-			t.Errorf("the request %q was attempted after its time", name)
+			t.Errorf("the expired request %q was attempted", name)
 		}
 	}
 	if timing := <-waiting; timing.answer != "UP r" {
-		t.Errorf("the request that had time left was answered %q", timing.answer)
+		t.Errorf("the request with time left got %q", timing.answer)
 	}
 }
 
-// TestHeldUpProcessAttemptsNothingForGoneClients checks that clients that leave while the process stands still are not
-// attempted for, whether their request is new or waits for a connection to its endpoint.
-func TestHeldUpProcessAttemptsNothingForGoneClients(t *testing.T) {
+// TestDisconnectedClientsAfterSuspension checks that no attempt is made for clients that disconnect while the process is
+// suspended, whether their request is new or waits for a connection to its endpoint.
+func TestDisconnectedClientsAfterSuspension(t *testing.T) {
 	t.Parallel()
 	endpoint := newAnsweringEndpoint(t)
 	proxy := startProxy(t, fakes.List(1, true, endpoint.entries(0, 3, "in_service")...))
@@ -241,29 +242,29 @@
 		time.Sleep(150 * time.Millisecond)
 	})
 	if timing := sendRequest(t, proxy.addr, 5*time.Second); timing.answer != "UP r" {
-		t.Errorf("a client that stayed got %q", timing.answer)
+		t.Errorf("a client that stayed connected got %q", timing.answer)
 	}
 	if count := endpoint.attemptCount(); count != 1 {
-		t.Errorf("%d attempts, of which %d for clients that had gone", count, count-1)
+		t.Errorf("%d attempts, want 1: %d were for disconnected clients", count, count-1)
 	}
 }
 
-// TestLoadQueriesLeaveDescriptorsForRequests has a list with several times as many endpoints as the proxy may have descriptors, all
-// of which report their load when they are asked: clients are served all the same.
+// TestLoadQueriesLeaveDescriptorsForRequests checks that clients are served while the proxy queries the load of several
+// times as many endpoints as it may have descriptors.
 func TestLoadQueriesLeaveDescriptorsForRequests(t *testing.T) {
 	t.Parallel()
-	const sockets = 400
+	const maxDescriptors = 400
 	endpoint := newAnsweringEndpoint(t)
 	entries := endpoint.entries(0, largeListEndpoints, "in_service")
-	proxy := startProxy(t, fakes.List(1, true, entries...), withSettings(loadReportSettings), withSockets(sockets))
+	proxy := startProxy(t, fakes.List(1, true, entries...), withSettings(loadReportSettings), withMaxDescriptors(maxDescriptors))
 	time.Sleep(time.Second) // several rounds of queries
 	for range 20 {
 		if timing := sendRequest(t, proxy.addr, time.Second); timing.answer != "UP r" {
-			t.Errorf("a request was answered %q", timing.answer)
+			t.Errorf("a request got %q", timing.answer)
 		}
 	}
 	t.Logf("%d descriptors are open", proxy.countDescriptors())
-	if open := proxy.countDescriptors(); open > sockets/2 {
+	if open := proxy.countDescriptors(); open > maxDescriptors/2 {
 		t.Errorf("%d descriptors are open, with %d endpoints", open, largeListEndpoints)
 	}
 }
--- a/cmd/micafront/site_test.go
+++ b/cmd/micafront/site_test.go
@@ -15,6 +15,7 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
+// toolsBinary builds micafrontctl once and returns its path.
 var toolsBinary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "micafrontctl")
 	if err != nil {
@@ -28,8 +29,8 @@
 	return path, nil
 })
 
-// startFromSite starts the program from a file in the site language; env holds names and values of further variables in
-// turn.
+// startFromSite starts the program from a file in the site language; env holds alternating names and values of further
+// environment variables.
 func startFromSite(t *testing.T, file string, env ...string) (*proxyProcess, map[string]chan *fakes.Peer) {
 	t.Helper()
 	path, err := toolsBinary()
@@ -42,10 +43,10 @@
 	}
 	conns := map[string]chan *fakes.Peer{}
 	var entries []string
-	for _, z := range []string{"thies", "dakar"} {
-		conns[z] = make(chan *fakes.Peer, 64)
-		endpoint := fakes.NewScriptedEndpoint(t, "s-"+z, conns[z])
-		entries = append(entries, fmt.Sprintf(`{id: %q, address: %q, zone: %q, lifecycle: "in_service"}`, endpoint.ID, endpoint.Addr, z))
+	for _, zone := range []string{"thies", "dakar"} {
+		conns[zone] = make(chan *fakes.Peer, 64)
+		endpoint := fakes.NewScriptedEndpoint(t, "s-"+zone, conns[zone])
+		entries = append(entries, fmt.Sprintf(`{id: %q, address: %q, zone: %q, lifecycle: "in_service"}`, endpoint.ID, endpoint.Addr, zone))
 	}
 	proxy := startProxy(t, "", func(proxy *proxyProcess) {
 		proxy.siteText = strings.NewReplacer("127.0.0.1:8081", "127.0.0.1:0", "127.0.0.1:8500", proxy.discovery.Addr).Replace(string(text)) +
@@ -58,29 +59,30 @@
 	return proxy, conns
 }
 
-// TestStartFromSite checks that the program runs from the site language and reloads a changed file whole or not at all.
+// TestStartFromSite checks that the program runs from a configuration in the site language, and that a reload applies a
+// changed file completely or not at all.
 func TestStartFromSite(t *testing.T) {
 	t.Parallel()
 	proxy, conns := startFromSite(t, "../../internal/sitelang/testdata/base.cue")
-	feed := func(key string) string { return strings.Replace(openLine(key), "c=feed", "c=album-notes", 1) }
-	say := func(key, zone string) {
+	requestLine := func(key string) string { return strings.Replace(openLine(key), "c=feed", "c=album-notes", 1) }
+	connectIn := func(key, zone string) {
 		t.Helper()
 		client := proxy.dial()
-		client.Send(feed(key))
+		client.Send(requestLine(key))
 		upstream := fakes.Await(t, conns[zone])
 		upstream.ReadLine()
 		upstream.Send("UP r\r\n")
 		testkit.Equal(t, "answer", "UP r", client.ReadLine())
 	}
-	say("k", "thies")
+	connectIn("k", "thies")
 	proxy.reload(`rest: to: thies: "100 %"`, `rest: to: theis: "100 %"`)
 	proxy.waitForLog(inJSON(`route.rest.to: there is no pool "theis"; is "thies" meant?`))
-	say("k", "thies")
+	connectIn("k", "thies")
 	text, err := os.ReadFile(proxy.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A file that is truncated is rejected too.
+	// A truncated file is rejected too.
 	if err := os.WriteFile(proxy.configPath, text[:len(text)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -91,10 +93,10 @@
 	}
 	proxy.command.Process.Signal(syscall.SIGHUP)
 	proxy.waitForCounter("reloads=1")
-	say("k", "dakar")
+	connectIn("k", "dakar")
 }
 
-// TestStopDuringSiteCompilation checks that a stop does not wait for a site that takes long to compile.
+// TestStopDuringSiteCompilation checks that a stop does not wait until a slow compilation of the site has finished.
 func TestStopDuringSiteCompilation(t *testing.T) {
 	t.Parallel()
 	compiler, err := toolsBinary()
@@ -102,8 +104,8 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	slow, begun := filepath.Join(dir, "slow"), filepath.Join(dir, "begun")
-	script := fmt.Sprintf("#!/bin/sh\nif [ -e %q ]; then : > %q; exec sleep 600; fi\nexec %q \"$@\"\n", slow, begun, compiler)
+	slow, started := filepath.Join(dir, "slow"), filepath.Join(dir, "started")
+	script := fmt.Sprintf("#!/bin/sh\nif [ -e %q ]; then : > %q; exec sleep 600; fi\nexec %q \"$@\"\n", slow, started, compiler)
 	wrapper := filepath.Join(dir, "tools")
 	if err := os.WriteFile(wrapper, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
@@ -114,10 +116,10 @@
 	}
 	proxy.command.Process.Signal(syscall.SIGHUP)
 	for end := time.Now().Add(fakes.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if _, err := os.Stat(begun); err == nil {
+		if _, err := os.Stat(started); err == nil {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("the site is not compiled")
+			t.Fatal("the compilation of the site never started")
 		}
 	}
 	proxy.command.Process.Signal(syscall.SIGTERM)
