--- a/features/world_test.go
+++ b/features/world_test.go
@@ -25,12 +25,12 @@
 	withdrawnStep = "withdrawn" // value of fleetconfig.HistoryEntry.Step
 )
 
-// The load of each fleet, and how long it runs before the first step.
+// The load of each fleet, and its time to start before the next step.
 const (
 	loadInterval  = 50 * time.Millisecond // average time between connections at a proxy
 	loadKeys      = 4
-	startupTime   = 3 * time.Second // run time without a first version
-	maxSettleTime = 8 * time.Second // time limit with a first version
+	startupTime   = 3 * time.Second // fixed run time without a first version
+	maxSettleTime = 8 * time.Second // limit for the first version to become active
 )
 
 // route is a key and the pool or service that it is sent to.
@@ -288,7 +288,7 @@
 // different catalog.
 func (w *world) checkMergeOrders(times int) error {
 	if times == 0 {
-		return errors.New("the number of orders must not be 0")
+		return errors.New("the number of orders must be positive")
 	}
 	want, err := json.Marshal(w.mergedCatalog())
 	if err != nil {
--- a/internal/testing/faultinject/forward.go
+++ b/internal/testing/faultinject/forward.go
@@ -87,8 +87,8 @@
 	if !connected {
 		return waitForEvent, false
 	}
-	if halfEnd, ok := faults[HalfClose]; ok && !p.writeEnded && forwarded >= halfEnd.Offset {
-		p.logFault(halfEnd)
+	if halfClose, ok := faults[HalfClose]; ok && !p.writeEnded && forwarded >= halfClose.Offset {
+		p.logFault(halfClose)
 		p.writeEnded = true
 		_ = p.destination().CloseWrite() // may already be closed
 	}
--- a/internal/testing/faultinject/net_test.go
+++ b/internal/testing/faultinject/net_test.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestDelayQueueIsBounded checks that a delayed direction queues up to maxDelayedBytes, so that a Delay does not limit the
-// throughput, and no more.
+// TestDelayQueueIsBounded checks that the queue under a Delay grows to maxDelayedBytes, so that the Delay does not limit the
+// throughput, and then exceeds it by less than one chunk.
 func TestDelayQueueIsBounded(t *testing.T) {
 	r := newTestNetwork(t, 1)
 	from, _ := r.pair(Up)
