--- a/features/catalog.feature
+++ b/features/catalog.feature
@@ -1,5 +1,5 @@
 Feature: names in the merged catalog of federated meshes
-  A name resolves to one service everywhere, and keeps its owner whatever meshes join, are lost or return.
+  A name resolves to the same service everywhere and keeps its owner when meshes join, are lost or return.
 
   Background:
     Given the meshes
--- a/features/memory.feature
+++ b/features/memory.feature
@@ -1,5 +1,5 @@
 Feature: memory limits of nodes
-  Before a version becomes active the operator learns which nodes cannot load it, and which routes need most memory.
+  Before a version becomes active the operator learns which nodes cannot load it and which routes need the most memory.
 
   Background:
     Given a fleet of 3 replicas and 3 proxies with an agreement timeout of 2 s and a member timeout of 10 s
--- a/features/publishing.feature
+++ b/features/publishing.feature
@@ -1,5 +1,5 @@
 Feature: meshes publish to the control plane
-  The leader merges the publications of meshes into a catalog and proposes it as a version, whatever fails meanwhile.
+  The leader merges the publications of meshes into a catalog and proposes it as a version, even if processes or links fail.
 
   Background:
     Given a fleet of 3 replicas and 3 proxies with an agreement timeout of 2 s and a member timeout of 10 s
