--- a/features/catalog_steps_test.go
+++ b/features/catalog_steps_test.go
@@ -29,7 +29,7 @@
 		{`^(\w+) publishes(?: in epoch (\d+))?$`, func(mesh, epoch string, t *godog.Table) {
 			var services []catalog.Service
 			eachRow(t, func(cell func(string) string) {
-				service := fleetsim.ServiceOf(mesh, cell("name"), cell("owner"), cell("contract"))
+				service := fleetsim.NewService(mesh, cell("name"), cell("owner"), cell("contract"))
 				service.Origin = cell("origin")
 				service.Via = list(cell("via"))
 				if minutes := cell("drains for"); minutes != "" {
@@ -42,7 +42,7 @@
 		{`^(\w+) publishes (\d+) services$`, func(mesh string, n int) {
 			var services []catalog.Service
 			for i := range n {
-				services = append(services, fleetsim.ServiceOf(mesh, fmt.Sprint("s", i), "team", fmt.Sprint("c", i)))
+				services = append(services, fleetsim.NewService(mesh, fmt.Sprint("s", i), "team", fmt.Sprint("c", i)))
 			}
 			w.publish(mesh, "", services)
 		}},
--- a/features/fleet_steps_test.go
+++ b/features/fleet_steps_test.go
@@ -35,7 +35,7 @@
 			return w.build()
 		}},
 		{`^clocks that drift by up to (\d+) ppm$`, func(ppm int) error {
-			w.config.Drift = ppm > 0
+			w.config.ClockDrift = ppm > 0
 			w.config.Terms.ClockDriftPPM = int64(ppm)
 			return w.build()
 		}},
@@ -47,13 +47,13 @@
 			func(lost, duplicated, delayed, seconds int) {
 				const percent = 100
 				link := &w.fleet.Network.Default
-				link.Loss = float64(lost) / percent
-				link.Duplicated = float64(duplicated) / percent
-				link.Delayed = float64(delayed) / percent
+				link.LossRate = float64(lost) / percent
+				link.DuplicateRate = float64(duplicated) / percent
+				link.ExtraDelayRate = float64(delayed) / percent
 				link.MaxExtraDelay = time.Duration(seconds) * time.Second
 			}},
 		{`^(p\d+|all proxies) may use (\d+) KiB$`, func(who string, kib int) error {
-			return w.each(who, func(name string) { w.fleet.Proxy(name).SetLimit(uint64(kib) << 10) })
+			return w.each(who, func(name string) { w.fleet.Proxy(name).SetMemoryLimit(uint64(kib) << 10) })
 		}},
 		{`^the draft has a route "(.*)" of (\d+) keys$`, func(name string, keys int) { w.draft.LargeRoutes[name] = keys }},
 	}
@@ -71,7 +71,7 @@
 		{`^(.+) is paused$`, func(who string) error { return w.each(who, w.fleet.Pause) }},
 		{`^(.+) is resumed$`, func(who string) error { return w.each(who, w.fleet.Resume) }},
 		{`^another proxy joins$`, func() { w.fleet.AddProxy() }},
-		{`^another proxy joins that may use (\d+) KiB$`, func(kib int) { w.fleet.AddProxy().SetLimit(uint64(kib) << 10) }},
+		{`^another proxy joins that may use (\d+) KiB$`, func(kib int) { w.fleet.AddProxy().SetMemoryLimit(uint64(kib) << 10) }},
 		{`^(p\d+) drains$`, func(who string) error {
 			return w.each(who, func(name string) { w.fleet.Proxy(name).Drain(time.Second) })
 		}},
@@ -170,8 +170,8 @@
 			const minActs = 100 // fewer show nothing
 			overlaps := w.fleet.Overlaps()
 			limit := time.Duration(seconds) * time.Second
-			if w.fleet.Acts() < minActs || len(overlaps) > 0 && overlaps[len(overlaps)-1] > limit {
-				return fmt.Errorf("%d acts, and contradictions of %s", w.fleet.Acts(), overlaps)
+			if w.fleet.PlacedConnections() < minActs || len(overlaps) > 0 && overlaps[len(overlaps)-1] > limit {
+				return fmt.Errorf("%d acts, and contradictions of %s", w.fleet.PlacedConnections(), overlaps)
 			}
 			return nil
 		}},
--- a/features/publishing_steps_test.go
+++ b/features/publishing_steps_test.go
@@ -47,7 +47,7 @@
 		{`^the mesh (\w+) publishes "(.*)" of (\w+) to the replicas$`, func(mesh, names, owner string) {
 			var services []catalog.Service
 			for _, name := range list(names) {
-				services = append(services, fleetsim.ServiceOf(mesh, name, owner, name+" of "+owner))
+				services = append(services, fleetsim.NewService(mesh, name, owner, name+" of "+owner))
 			}
 			w.fleet.Mesh(mesh).Publish(services...)
 		}},
@@ -105,7 +105,7 @@
 // namesResolveAlike fails where two proxies resolve a name of the active version to different entries.
 func (w *world) namesResolveAlike() error {
 	const limit = 20 * time.Second
-	if _, ok := w.fleet.Until(limit, w.fleet.Settled); !ok {
+	if _, ok := w.fleet.RunUntil(limit, w.fleet.Settled); !ok {
 		return fmt.Errorf("the fleet does not settle: %s", w.fleet.Describe())
 	}
 	var first string
--- a/features/world_test.go
+++ b/features/world_test.go
@@ -69,7 +69,7 @@
 func (w *world) build() error {
 	w.config.Seed = w.seed
 	w.config.LoadInterval = loadInterval
-	w.config.Keys = loadKeys
+	w.config.KeyCount = loadKeys
 	w.fleet = fleetsim.New(w.config)
 	w.draft.Terms = w.fleet.Terms
 	if w.firstRoute == (route{}) {
@@ -78,7 +78,7 @@
 	}
 	w.draft.Routes = map[string]string{w.firstRoute.key: w.firstRoute.pool}
 	w.propose(fleetconfig.Propose{})
-	if _, ok := w.fleet.Until(maxSettleTime, w.fleet.Settled); !ok {
+	if _, ok := w.fleet.RunUntil(maxSettleTime, w.fleet.Settled); !ok {
 		return fmt.Errorf("the fleet does not settle at the start: %s", w.fleet.Describe())
 	}
 	return nil
@@ -91,7 +91,7 @@
 		base = &active
 	}
 	if p.RollbackOf == 0 {
-		p.Body, _ = w.fleet.Body(&w.draft, base)
+		p.Body, _ = w.fleet.BuildBody(&w.draft, base)
 	}
 	w.request = w.fleet.Submit(fleetconfig.Command{Propose: &p})
 }
@@ -99,7 +99,7 @@
 // await waits until a condition holds, for at most a number of seconds; empty: it must hold now.
 func (w *world) await(seconds string, condition func() bool, format string, args ...any) error {
 	limit := time.Duration(number(seconds)) * time.Second
-	if _, ok := w.fleet.Until(limit, condition); ok {
+	if _, ok := w.fleet.RunUntil(limit, condition); ok {
 		return nil
 	}
 	return fmt.Errorf("not within %s: %s; %s", limit, fmt.Sprintf(format, args...), w.fleet.Describe())
@@ -131,7 +131,7 @@
 			}
 		}
 	default:
-		if w.fleet.Has(expression) {
+		if w.fleet.HasProcess(expression) {
 			names = []string{expression}
 		}
 	}
@@ -295,10 +295,10 @@
 	random := rand.New(rand.NewPCG(w.seed, 1))
 	for range times {
 		in := w.draft.Inputs
-		in.Meshes = fleetsim.Shuffled(random, in.Meshes)
-		in.Publications = fleetsim.Shuffled(random, in.Publications)
+		in.Meshes = fleetsim.ShuffledWithDuplicate(random, in.Meshes)
+		in.Publications = fleetsim.ShuffledWithDuplicate(random, in.Publications)
 		for i := range in.Publications {
-			in.Publications[i].Services = fleetsim.Shuffled(random, in.Publications[i].Services)
+			in.Publications[i].Services = fleetsim.ShuffledWithDuplicate(random, in.Publications[i].Services)
 		}
 		merged, _ := catalog.Rules{}.Merge(w.previous, in, w.agreedTime)
 		got, err := json.Marshal(merged)
--- a/internal/fleetsim/control.go
+++ b/internal/fleetsim/control.go
@@ -93,8 +93,8 @@
 	return all
 }
 
-// Has reports whether there is a process of that name.
-func (f *Fleet) Has(name string) bool {
+// HasProcess reports whether there is a process of that name.
+func (f *Fleet) HasProcess(name string) bool {
 	return slices.ContainsFunc(f.processes(), func(p *Process) bool { return p.Name == name })
 }
 
--- a/internal/fleetsim/engine.go
+++ b/internal/fleetsim/engine.go
@@ -18,8 +18,8 @@
 
 // Engine runs events in the order of true time, and events of the same time in the order in which they were scheduled.
 type Engine struct {
-	Rand  *rand.Rand
-	Steps uint64 // events that have run
+	Rand       *rand.Rand
+	EventCount uint64 // events that have run
 
 	now       time.Duration // true time
 	scheduled uint64        // events so far
@@ -112,7 +112,7 @@
 		}
 		next := heap.Pop(&e.queue).(event)
 		e.now = next.at
-		e.Steps++
+		e.EventCount++
 		next.action()
 	}
 	e.now = max(e.now, until)
@@ -133,8 +133,8 @@
 // Digest is the hash of the whole trace: two runs with the same digest did the same things at the same times.
 func (e *Engine) Digest() uint64 { return e.digest.Sum64() }
 
-// Recent returns the last entries of the trace.
-func (e *Engine) Recent() []string {
+// RecentTrace returns the last entries of the trace.
+func (e *Engine) RecentTrace() []string {
 	var entries []string
 	for i := max(e.traced, recentEntries) - recentEntries; i < e.traced; i++ {
 		entries = append(entries, e.recent[i%recentEntries].String())
--- a/internal/fleetsim/explore.go
+++ b/internal/fleetsim/explore.go
@@ -24,17 +24,17 @@
 
 // Outcome is the result of a run.
 type Outcome struct {
-	Seed          uint64
-	OnLeaseExpiry fleetconfig.LeaseExpiryPolicy
-	Steps         uint64 // events
-	Acts          uint64 // connections placed on a version
-	Versions      uint64 // that became active
-	Placements
-	Overlaps      []time.Duration // of contradicting versions, shortest first
-	WithoutFaults time.Duration   // from a proposal without faults until all proxies act on it
-	AfterHealing  time.Duration   // from the end of all faults until all proxies agree
-	Digest        uint64          // of the trace
-	Violation     *Violation      // nil: all invariants held
+	Seed              uint64
+	OnLeaseExpiry     fleetconfig.LeaseExpiryPolicy
+	EventCount        uint64 // events
+	PlacedConnections uint64 // connections placed on a version
+	ActivatedVersions uint64 // that became active
+	ConnectionCounts
+	Overlaps                 []time.Duration // of contradicting versions, shortest first
+	TimeToAgreeWithoutFaults time.Duration   // from a proposal without faults until all proxies act on it
+	TimeToAgreeAfterHealing  time.Duration   // from the end of all faults until all proxies agree
+	Digest                   uint64          // of the trace
+	Violation                *Violation      // nil: all invariants held
 }
 
 // Explore runs a fleet under random faults, proposals, rollbacks and forced versions: first a time without faults, then one
@@ -56,22 +56,22 @@
 	s.awaitProposal("I6: a proposal after all faults", limit)
 
 	outcome := f.outcome()
-	outcome.WithoutFaults = withoutFaults
-	outcome.AfterHealing = afterHealing
+	outcome.TimeToAgreeWithoutFaults = withoutFaults
+	outcome.TimeToAgreeAfterHealing = afterHealing
 	return outcome
 }
 
 // outcome is the part of the outcome that the fleet knows.
 func (f *Fleet) outcome() Outcome {
 	outcome := Outcome{
-		Seed:          f.Seed,
-		OnLeaseExpiry: f.Terms.OnLeaseExpiry,
-		Steps:         f.engine.Steps,
-		Acts:          f.invariants.actCount,
-		Versions:      f.invariants.highestActive,
-		Overlaps:      f.Overlaps(),
-		Digest:        f.engine.Digest(),
-		Violation:     f.Violation,
+		Seed:              f.Seed,
+		OnLeaseExpiry:     f.Terms.OnLeaseExpiry,
+		EventCount:        f.engine.EventCount,
+		PlacedConnections: f.invariants.actCount,
+		ActivatedVersions: f.invariants.highestActive,
+		Overlaps:          f.Overlaps(),
+		Digest:            f.engine.Digest(),
+		Violation:         f.Violation,
 	}
 	for _, p := range f.Proxies {
 		outcome.add(p.Attempts, p.Allowed, p.RejectedByState)
@@ -94,33 +94,33 @@
 	s.healed = true
 	s.fleet.Heal()
 	for _, p := range s.fleet.Proxies {
-		p.SetLimit(0)
+		p.SetMemoryLimit(0)
 	}
 }
 
 // Exploration is a number of runs.
 type Exploration struct {
-	From        uint64 // the first seed
-	Seeds       uint64 // their number
-	Workers     int    // runs at a time
-	StopAtFirst bool   // begin no run once one has a violation
-	Hooks       Hooks
-	Trace       io.Writer // as for Explore; with several workers it must be nil
+	FirstSeed            uint64 // the first seed
+	SeedCount            uint64 // their number
+	Workers              int    // runs at a time
+	StopAtFirstViolation bool   // begin no run once one has a violation
+	Hooks                Hooks
+	Trace                io.Writer // as for Explore; with several workers it must be nil
 }
 
-// ExploreAll explores all seeds of an exploration and returns once all runs have ended. With StopAtFirst all seeds below the
+// ExploreAll explores all seeds of an exploration and returns once all runs have ended. With StopAtFirstViolation all seeds below the
 // first one with a violation have been run, so the lowest one is in Summary.Failed, whatever the number of workers.
 func ExploreAll(e Exploration) *Summary {
 	summary := &Summary{}
 	var lock sync.Mutex // guards summary and next
 	var running sync.WaitGroup
-	next := e.From
+	next := e.FirstSeed
 	nextSeed := func() (seed uint64, ok bool) {
 		lock.Lock()
 		defer lock.Unlock()
 		seed = next
 		next++
-		return seed, seed < e.From+e.Seeds && (!e.StopAtFirst || len(summary.Failed) == 0)
+		return seed, seed < e.FirstSeed+e.SeedCount && (!e.StopAtFirstViolation || len(summary.Failed) == 0)
 	}
 	for range e.Workers {
 		running.Go(func() {
--- a/internal/fleetsim/explore/main.go
+++ b/internal/fleetsim/explore/main.go
@@ -28,18 +28,18 @@
 	seed := flag.Uint64("seed", 0, "run only this seed and print what led to a violation")
 	trace := flag.Bool("trace", false, "with -seed: print every event")
 	workers := flag.Int("workers", runtime.GOMAXPROCS(0), "number of seeds to run at a time")
-	fault := flag.String("plant", "", fmt.Sprint("plant a fault, which has to be detected; one of ", fleetsim.FaultNames()))
+	fault := flag.String("plant", "", fmt.Sprint("plant a fault, which has to be detected; one of ", fleetsim.PlantedFaultNames()))
 	flag.Parse()
-	hooks, known := fleetsim.FaultHooks(*fault)
+	hooks, known := fleetsim.PlantedFaultHooks(*fault)
 	if *fault != "" && !known || flag.NArg() > 0 || *workers < 1 {
 		flag.Usage()
 		os.Exit(exitUsage)
 	}
-	exploration := fleetsim.Exploration{From: *from, Seeds: *seeds, Workers: *workers, Hooks: hooks}
+	exploration := fleetsim.Exploration{FirstSeed: *from, SeedCount: *seeds, Workers: *workers, Hooks: hooks}
 	single := *seed > 0
 	if single {
-		exploration.From = *seed
-		exploration.Seeds = 1
+		exploration.FirstSeed = *seed
+		exploration.SeedCount = 1
 		if *trace {
 			exploration.Trace = os.Stdout
 		}
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -27,12 +27,12 @@
 	ReplicaCount  int               // of the control plane; 0: 3
 	ProxyCount    int               // at the start
 	Terms         fleetconfig.Terms // zero fields: those of DefaultTerms
-	Drift         bool              // clocks run fast or slow by up to Terms.ClockDriftPPM, and start anywhere
+	ClockDrift    bool              // clocks run fast or slow by up to Terms.ClockDriftPPM, and start anywhere
 	DefaultLink   Link              // zero: HealthyLink
 	LoadInterval  time.Duration     // average time between connections at a proxy; 0: no load
-	Keys          int               // that the load draws from; 0: 12
+	KeyCount      int               // that the load draws from; 0: 12
 	Zones         []string          // assigned to the proxies in turn; none: "thies"
-	Tick          time.Duration     // of the replicas; 0: 100 ms
+	TickInterval  time.Duration     // of the replicas; 0: 100 ms
 	SnapshotEvery uint64            // entries of the replicas' log; 0: 64
 	Hooks         Hooks             // planted faults
 	Trace         io.Writer         // receives the trace; nil: it is not written
@@ -48,8 +48,8 @@
 
 func (c *Config) fillDefaults() {
 	c.ReplicaCount = cmp.Or(c.ReplicaCount, defaultReplicaCount)
-	c.Keys = cmp.Or(c.Keys, defaultKeys)
-	c.Tick = cmp.Or(c.Tick, defaultTick)
+	c.KeyCount = cmp.Or(c.KeyCount, defaultKeys)
+	c.TickInterval = cmp.Or(c.TickInterval, defaultTick)
 	c.SnapshotEvery = cmp.Or(c.SnapshotEvery, defaultSnapshotEvery)
 	c.DefaultLink = cmp.Or(c.DefaultLink, HealthyLink)
 	c.Terms.AgreementTimeout = cmp.Or(c.Terms.AgreementTimeout, DefaultTerms.AgreementTimeout)
@@ -109,11 +109,11 @@
 // newProcess returns a process that is down, with a clock of its own.
 func (f *Fleet) newProcess(name string) *Process {
 	p := &Process{Name: name, engine: f.engine}
-	if f.Drift {
+	if f.ClockDrift {
 		const maxOffset = 1000 * time.Hour
 		offset := f.engine.RandomDuration(0, maxOffset)
 		ppm := f.engine.Rand.Int64N(2*f.Terms.ClockDriftPPM+1) - f.Terms.ClockDriftPPM
-		p.Clock = Clock{Offset: offset, PPM: ppm}
+		p.Clock = Clock{Offset: offset, DriftPPM: ppm}
 	}
 	return p
 }
@@ -137,16 +137,16 @@
 // Run lets a time pass. It stops at a violation of an invariant; too many events are one.
 func (f *Fleet) Run(d time.Duration) {
 	f.engine.Run(f.engine.now+d, func() bool {
-		if f.engine.Steps > maxEventsPerSecond*(startupSeconds+uint64(f.engine.now/time.Second)) {
-			f.violate("I6: too many events: %d", f.engine.Steps)
+		if f.engine.EventCount > maxEventsPerSecond*(startupSeconds+uint64(f.engine.now/time.Second)) {
+			f.violate("I6: too many events: %d", f.engine.EventCount)
 		}
 		return f.Violation != nil
 	})
 }
 
-// Until lets time pass until a condition holds. It returns the time that passed, and false where the condition did not hold
+// RunUntil lets time pass until a condition holds. It returns the time that passed, and false where the condition did not hold
 // within d.
-func (f *Fleet) Until(d time.Duration, condition func() bool) (time.Duration, bool) {
+func (f *Fleet) RunUntil(d time.Duration, condition func() bool) (time.Duration, bool) {
 	const checkInterval = 10 * time.Millisecond
 	from := f.engine.now
 	for !condition() {
@@ -161,8 +161,8 @@
 // Overlaps returns for how long the versions of each contradicting pair were both acted on, shortest first.
 func (f *Fleet) Overlaps() []time.Duration { return f.invariants.longestOverlaps() }
 
-// Acts is how many connections were placed on a version.
-func (f *Fleet) Acts() uint64 { return f.invariants.actCount }
+// PlacedConnections is how many connections were placed on a version.
+func (f *Fleet) PlacedConnections() uint64 { return f.invariants.actCount }
 
 // Leader is the replica that leads in the highest term; nil: none leads.
 func (f *Fleet) Leader() *Replica {
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -15,12 +15,12 @@
 	if testing.Short() {
 		seeds = 20
 	}
-	summary := ExploreAll(Exploration{From: 1, Seeds: seeds, Workers: 2})
+	summary := ExploreAll(Exploration{FirstSeed: 1, SeedCount: seeds, Workers: 2})
 	t.Logf("\n%s", summary)
 	for _, outcome := range summary.Failed {
 		t.Error(outcome.Violation)
 	}
-	if summary.Acts < 500*seeds || summary.Versions < 4*seeds || len(summary.Overlaps) < int(seeds/4) {
+	if summary.PlacedConnections < 500*seeds || summary.ActivatedVersions < 4*seeds || len(summary.Overlaps) < int(seeds/4) {
 		t.Error("the runs do next to nothing")
 	}
 }
@@ -50,11 +50,11 @@
 		"hearing-forgotten": {30, "I7"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hooks, ok := FaultHooks(name)
+			hooks, ok := PlantedFaultHooks(name)
 			if !ok {
 				t.Fatal("there is no such fault")
 			}
-			summary := ExploreAll(Exploration{From: 1, Seeds: c.seeds, Workers: 2, StopAtFirst: true, Hooks: hooks})
+			summary := ExploreAll(Exploration{FirstSeed: 1, SeedCount: c.seeds, Workers: 2, StopAtFirstViolation: true, Hooks: hooks})
 			if len(summary.Failed) == 0 {
 				t.Fatalf("not detected within %d seeds", c.seeds)
 			}
@@ -81,7 +81,7 @@
 			}
 		}
 	}
-	fast := Clock{PPM: 1000}
+	fast := Clock{DriftPPM: 1000}
 	testkit.Equal(t, "a minute of a fast clock", 60_060*time.Millisecond, fast.Read(time.Minute))
 }
 
@@ -91,7 +91,7 @@
 	p.start()
 	var ran []time.Duration
 	action := func() { ran = append(ran, e.Now()) }
-	n := newNetwork(e, Link{Min: time.Second, Max: time.Second})
+	n := newNetwork(e, Link{MinDelay: time.Second, MaxDelay: time.Second})
 	p.Timer(2*time.Second, action)
 	n.Send("q", p, action)
 	p.pause()
@@ -116,7 +116,7 @@
 func TestInvariantsDetectViolations(t *testing.T) {
 	version := func(n uint64, pool string) *loadedVersion {
 		f := New(Config{Seed: 1, ProxyCount: 1})
-		body, _ := f.Body(&Draft{Routes: map[string]string{"k": pool}, Terms: f.Terms}, nil)
+		body, _ := f.BuildBody(&Draft{Routes: map[string]string{"k": pool}, Terms: f.Terms}, nil)
 		loaded, rejection := f.loadVersion(fleetconfig.Version{Number: n, Digest: body.Digest(), Body: *body}, "thies")
 		if rejection != nil {
 			t.Fatal(rejection)
@@ -150,7 +150,7 @@
 			f.invariants.checkDigest("p1", fleetconfig.Version{Number: 1, Digest: "x"})
 			f.invariants.checkDigest("p2", fleetconfig.Version{Number: 1, Digest: "y"})
 		},
-		"I5: p1 loads": func(f *Fleet) { f.Proxies[0].Limit = 1; f.invariants.checkPrepared(f.Proxies[0], one) },
+		"I5: p1 loads": func(f *Fleet) { f.Proxies[0].MemoryLimit = 1; f.invariants.checkPrepared(f.Proxies[0], one) },
 		"p1 switches to version 9, which it has not": func(f *Fleet) { f.Proxies[0].switchTo(9) },
 	} {
 		f := New(Config{Seed: 1, ProxyCount: 1})
--- a/internal/fleetsim/hooks.go
+++ b/internal/fleetsim/hooks.go
@@ -15,10 +15,10 @@
 	// AdjustEstimate changes the estimate of the bytes that a proxy needs for a switch.
 	AdjustEstimate func(required uint64) uint64
 
-	GrantUnconfirmed bool // a replica grants leases as soon as it takes itself for the leader
-	SkipPrepare      bool // a proxy accepts versions above its memory limit
-	LeaseFromAnswer  bool // a lease counts from its answer, not from its renewal
-	LoseLastWrites   bool // a replica's disk loses the last writes in a crash
+	GrantUnconfirmed    bool // a replica grants leases as soon as it takes itself for the leader
+	SkipMemoryCheck     bool // a proxy accepts versions above its memory limit
+	LeaseFromAnswerTime bool // a lease counts from its answer, not from its renewal
+	LoseLastWrites      bool // a replica's disk loses the last writes in a crash
 }
 
 // WrapLeases returns the lease service that a replica uses in place of its own one, beside its replicated state.
--- a/internal/fleetsim/invariants.go
+++ b/internal/fleetsim/invariants.go
@@ -32,7 +32,7 @@
 	if f.Violation == nil {
 		description := fmt.Sprintf(format, args...)
 		f.engine.Trace("!", "violation", 0, description)
-		f.Violation = &Violation{f.Seed, f.engine.now, description, f.engine.Recent()}
+		f.Violation = &Violation{f.Seed, f.engine.now, description, f.engine.RecentTrace()}
 	}
 }
 
@@ -147,8 +147,8 @@
 // checkPrepared checks I5 where a proxy prepares a version beside its active one. A proxy whose limit falls later has both
 // already.
 func (c *invariants) checkPrepared(p *Proxy, prepared *loadedVersion) {
-	if required := c.fleet.requiredBytes(p.active, prepared); p.Limit > 0 && required > p.Limit {
-		c.fleet.violate("I5: %s loads version %d, which needs %d bytes of its %d", p.Name, prepared.Number, required, p.Limit)
+	if required := c.fleet.requiredBytes(p.active, prepared); p.MemoryLimit > 0 && required > p.MemoryLimit {
+		c.fleet.violate("I5: %s loads version %d, which needs %d bytes of its %d", p.Name, prepared.Number, required, p.MemoryLimit)
 	}
 }
 
--- a/internal/fleetsim/network.go
+++ b/internal/fleetsim/network.go
@@ -4,16 +4,16 @@
 
 // Link is one direction between two processes.
 type Link struct {
-	Min, Max      time.Duration // delay of a message; each draws its own, so messages overtake one another
-	Loss          float64       // share of messages lost
-	Duplicated    float64       // share of messages delivered twice
-	Delayed       float64       // share of messages with an extra delay of at most MaxExtraDelay
-	MaxExtraDelay time.Duration
-	Disconnected  bool
+	MinDelay, MaxDelay time.Duration // delay of a message; each draws its own, so messages overtake one another
+	LossRate           float64       // share of messages lost
+	DuplicateRate      float64       // share of messages delivered twice
+	ExtraDelayRate     float64       // share of messages with an extra delay of at most MaxExtraDelay
+	MaxExtraDelay      time.Duration
+	Disconnected       bool
 }
 
 // HealthyLink is a link within a healthy site.
-var HealthyLink = Link{Min: 200 * time.Microsecond, Max: 3 * time.Millisecond}
+var HealthyLink = Link{MinDelay: 200 * time.Microsecond, MaxDelay: 3 * time.Millisecond}
 
 // Network carries messages between processes.
 type Network struct {
@@ -54,17 +54,17 @@
 		link = &n.Default
 	}
 	n.Sent++
-	if link.Disconnected || n.engine.Chance(link.Loss) {
+	if link.Disconnected || n.engine.Chance(link.LossRate) {
 		n.Lost++
 		return
 	}
 	copies := 1
-	if n.engine.Chance(link.Duplicated) {
+	if n.engine.Chance(link.DuplicateRate) {
 		copies = 2
 	}
 	for range copies {
-		delay := n.engine.RandomDuration(link.Min, link.Max)
-		if n.engine.Chance(link.Delayed) {
+		delay := n.engine.RandomDuration(link.MinDelay, link.MaxDelay)
+		if n.engine.Chance(link.ExtraDelayRate) {
 			delay += n.engine.RandomDuration(0, link.MaxExtraDelay)
 		}
 		n.engine.Schedule(n.engine.now+delay, func() { to.deliver(receive) })
--- a/internal/fleetsim/planted_faults.go
+++ b/internal/fleetsim/planted_faults.go
@@ -19,8 +19,8 @@
 	{"lease-not-checked", Hooks{WrapClient: func(client fleetconfig.Leaseholder) fleetconfig.Leaseholder {
 		return unleasedClient{client}
 	}}},
-	{"lease-from-answer", Hooks{LeaseFromAnswer: true}},
-	{"prepare-skipped", Hooks{SkipPrepare: true}},
+	{"lease-from-answer", Hooks{LeaseFromAnswerTime: true}},
+	{"prepare-skipped", Hooks{SkipMemoryCheck: true}},
 	{"wrong-precedence", Hooks{WrapMerger: func(merger catalog.Merger) catalog.Merger { return ownerIgnoringMerger{merger} }}},
 	{"first-come", Hooks{WrapMerger: func(merger catalog.Merger) catalog.Merger { return firstMeshMerger{merger} }}},
 	{"estimate-halved", Hooks{AdjustEstimate: func(required uint64) uint64 { return required / 2 }}},
@@ -36,8 +36,8 @@
 	}}},
 }
 
-// FaultHooks returns the hooks of a planted fault; false: there is none of that name.
-func FaultHooks(name string) (Hooks, bool) {
+// PlantedFaultHooks returns the hooks of a planted fault; false: there is none of that name.
+func PlantedFaultHooks(name string) (Hooks, bool) {
 	i := slices.IndexFunc(plantedFaults, func(f plantedFault) bool { return f.name == name })
 	if i < 0 {
 		return Hooks{}, false
@@ -45,8 +45,8 @@
 	return plantedFaults[i].hooks, true
 }
 
-// FaultNames are the names of the planted faults.
-func FaultNames() []string {
+// PlantedFaultNames are the names of the planted faults.
+func PlantedFaultNames() []string {
 	var names []string
 	for _, fault := range plantedFaults {
 		names = append(names, fault.name)
--- a/internal/fleetsim/process.go
+++ b/internal/fleetsim/process.go
@@ -6,21 +6,21 @@
 
 // Clock is a machine's monotonic clock.
 type Clock struct {
-	Offset time.Duration // what it shows at the true time 0
-	PPM    int64         // parts per million by which it runs fast; below 0: slow
+	Offset   time.Duration // what it shows at the true time 0
+	DriftPPM int64         // parts per million by which it runs fast; below 0: slow
 }
 
 // Read is what the clock shows at a true time.
 func (c Clock) Read(trueTime time.Duration) time.Duration {
 	// In two parts, as the product of time and PPM overflows after some hours.
-	wholeDrift := int64(trueTime) / million * c.PPM
-	restDrift := int64(trueTime) % million * c.PPM / million
+	wholeDrift := int64(trueTime) / million * c.DriftPPM
+	restDrift := int64(trueTime) % million * c.DriftPPM / million
 	return c.Offset + trueTime + time.Duration(wholeDrift) + time.Duration(restDrift)
 }
 
 // TrueTime is the earliest true time at which the clock shows at.
 func (c Clock) TrueTime(at time.Duration) time.Duration {
-	t := time.Duration(float64(at-c.Offset) * million / float64(million+c.PPM))
+	t := time.Duration(float64(at-c.Offset) * million / float64(million+c.DriftPPM))
 	for c.Read(t) < at { // the division is rounded
 		t++
 	}
--- a/internal/fleetsim/proxy.go
+++ b/internal/fleetsim/proxy.go
@@ -18,8 +18,8 @@
 // does.
 type Proxy struct {
 	Process
-	Zone  string
-	Limit uint64 // bytes of memory; 0: unlimited. It outlasts the process.
+	Zone        string
+	MemoryLimit uint64 // bytes of memory; 0: unlimited. It outlasts the process.
 
 	// The load's connections, over all generations of the process.
 	Attempts           uint64
@@ -50,16 +50,16 @@
 	p.prepared = map[uint64]*loadedVersion{}
 	p.active = nil
 	p.draining = false
-	p.handle(fleetconfig.HeadroomChanged{Headroom: fleetconfig.MemoryHeadroom{Limit: p.Limit}})
+	p.handle(fleetconfig.HeadroomChanged{Headroom: fleetconfig.MemoryHeadroom{Limit: p.MemoryLimit}})
 	p.handle(fleetconfig.Tick{})
 	if p.fleet.LoadInterval > 0 {
 		p.generateLoad()
 	}
 }
 
-// SetLimit changes the memory limit; 0: unlimited.
-func (p *Proxy) SetLimit(bytes uint64) {
-	p.Limit = bytes
+// SetMemoryLimit changes the memory limit; 0: unlimited.
+func (p *Proxy) SetMemoryLimit(bytes uint64) {
+	p.MemoryLimit = bytes
 	if p.up {
 		p.Post(p.engine.now, func() { p.reportHeadroom(bytes) })
 	}
@@ -176,7 +176,7 @@
 	if !ok || lease.Incarnation != p.incarnation {
 		return
 	}
-	if p.fleet.Hooks.LeaseFromAnswer {
+	if p.fleet.Hooks.LeaseFromAnswerTime {
 		sentAt = p.Now()
 	}
 	delete(p.renewalsSentAt, lease.Seq)
@@ -236,8 +236,8 @@
 		return nil, rejection
 	}
 	required := p.fleet.Hooks.adjustEstimate(p.fleet.requiredBytes(p.active, loaded))
-	if p.Limit > 0 && required > p.Limit && !p.fleet.Hooks.SkipPrepare {
-		return nil, tooLarge(loaded, required, p.Limit)
+	if p.MemoryLimit > 0 && required > p.MemoryLimit && !p.fleet.Hooks.SkipMemoryCheck {
+		return nil, tooLarge(loaded, required, p.MemoryLimit)
 	}
 	return loaded, nil
 }
@@ -271,7 +271,7 @@
 			delete(p.prepared, earlier)
 		}
 	}
-	p.reportHeadroom(p.Limit)
+	p.reportHeadroom(p.MemoryLimit)
 }
 
 // nextVersion is the prepared version that is not active yet, or nil.
--- a/internal/fleetsim/proxy_load.go
+++ b/internal/fleetsim/proxy_load.go
@@ -16,10 +16,10 @@
 const superseded fleetconfig.LeaseState = "superseded"
 
 // randomKey draws a key for the load.
-func (f *Fleet) randomKey() string { return Key(f.engine.Rand.IntN(f.Keys)) }
+func (f *Fleet) randomKey() string { return KeyName(f.engine.Rand.IntN(f.KeyCount)) }
 
-// Key is the load's key number i.
-func Key(i int) string { return fmt.Sprint("key", i) }
+// KeyName is the load's key number i.
+func KeyName(i int) string { return fmt.Sprint("key", i) }
 
 // generateLoad places a connection of a random key now and then, as long as the process runs and does not drain.
 func (p *Proxy) generateLoad() {
--- a/internal/fleetsim/replica.go
+++ b/internal/fleetsim/replica.go
@@ -97,7 +97,7 @@
 // tick schedules the next tick, which schedules the one after it.
 func (r *Replica) tick() {
 	const flushChance = 0.1 // of a disk that loses writes, at each tick
-	r.Timer(r.Now()+r.fleet.Tick, func() {
+	r.Timer(r.Now()+r.fleet.TickInterval, func() {
 		if r.fleet.Hooks.LoseLastWrites && r.engine.Chance(flushChance) {
 			r.staleDisk = r.disk
 		}
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -48,7 +48,7 @@
 		Seed:         seed,
 		Hooks:        hooks,
 		Trace:        trace,
-		Drift:        true,
+		ClockDrift:   true,
 		LoadInterval: 100 * time.Millisecond,
 		Zones:        []string{"thies", "dakar"},
 		Terms:        DefaultTerms,
@@ -65,15 +65,15 @@
 	}
 	links := []Link{
 		HealthyLink,
-		{Min: time.Millisecond, Max: 40 * time.Millisecond},
-		{Min: 200 * time.Microsecond, Max: 10 * time.Millisecond, Duplicated: 0.05, Delayed: 0.01, MaxExtraDelay: 3 * time.Second},
+		{MinDelay: time.Millisecond, MaxDelay: 40 * time.Millisecond},
+		{MinDelay: 200 * time.Microsecond, MaxDelay: 10 * time.Millisecond, DuplicateRate: 0.05, ExtraDelayRate: 0.01, MaxExtraDelay: 3 * time.Second},
 	}
 	c.DefaultLink = links[randomInt(len(links))]
-	if c.DefaultLink.Max > maxLinkDelay {
+	if c.DefaultLink.MaxDelay > maxLinkDelay {
 		c.Terms.AgreementTimeout = DefaultTerms.AgreementTimeout
 		c.Terms.MemberTimeout = DefaultTerms.MemberTimeout
 	}
-	c.Keys = 4 + randomInt(12) // 4 to 15
+	c.KeyCount = 4 + randomInt(12) // 4 to 15
 	return c
 }
 
@@ -91,7 +91,7 @@
 
 // await waits until a condition holds, and returns how long that took. It is a violation where it takes longer than the limit.
 func (s *scenario) await(what string, limit time.Duration, condition func() bool) time.Duration {
-	after, ok := s.fleet.Until(limit, condition)
+	after, ok := s.fleet.RunUntil(limit, condition)
 	if !ok {
 		s.fleet.violate("%s: not within %s: %s", what, limit, s.fleet.Describe())
 	}
--- a/internal/fleetsim/scenario_faults.go
+++ b/internal/fleetsim/scenario_faults.go
@@ -56,7 +56,7 @@
 	case 7:
 		s.degradeNetwork()
 	case 8:
-		pick(s, s.fleet.Proxies).SetLimit(uint64(minMemoryLimit + s.randomInt(memoryLimitSpread)))
+		pick(s, s.fleet.Proxies).SetMemoryLimit(uint64(minMemoryLimit + s.randomInt(memoryLimitSpread)))
 	case 9:
 		s.changeProxies()
 	}
@@ -132,8 +132,8 @@
 func (s *scenario) degradeNetwork() {
 	longest := s.maxFaultDuration()
 	link := &s.fleet.Network.Default
-	link.Loss = 0.1
-	link.Delayed = 0.05
+	link.LossRate = 0.1
+	link.ExtraDelayRate = 0.05
 	link.MaxExtraDelay = longest
 	s.scheduleEnd(longest/2, func() {
 		if !s.healed {
--- a/internal/fleetsim/scenario_operator.go
+++ b/internal/fleetsim/scenario_operator.go
@@ -64,11 +64,11 @@
 		base = &active
 	}
 	proposal := &fleetconfig.Propose{ProposedBy: operatorName, Force: s.randomInt(4) == 0}
-	proposal.Body, _ = s.fleet.Body(&s.draft, base)
+	proposal.Body, _ = s.fleet.BuildBody(&s.draft, base)
 	if !s.fleet.compiles(proposal.Body) && (proposal.Force || mustSucceed || s.randomInt(4) > 0) {
 		// The operator mostly validates a proposal first, and then leaves out the routes to services.
 		maps.DeleteFunc(s.draft.Routes, func(_, pool string) bool { return strings.HasPrefix(pool, catalog.ServicePrefix) })
-		proposal.Body, _ = s.fleet.Body(&s.draft, base)
+		proposal.Body, _ = s.fleet.BuildBody(&s.draft, base)
 	}
 	if base != nil {
 		proposal.Base = base.Number
@@ -80,7 +80,7 @@
 func (s *scenario) changeRoutes() {
 	d := &s.draft
 	for range 1 + s.randomInt(3) {
-		key := Key(s.randomInt(s.fleet.Keys))
+		key := KeyName(s.randomInt(s.fleet.KeyCount))
 		d.Routes[key] = pick(s, []string{"a", "b", "c", "d", catalog.ServicePrefix + "mail"})
 	}
 	if s.randomInt(4) != 0 {
@@ -104,7 +104,7 @@
 		{AgreementTimeout: time.Second, MemberTimeout: 4 * time.Second},
 		{AgreementTimeout: 2 * time.Second, MemberTimeout: 2 * time.Second},
 	})
-	if s.fleet.DefaultLink.Max <= maxLinkDelay || terms.AgreementTimeout == DefaultTerms.AgreementTimeout {
+	if s.fleet.DefaultLink.MaxDelay <= maxLinkDelay || terms.AgreementTimeout == DefaultTerms.AgreementTimeout {
 		s.draft.Terms.AgreementTimeout = terms.AgreementTimeout
 		s.draft.Terms.MemberTimeout = terms.MemberTimeout
 	}
@@ -115,7 +115,7 @@
 
 // serviceOf is a mesh's own service of a name.
 func serviceOf(mesh, name string) catalog.Service {
-	return ServiceOf(mesh, name, "team-"+mesh, name+"-of-"+mesh)
+	return NewService(mesh, name, "team-"+mesh, name+"-of-"+mesh)
 }
 
 // changePublications changes what a mesh publishes in the draft, and now and then whether it is lost.
--- a/internal/fleetsim/summary.go
+++ b/internal/fleetsim/summary.go
@@ -12,26 +12,26 @@
 
 // Summary adds up outcomes, whose fields have the same names.
 type Summary struct {
-	Seeds         uint64
-	Steps         uint64
-	Acts          uint64
-	Versions      uint64
-	Overlaps      []time.Duration
-	WithoutFaults []time.Duration
-	AfterHealing  []time.Duration
-	ByPolicy      map[fleetconfig.LeaseExpiryPolicy]*Placements
-	Failed        []Outcome // with a violation; sorted by seed in the result of ExploreAll
+	SeedCount                 uint64
+	EventCount                uint64
+	PlacedConnections         uint64
+	ActivatedVersions         uint64
+	Overlaps                  []time.Duration
+	TimesToAgreeWithoutFaults []time.Duration
+	TimesToAgreeAfterHealing  []time.Duration
+	ByPolicy                  map[fleetconfig.LeaseExpiryPolicy]*ConnectionCounts
+	Failed                    []Outcome // with a violation; sorted by seed in the result of ExploreAll
 }
 
-// Placements are the connections of the load.
-type Placements struct {
+// ConnectionCounts are the connections of the load.
+type ConnectionCounts struct {
 	Attempts        uint64 // to place a connection
 	Allowed         uint64
 	RejectedByState map[fleetconfig.LeaseState]uint64 // by the state of the proxy's client, or superseded
 }
 
 // add adds the connections of one proxy or of one run.
-func (p *Placements) add(attempts, allowed uint64, rejectedByState map[fleetconfig.LeaseState]uint64) {
+func (p *ConnectionCounts) add(attempts, allowed uint64, rejectedByState map[fleetconfig.LeaseState]uint64) {
 	p.Attempts += attempts
 	p.Allowed += allowed
 	if p.RejectedByState == nil {
@@ -44,13 +44,13 @@
 
 // Add adds an outcome.
 func (s *Summary) Add(o Outcome) {
-	s.Seeds++
-	s.Steps += o.Steps
-	s.Acts += o.Acts
-	s.Versions += o.Versions
+	s.SeedCount++
+	s.EventCount += o.EventCount
+	s.PlacedConnections += o.PlacedConnections
+	s.ActivatedVersions += o.ActivatedVersions
 	s.Overlaps = append(s.Overlaps, o.Overlaps...)
-	s.WithoutFaults = append(s.WithoutFaults, o.WithoutFaults)
-	s.AfterHealing = append(s.AfterHealing, o.AfterHealing)
+	s.TimesToAgreeWithoutFaults = append(s.TimesToAgreeWithoutFaults, o.TimeToAgreeWithoutFaults)
+	s.TimesToAgreeAfterHealing = append(s.TimesToAgreeAfterHealing, o.TimeToAgreeAfterHealing)
 	s.placements(o.OnLeaseExpiry).add(o.Attempts, o.Allowed, o.RejectedByState)
 	if o.Violation != nil {
 		s.Failed = append(s.Failed, o)
@@ -58,12 +58,12 @@
 }
 
 // placements returns the sums of the runs under a policy.
-func (s *Summary) placements(policy fleetconfig.LeaseExpiryPolicy) *Placements {
+func (s *Summary) placements(policy fleetconfig.LeaseExpiryPolicy) *ConnectionCounts {
 	if s.ByPolicy == nil {
-		s.ByPolicy = map[fleetconfig.LeaseExpiryPolicy]*Placements{}
+		s.ByPolicy = map[fleetconfig.LeaseExpiryPolicy]*ConnectionCounts{}
 	}
 	if s.ByPolicy[policy] == nil {
-		s.ByPolicy[policy] = &Placements{}
+		s.ByPolicy[policy] = &ConnectionCounts{}
 	}
 	return s.ByPolicy[policy]
 }
@@ -72,11 +72,11 @@
 func (s *Summary) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d seeds, %d events, %d connections placed by a version, %d versions activated\n",
-		s.Seeds, s.Steps, s.Acts, s.Versions)
+		s.SeedCount, s.EventCount, s.PlacedConnections, s.ActivatedVersions)
 	fmt.Fprintf(&b, "%-34s %7s %12s %12s %12s\n", "", "count", "p50", "p99", "max")
 	writeQuantiles(&b, "overlap of contradicting versions", s.Overlaps)
-	writeQuantiles(&b, "time to agree without faults", s.WithoutFaults)
-	writeQuantiles(&b, "time to agree after all faults", s.AfterHealing)
+	writeQuantiles(&b, "time to agree without faults", s.TimesToAgreeWithoutFaults)
+	writeQuantiles(&b, "time to agree after all faults", s.TimesToAgreeAfterHealing)
 	for _, policy := range sortedKeys(s.ByPolicy) {
 		s.ByPolicy[policy].write(&b, policy)
 	}
@@ -85,7 +85,7 @@
 }
 
 // write writes a line about the connections under a policy: their number, and the shares of the allowed and the rejected ones.
-func (p *Placements) write(b *strings.Builder, policy fleetconfig.LeaseExpiryPolicy) {
+func (p *ConnectionCounts) write(b *strings.Builder, policy fleetconfig.LeaseExpiryPolicy) {
 	share := func(count uint64) float64 { return float64(count) / float64(p.Attempts) }
 	fmt.Fprintf(b, "connections with on_silence %q: %d, allowed %.4f, rejected", policy, p.Attempts, share(p.Allowed))
 	for _, state := range sortedKeys(p.RejectedByState) {
--- a/internal/fleetsim/versions.go
+++ b/internal/fleetsim/versions.go
@@ -59,9 +59,9 @@
 
 func sortedKeys[K ~string, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Body makes a version's body from a draft, on top of the active version; nil: there is none. It returns the findings of merging
+// BuildBody makes a version's body from a draft, on top of the active version; nil: there is none. It returns the findings of merging
 // the draft's inputs into a catalog.
-func (f *Fleet) Body(d *Draft, active *fleetconfig.Version) (*fleetconfig.Body, []catalog.Finding) {
+func (f *Fleet) BuildBody(d *Draft, active *fleetconfig.Version) (*fleetconfig.Body, []catalog.Finding) {
 	body := &fleetconfig.Body{
 		Settings: json.RawMessage(`{}`),
 		Routing:  must(json.Marshal(d.routingSet())),
@@ -91,15 +91,15 @@
 func (f *Fleet) shuffled(in catalog.Inputs) catalog.Inputs {
 	random := f.engine.Rand
 	return catalog.Inputs{
-		Meshes:       Shuffled(random, in.Meshes),
-		Publications: Shuffled(random, in.Publications),
-		Overrides:    Shuffled(random, in.Overrides),
-		Lost:         Shuffled(random, in.Lost),
+		Meshes:       ShuffledWithDuplicate(random, in.Meshes),
+		Publications: ShuffledWithDuplicate(random, in.Publications),
+		Overrides:    ShuffledWithDuplicate(random, in.Overrides),
+		Lost:         ShuffledWithDuplicate(random, in.Lost),
 	}
 }
 
-// Shuffled returns a copy of a list in a random order, half of the time with one item twice.
-func Shuffled[T any](random *rand.Rand, list []T) []T {
+// ShuffledWithDuplicate returns a copy of a list in a random order, half of the time with one item twice.
+func ShuffledWithDuplicate[T any](random *rand.Rand, list []T) []T {
 	shuffled := slices.Clone(list)
 	if len(shuffled) > 0 && random.IntN(2) == 0 {
 		shuffled = append(shuffled, shuffled[random.IntN(len(shuffled))])
@@ -230,8 +230,8 @@
 	return text
 }
 
-// ServiceOf is a service as a mesh publishes it, with endpoints in the zone of the mesh's name.
-func ServiceOf(mesh, name, owner, contract string) catalog.Service {
+// NewService is a service as a mesh publishes it, with endpoints in the zone of the mesh's name.
+func NewService(mesh, name, owner, contract string) catalog.Service {
 	return catalog.Service{
 		Name:     name,
 		Owner:    owner,
