--- a/internal/fleetsim/control.go
+++ b/internal/fleetsim/control.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Crash ends a process without warning. The methods of this file that take the name of a process panic where there is none.
+// Crash ends a process abruptly. It panics if no process has the name, as do Pause and Resume.
 func (f *Fleet) Crash(name string) { f.process(name).crash() }
 
-// Start starts a replica or a proxy that is down; any other name is ignored.
+// Start starts the named replica or proxy if it is down. It ignores all other names.
 func (f *Fleet) Start(name string) {
 	for _, r := range f.Replicas {
 		if r.Name == name && !r.up {
@@ -22,10 +22,10 @@
 	}
 }
 
-// Pause stops a process until Resume.
+// Pause suspends the named process until Resume.
 func (f *Fleet) Pause(name string) { f.process(name).pause() }
 
-// Resume lets a paused process go on. A proxy then gets the connections that arrived meanwhile.
+// Resume continues the named process if it is paused. A proxy then places the connections that arrived during the pause.
 func (f *Fleet) Resume(name string) {
 	process := f.process(name)
 	if !process.paused {
@@ -37,30 +37,32 @@
 	}
 }
 
-// Disconnect disconnects the links from each process of one side to each of the other, and with back also the opposite ones.
-func (f *Fleet) Disconnect(from, to []string, back bool) {
-	f.setDisconnected(from, to, back, true)
-	f.engine.Trace("network", "disconnect", 0, fmt.Sprint(from, to, back))
+// Disconnect cuts the links from each process in from to each process in to and, if bidirectional is set, also the reverse
+// links.
+func (f *Fleet) Disconnect(from, to []string, bidirectional bool) {
+	f.setDisconnected(from, to, bidirectional, true)
+	f.engine.Trace("network", "disconnect", 0, fmt.Sprint(from, to, bidirectional))
 }
 
-// Reconnect is the reverse of Disconnect.
-func (f *Fleet) Reconnect(from, to []string, back bool) {
-	f.setDisconnected(from, to, back, false)
-	f.engine.Trace("network", "connect", 0, fmt.Sprint(from, to, back))
+// Reconnect restores the links that a Disconnect with the same arguments cut.
+func (f *Fleet) Reconnect(from, to []string, bidirectional bool) {
+	f.setDisconnected(from, to, bidirectional, false)
+	f.engine.Trace("network", "connect", 0, fmt.Sprint(from, to, bidirectional))
 }
 
-func (f *Fleet) setDisconnected(from, to []string, back, disconnected bool) {
+func (f *Fleet) setDisconnected(from, to []string, bidirectional, disconnected bool) {
 	for _, a := range from {
 		for _, b := range to {
 			f.Network.Link(a, b).Disconnected = disconnected
-			if back {
+			if bidirectional {
 				f.Network.Link(b, a).Disconnected = disconnected
 			}
 		}
 	}
 }
 
-// Heal makes every link the default one, resumes paused processes and starts those that are down, but for proxies that drain.
+// Heal resets every link to the default, resumes all paused processes, and starts all replicas and proxies that are down, except
+// draining proxies.
 func (f *Fleet) Heal() {
 	f.engine.Trace("network", "heal", 0, "")
 	f.Network.Heal()
@@ -78,7 +80,7 @@
 	}
 }
 
-// processes are the operator, the replicas, the proxies and the meshes.
+// processes returns the operator, the replicas, the proxies and the meshes.
 func (f *Fleet) processes() []*Process {
 	all := []*Process{f.Operator}
 	for _, r := range f.Replicas {
@@ -93,7 +95,7 @@
 	return all
 }
 
-// HasProcess reports whether there is a process of that name.
+// HasProcess reports whether a process has the name.
 func (f *Fleet) HasProcess(name string) bool {
 	return slices.ContainsFunc(f.processes(), func(p *Process) bool { return p.Name == name })
 }
@@ -104,10 +106,10 @@
 			return p
 		}
 	}
-	panic("fleetsim: no process " + name)
+	panic("fleetsim: no process is named " + name)
 }
 
-// Proxy returns the proxy of that name, or nil.
+// Proxy returns the proxy with the name, or nil if there is none.
 func (f *Fleet) Proxy(name string) *Proxy {
 	for _, p := range f.Proxies {
 		if p.Name == name {
--- a/internal/fleetsim/explore.go
+++ b/internal/fleetsim/explore.go
@@ -10,48 +10,49 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// Times of a run.
+// Durations and limits of a run.
 const (
-	calmPeriod   = 5 * time.Second  // at the start, without faults
-	faultyPeriod = 30 * time.Second // with faults and proposals
-	// healingTime is how long agreement may take after all faults have ended, beside MemberTimeout: a disconnected proxy
-	// renews every 5 s, may stop right after a renewal and is then waited for, and a leader has to be elected.
+	faultFreePeriod = 5 * time.Second  // limit for the first proposal, which runs without faults
+	faultyPeriod    = 30 * time.Second // with random faults and requests of the operator
+	// healingTime is how long agreement may take after all faults have ended, in addition to MemberTimeout. A disconnected
+	// proxy renews only every 5 s. It may also stop right after a renewal, and then the leader waits for it. The election of a
+	// leader takes time as well.
 	healingTime        = 8 * time.Second
-	healingTimePerMesh = 4 * time.Second // for a catalog that waits for an earlier version
-	proposalTime       = time.Second     // to agree on a proposal, beside AgreementTimeout
-	maxDelayedInRow    = 2               // messages in a row that may have the largest extra delay
+	healingTimePerMesh = 4 * time.Second // for a catalog whose proposal waits for an earlier version
+	proposalTime       = time.Second     // to agree on a proposal, in addition to AgreementTimeout
+	maxDelayedInRow    = 2               // consecutive messages that may each have the largest extra delay
 )
 
-// Outcome is the result of a run.
+// Outcome is the result of one run.
 type Outcome struct {
 	Seed              uint64
 	OnLeaseExpiry     fleetconfig.LeaseExpiryPolicy
-	EventCount        uint64 // events
-	PlacedConnections uint64 // connections placed on a version
-	ActivatedVersions uint64 // that became active
+	EventCount        uint64 // number of simulated events
+	PlacedConnections uint64 // number of connections placed by a version
+	ActivatedVersions uint64 // number of versions that became active
 	ConnectionCounts
-	Overlaps                 []time.Duration // of contradicting versions, shortest first
-	TimeToAgreeWithoutFaults time.Duration   // from a proposal without faults until all proxies act on it
-	TimeToAgreeAfterHealing  time.Duration   // from the end of all faults until all proxies agree
-	Digest                   uint64          // of the trace
+	Overlaps                 []time.Duration // how long both versions of each contradicting pair were acted on, shortest first
+	TimeToAgreeWithoutFaults time.Duration   // from a proposal without faults until all proxies have a lease on it
+	TimeToAgreeAfterHealing  time.Duration   // from the end of all faults until all proxies have a lease on the active version
+	Digest                   uint64          // hash of the trace
 	Violation                *Violation      // nil: all invariants held
 }
 
-// Explore runs a fleet under random faults, proposals, rollbacks and forced versions: first a time without faults, then one
-// with faults, and then all faults end and all proxies have to agree again. The seed determines all of it. The trace is written
-// to trace, unless it is nil.
+// Explore runs a fleet under random faults, proposals, rollbacks and forced versions. A run has three phases: one without faults,
+// one with faults, and one after all faults have ended, in which all proxies must agree on a version again. The seed determines
+// the whole run. Explore writes the trace to trace unless trace is nil.
 func Explore(seed uint64, hooks Hooks, trace io.Writer) Outcome {
 	s := newScenario(seed, hooks, trace)
 	f := s.fleet
 	extraDelay := maxDelayedInRow * f.DefaultLink.MaxExtraDelay
-	s.awaitProposal("I6: after the start", calmPeriod+f.Terms.MemberTimeout/2+extraDelay)
+	s.awaitProposal("I6: after the start", faultFreePeriod+f.Terms.MemberTimeout/2+extraDelay)
 	withoutFaults := s.awaitProposal("I6: a proposal without faults", DefaultTerms.AgreementTimeout+proposalTime+extraDelay)
 	s.runFaults()
 	s.endFaults()
 	meshTime := time.Duration(len(f.Meshes)) * healingTimePerMesh
 	afterHealing := s.await("I6: after all faults", DefaultTerms.MemberTimeout+healingTime+meshTime, f.Settled)
 	s.awaitCatalog()
-	// Processes that ended in the faulty period may still be waited for.
+	// The leader may still wait for processes that ended in the faulty period.
 	limit := DefaultTerms.MemberTimeout + DefaultTerms.AgreementTimeout + proposalTime + meshTime
 	s.awaitProposal("I6: a proposal after all faults", limit)
 
@@ -61,13 +62,13 @@
 	return outcome
 }
 
-// outcome is the part of the outcome that the fleet knows.
+// outcome returns the outcome without the times to agree, which the fleet does not measure.
 func (f *Fleet) outcome() Outcome {
 	outcome := Outcome{
 		Seed:              f.Seed,
 		OnLeaseExpiry:     f.Terms.OnLeaseExpiry,
 		EventCount:        f.engine.EventCount,
-		PlacedConnections: f.invariants.actCount,
+		PlacedConnections: f.invariants.placementCount,
 		ActivatedVersions: f.invariants.highestActive,
 		Overlaps:          f.Overlaps(),
 		Digest:            f.engine.Digest(),
@@ -79,7 +80,7 @@
 	return outcome
 }
 
-// runFaults runs the faulty period: faults, the operator's requests and, in a run that has meshes, their publications.
+// runFaults runs the faulty period, with faults, requests of the operator and, in runs with publishing meshes, publications.
 func (s *scenario) runFaults() {
 	until := s.fleet.engine.now + faultyPeriod
 	s.startPublishers(until)
@@ -88,7 +89,7 @@
 	s.fleet.Run(faultyPeriod)
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults, including memory limits, and lets the network recover.
 func (s *scenario) endFaults() {
 	s.fleet.Network.Default = HealthyLink
 	s.healed = true
@@ -98,18 +99,18 @@
 	}
 }
 
-// Exploration is a number of runs.
+// Exploration configures runs with consecutive seeds.
 type Exploration struct {
-	FirstSeed            uint64 // the first seed
-	SeedCount            uint64 // their number
-	Workers              int    // runs at a time
-	StopAtFirstViolation bool   // begin no run once one has a violation
+	FirstSeed            uint64
+	SeedCount            uint64
+	Workers              int  // number of concurrent runs
+	StopAtFirstViolation bool // start no further run after a violation
 	Hooks                Hooks
-	Trace                io.Writer // as for Explore; with several workers it must be nil
+	Trace                io.Writer // receives the trace; must be nil with several workers
 }
 
-// ExploreAll explores all seeds of an exploration and returns once all runs have ended. With StopAtFirstViolation all seeds below the
-// first one with a violation have been run, so the lowest one is in Summary.Failed, whatever the number of workers.
+// ExploreAll runs all seeds of an exploration and returns after all runs have ended. Workers take seeds in ascending order, so
+// with StopAtFirstViolation the lowest seed that leads to a violation is in Summary.Failed, whatever the number of workers.
 func ExploreAll(e Exploration) *Summary {
 	summary := &Summary{}
 	var lock sync.Mutex // guards summary and next
--- a/internal/fleetsim/explore/main.go
+++ b/internal/fleetsim/explore/main.go
@@ -1,5 +1,5 @@
-// Command explore runs simulated fleets under random faults and looks for one that violates an invariant. It prints the
-// summary, and exits with 1 where there is a violation, with 2 where the command line is wrong.
+// Command explore runs simulated fleets under random faults and searches for violations of the invariants of package fleetsim.
+// It prints a summary. Its exit code is 1 after a violation and 2 for an invalid command line.
 //
 //	go run ./internal/fleetsim/explore -seeds 300
 //	go run ./internal/fleetsim/explore -seed 17 -trace
@@ -25,10 +25,10 @@
 func main() {
 	seeds := flag.Uint64("seeds", 1000, "number of seeds to run")
 	from := flag.Uint64("from", 1, "first seed")
-	seed := flag.Uint64("seed", 0, "run only this seed and print what led to a violation")
+	seed := flag.Uint64("seed", 0, "run only this seed and print the latest events before a violation")
 	trace := flag.Bool("trace", false, "with -seed: print every event")
 	workers := flag.Int("workers", runtime.GOMAXPROCS(0), "number of seeds to run at a time")
-	fault := flag.String("plant", "", fmt.Sprint("plant a fault, which has to be detected; one of ", fleetsim.PlantedFaultNames()))
+	fault := flag.String("plant", "", fmt.Sprint("plant a fault, which the run must detect; one of ", fleetsim.PlantedFaultNames()))
 	flag.Parse()
 	hooks, known := fleetsim.PlantedFaultHooks(*fault)
 	if *fault != "" && !known || flag.NArg() > 0 || *workers < 1 {
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -12,7 +12,7 @@
 	"example.org/micafront/internal/memestimate"
 )
 
-// Defaults of Config.
+// Defaults of the fields of Config.
 const (
 	defaultReplicaCount  = 3
 	defaultKeys          = 12
@@ -23,22 +23,22 @@
 
 // Config describes a fleet.
 type Config struct {
-	Seed          uint64            // determines the whole run
-	ReplicaCount  int               // of the control plane; 0: 3
-	ProxyCount    int               // at the start
-	Terms         fleetconfig.Terms // zero fields: those of DefaultTerms
-	ClockDrift    bool              // clocks run fast or slow by up to Terms.ClockDriftPPM, and start anywhere
-	DefaultLink   Link              // zero: HealthyLink
+	Seed          uint64            // of all random numbers; determines the whole run
+	ReplicaCount  int               // number of control-plane replicas; 0: 3
+	ProxyCount    int               // number of proxies at the start
+	Terms         fleetconfig.Terms // zero fields take their value from DefaultTerms
+	ClockDrift    bool              // clocks run fast or slow by up to Terms.ClockDriftPPM and start at random values
+	DefaultLink   Link              // zero value: HealthyLink
 	LoadInterval  time.Duration     // average time between connections at a proxy; 0: no load
-	KeyCount      int               // that the load draws from; 0: 12
-	Zones         []string          // assigned to the proxies in turn; none: "thies"
-	TickInterval  time.Duration     // of the replicas; 0: 100 ms
-	SnapshotEvery uint64            // entries of the replicas' log; 0: 64
-	Hooks         Hooks             // planted faults
-	Trace         io.Writer         // receives the trace; nil: it is not written
+	KeyCount      int               // number of connection keys in the load; 0: 12
+	Zones         []string          // assigned to the proxies in turn; empty: "thies"
+	TickInterval  time.Duration     // interval between a replica's ticks; 0: 100 ms
+	SnapshotEvery uint64            // number of log entries between snapshots of a replica; 0: 64
+	Hooks         Hooks             // introduce planted faults
+	Trace         io.Writer         // receives the trace; nil: the trace is not written
 }
 
-// DefaultTerms are the terms of a fleet whose Config sets none.
+// DefaultTerms holds the terms of a fleet whose Config sets none.
 var DefaultTerms = fleetconfig.Terms{
 	AgreementTimeout: 2 * time.Second,
 	MemberTimeout:    10 * time.Second,
@@ -65,29 +65,29 @@
 type Fleet struct {
 	Config
 	Replicas  []*Replica
-	Proxies   []*Proxy // all since the start, also those that have ended
-	Meshes    []*Mesh  // that publish to the replicas
+	Proxies   []*Proxy // all proxies since the start, including those that have ended
+	Meshes    []*Mesh  // publish services to the replicas
 	Operator  *Process // sends requests to the replicas
 	Network   *Network
-	Violation *Violation // the first one; nothing runs after it
+	Violation *Violation // first violation, which ends the run; nil: all invariants held
 	Merger    catalog.Merger
 	Estimator memestimate.Estimator
-	Requests  []*Request // of the operator
+	Requests  []*Request // all requests of the operator
 
-	engine     *Engine
-	invariants *invariants
-	compiled   map[loadKey]loadResult // by loadVersion
+	engine       *Engine
+	invariants   *invariants
+	compileCache map[compileKey]compileResult // cache of compileCached
 }
 
-// New returns a fleet at time 0 with all its processes started.
+// New returns a fleet at true time 0 and starts all its processes.
 func New(c Config) *Fleet {
 	c.fillDefaults()
 	f := &Fleet{
-		Config:    c,
-		Merger:    catalog.Rules{},
-		Estimator: memestimate.New(),
-		engine:    NewEngine(c.Seed, c.Trace),
-		compiled:  map[loadKey]loadResult{},
+		Config:       c,
+		Merger:       catalog.Rules{},
+		Estimator:    memestimate.New(),
+		engine:       NewEngine(c.Seed, c.Trace),
+		compileCache: map[compileKey]compileResult{},
 	}
 	f.invariants = newInvariants(f)
 	f.Network = newNetwork(f.engine, c.DefaultLink)
@@ -106,7 +106,7 @@
 	return f
 }
 
-// newProcess returns a process that is down, with a clock of its own.
+// newProcess returns a process that is down. With ClockDrift its clock has a random offset and drift.
 func (f *Fleet) newProcess(name string) *Process {
 	p := &Process{Name: name, engine: f.engine}
 	if f.ClockDrift {
@@ -118,7 +118,7 @@
 	return p
 }
 
-// AddProxy starts another proxy now.
+// AddProxy starts another proxy and returns it.
 func (f *Fleet) AddProxy() *Proxy {
 	i := len(f.Proxies)
 	process := f.newProcess(fmt.Sprint("p", i+1))
@@ -128,13 +128,14 @@
 	return proxy
 }
 
-// A fleet may have maxEventsPerSecond on average, after an allowance for the start. It has a few hundred.
+// A fleet has a few hundred events per simulated second. More than maxEventsPerSecond on average is a violation;
+// startupSeconds are added to the elapsed time as an allowance for the start.
 const (
 	maxEventsPerSecond = 10_000
 	startupSeconds     = 10
 )
 
-// Run lets a time pass. It stops at a violation of an invariant; too many events are one.
+// Run runs the fleet for the duration d. It stops early at a violation; too many events also count as one.
 func (f *Fleet) Run(d time.Duration) {
 	f.engine.Run(f.engine.now+d, func() bool {
 		if f.engine.EventCount > maxEventsPerSecond*(startupSeconds+uint64(f.engine.now/time.Second)) {
@@ -144,8 +145,8 @@
 	})
 }
 
-// RunUntil lets time pass until a condition holds. It returns the time that passed, and false where the condition did not hold
-// within d.
+// RunUntil runs the fleet until the condition holds. It returns the elapsed true time, and false if the condition did not hold
+// within d or the run had a violation.
 func (f *Fleet) RunUntil(d time.Duration, condition func() bool) (time.Duration, bool) {
 	const checkInterval = 10 * time.Millisecond
 	from := f.engine.now
@@ -158,13 +159,13 @@
 	return f.engine.now - from, true
 }
 
-// Overlaps returns for how long the versions of each contradicting pair were both acted on, shortest first.
+// Overlaps returns how long both versions of each contradicting pair were acted on, shortest first.
 func (f *Fleet) Overlaps() []time.Duration { return f.invariants.longestOverlaps() }
 
-// PlacedConnections is how many connections were placed on a version.
-func (f *Fleet) PlacedConnections() uint64 { return f.invariants.actCount }
+// PlacedConnections returns the number of connections that all proxies have placed by a version.
+func (f *Fleet) PlacedConnections() uint64 { return f.invariants.placementCount }
 
-// Leader is the replica that leads in the highest term; nil: none leads.
+// Leader returns the replica that leads in the highest term, or nil if none leads.
 func (f *Fleet) Leader() *Replica {
 	var leader *Replica
 	for _, r := range f.Replicas {
@@ -175,7 +176,7 @@
 	return leader
 }
 
-// Active is the latest version that is active at a replica that is up; number 0: none is.
+// Active returns the latest version that is active at any replica that is up. Its number is 0 if there is none.
 func (f *Fleet) Active() fleetconfig.Version {
 	var latest fleetconfig.Version
 	for _, r := range f.Replicas {
@@ -187,7 +188,8 @@
 	return latest
 }
 
-// Settled reports whether every proxy that runs has a lease on the active version, and no version is proposed.
+// Settled reports whether a leader exists, no proposal is pending, and every proxy that is up and not draining has a lease on the
+// active version.
 func (f *Fleet) Settled() bool {
 	leader := f.Leader()
 	active := f.Active().Number
@@ -208,7 +210,7 @@
 	return active > 0
 }
 
-// Describe describes the state of all replicas and proxies.
+// Describe returns the state of all replicas and proxies as text.
 func (f *Fleet) Describe() string {
 	var parts []string
 	for _, r := range f.Replicas {
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -21,7 +21,7 @@
 		t.Error(outcome.Violation)
 	}
 	if summary.PlacedConnections < 500*seeds || summary.ActivatedVersions < 4*seeds || len(summary.Overlaps) < int(seeds/4) {
-		t.Error("the runs do next to nothing")
+		t.Error("the runs place too few connections, activate too few versions or have too few overlaps")
 	}
 }
 
@@ -30,15 +30,16 @@
 		var a, b bytes.Buffer
 		first, second := Explore(seed, Hooks{}, &a), Explore(seed, Hooks{}, &b)
 		if first.Digest != second.Digest || !bytes.Equal(a.Bytes(), b.Bytes()) || a.Len() < 10_000 {
-			t.Errorf("seed %d: two runs differ, or are empty: %d and %d bytes", seed, a.Len(), b.Len())
+			t.Errorf("seed %d: two runs differ or their traces are too short: %d and %d bytes", seed, a.Len(), b.Len())
 		}
 		if other := Explore(seed+100, Hooks{}, nil); other.Digest == first.Digest {
-			t.Errorf("seeds %d and %d give the same run", seed, seed+100)
+			t.Errorf("seeds %d and %d lead to the same run", seed, seed+100)
 		}
 	}
 }
 
-// Each planted fault must violate the invariant that guards against it, within a number of seeds.
+// TestPlantedFaultsAreDetected checks that each planted fault violates the invariant that guards against it, within a number of
+// seeds, and that the seed reproduces the violation.
 func TestPlantedFaultsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		seeds    uint64
@@ -52,20 +53,20 @@
 		t.Run(name, func(t *testing.T) {
 			hooks, ok := PlantedFaultHooks(name)
 			if !ok {
-				t.Fatal("there is no such fault")
+				t.Fatal("no planted fault has this name")
 			}
 			summary := ExploreAll(Exploration{FirstSeed: 1, SeedCount: c.seeds, Workers: 2, StopAtFirstViolation: true, Hooks: hooks})
 			if len(summary.Failed) == 0 {
-				t.Fatalf("not detected within %d seeds", c.seeds)
+				t.Fatalf("the fault is not detected within %d seeds", c.seeds)
 			}
 			outcome := summary.Failed[0]
 			t.Logf("with seed %d: %s", outcome.Seed, outcome.Violation.Description)
 			if !strings.HasPrefix(outcome.Violation.Description, c.violates) {
-				t.Errorf("it violates %s and not %s", outcome.Violation.Description, c.violates)
+				t.Errorf("the violation is %q, and does not concern %s", outcome.Violation.Description, c.violates)
 			}
 			again := Explore(outcome.Seed, hooks, nil)
 			if again.Violation == nil || again.Violation.Error() != outcome.Violation.Error() {
-				t.Errorf("the seed does not reproduce it: %v", again.Violation)
+				t.Errorf("seed %d does not reproduce the violation: %v", outcome.Seed, again.Violation)
 			}
 		})
 	}
@@ -77,12 +78,12 @@
 			local := c.Read(at)
 			back := c.TrueTime(local)
 			if c.Read(back) < local || back > 0 && c.Read(back-1) >= local+1 || back-at > 2 || at-back > 2 {
-				t.Errorf("%+v shows %d at %d, and that at %d", c, local, at, back)
+				t.Errorf("%+v reads %d at true time %d, but TrueTime of that reading is %d", c, local, at, back)
 			}
 		}
 	}
 	fast := Clock{DriftPPM: 1000}
-	testkit.Equal(t, "a minute of a fast clock", 60_060*time.Millisecond, fast.Read(time.Minute))
+	testkit.Equal(t, "reading of a fast clock after a minute", 60_060*time.Millisecond, fast.Read(time.Minute))
 }
 
 func TestPausedProcessesDeferTheirEvents(t *testing.T) {
@@ -112,26 +113,27 @@
 	testkit.Equal(t, "lost messages", uint64(1), n.Lost)
 }
 
-// A check that never fails would detect nothing: each invariant is violated by a fleet.
+// TestInvariantsDetectViolations checks that the checks of I1 to I5, and that of a switch to an unprepared version, report a
+// violation.
 func TestInvariantsDetectViolations(t *testing.T) {
-	version := func(n uint64, pool string) *loadedVersion {
+	version := func(n uint64, pool string) *compiledVersion {
 		f := New(Config{Seed: 1, ProxyCount: 1})
 		body, _ := f.BuildBody(&Draft{Routes: map[string]string{"k": pool}, Terms: f.Terms}, nil)
-		loaded, rejection := f.loadVersion(fleetconfig.Version{Number: n, Digest: body.Digest(), Body: *body}, "thies")
+		compiled, rejection := f.compileCached(fleetconfig.Version{Number: n, Digest: body.Digest(), Body: *body}, "thies")
 		if rejection != nil {
 			t.Fatal(rejection)
 		}
-		return loaded
+		return compiled
 	}
-	one, two := version(1, "a"), version(2, "b")
+	older, newer := version(1, "a"), version(2, "b")
 	for description, violate := range map[string]func(*Fleet){
 		"I1: p1 sends": func(f *Fleet) {
 			p := f.Proxies[0]
-			p.active = two
-			f.invariants.checkAct(p, "k", "b")
+			p.active = newer
+			f.invariants.checkPlacement(p, "k", "b")
 			f.Run(f.Terms.AgreementTimeout + 1)
-			p.active = one
-			f.invariants.checkAct(p, "k", "a")
+			p.active = older
+			f.invariants.checkPlacement(p, "k", "a")
 		},
 		"I2: proposal x is answered": func(f *Fleet) { f.invariants.checkAnswer("x", 1); f.invariants.checkAnswer("x", 2) },
 		"I2: r1 grants a lease on version 1 to": func(f *Fleet) {
@@ -150,13 +152,13 @@
 			f.invariants.checkDigest("p1", fleetconfig.Version{Number: 1, Digest: "x"})
 			f.invariants.checkDigest("p2", fleetconfig.Version{Number: 1, Digest: "y"})
 		},
-		"I5: p1 loads": func(f *Fleet) { f.Proxies[0].MemoryLimit = 1; f.invariants.checkPrepared(f.Proxies[0], one) },
+		"I5: p1 loads": func(f *Fleet) { f.Proxies[0].MemoryLimit = 1; f.invariants.checkPrepared(f.Proxies[0], older) },
 		"p1 switches to version 9, which it has not": func(f *Fleet) { f.Proxies[0].switchTo(9) },
 	} {
 		f := New(Config{Seed: 1, ProxyCount: 1})
 		violate(f)
 		if f.Violation == nil || !strings.HasPrefix(f.Violation.Description, description) {
-			t.Errorf("%q is not detected: %v", description, f.Violation)
+			t.Errorf("violation %q is not detected: %v", description, f.Violation)
 		}
 	}
 }
--- a/internal/fleetsim/hooks.go
+++ b/internal/fleetsim/hooks.go
@@ -6,22 +6,22 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// Hooks plant faults. The zero value plants none.
+// Hooks introduces planted faults into the simulated programs. The zero value introduces none.
 type Hooks struct {
-	WrapClient     func(fleetconfig.Leaseholder) fleetconfig.Leaseholder // of proxies
-	WrapLeases     WrapLeases                                            // of replicas
-	WrapMerger     func(catalog.Merger) catalog.Merger                   // of all
+	WrapClient     func(fleetconfig.Leaseholder) fleetconfig.Leaseholder // wraps each proxy's lease client
+	WrapLeases     WrapLeases                                            // wraps each replica's lease service
+	WrapMerger     func(catalog.Merger) catalog.Merger                   // wraps the merger of all processes
 	WrapPublishers func(consensus.PublisherTracker) consensus.PublisherTracker
-	// AdjustEstimate changes the estimate of the bytes that a proxy needs for a switch.
+	// AdjustEstimate changes the estimate of the bytes that a proxy requires to switch versions.
 	AdjustEstimate func(required uint64) uint64
 
-	GrantUnconfirmed    bool // a replica grants leases as soon as it takes itself for the leader
-	SkipMemoryCheck     bool // a proxy accepts versions above its memory limit
-	LeaseFromAnswerTime bool // a lease counts from its answer, not from its renewal
-	LoseLastWrites      bool // a replica's disk loses the last writes in a crash
+	GrantUnconfirmed    bool // a replica that believes it leads grants leases without the confirmation of a quorum
+	SkipMemoryCheck     bool // a proxy accepts versions that exceed its memory limit
+	LeaseFromAnswerTime bool // a lease starts when its answer arrives, not when its renewal was sent
+	LoseLastWrites      bool // a replica's disk loses the latest writes in a crash
 }
 
-// WrapLeases returns the lease service that a replica uses in place of its own one, beside its replicated state.
+// WrapLeases wraps the lease service of a replica with the given replicated state.
 type WrapLeases func(fleetconfig.LeaseService, fleetconfig.ReplicatedState) fleetconfig.LeaseService
 
 func (h *Hooks) wrapClient(client fleetconfig.Leaseholder) fleetconfig.Leaseholder {
--- a/internal/fleetsim/mesh.go
+++ b/internal/fleetsim/mesh.go
@@ -7,28 +7,29 @@
 	"example.org/micafront/internal/catalog"
 )
 
-// The times of meshes are short, so that a run sees them lost and back.
+// The intervals are short so that meshes are lost and return within a run.
 const (
 	publishInterval      = 2 * time.Second
-	publishRetryInterval = 500 * time.Millisecond // without an answer, at the next replica
+	publishRetryInterval = 500 * time.Millisecond // before the next replica is tried
 	meshTimeout          = 7 * time.Second
 )
 
-// Mesh is a site's publisher. It sends its publication each publishInterval, and until it is answered.
+// Mesh is the process that publishes a site's services. It sends its publication every publishInterval, and retries every
+// publishRetryInterval until a replica answers.
 type Mesh struct {
 	Process
 
-	Findings    []catalog.Finding // of the latest answer
-	AcceptedSeq uint64            // of the latest accepted publication
-	Rejection   error             // of the latest answer; nil: accepted
+	Findings    []catalog.Finding // in the latest answer
+	AcceptedSeq uint64            // sequence number of the latest accepted publication
+	Rejection   error             // error in the latest answer; nil: the publication was accepted
 
 	fleet       *Fleet
 	publication catalog.Publication
-	round       uint64 // grows with each request and each answer, so that timers and answers of earlier ones are ignored
-	attempt     int    // counts the requests, which go to the replicas in turn
+	round       uint64 // incremented by each request and each answer; timers and answers of earlier rounds are ignored
+	attempt     int    // number of requests, which go to the replicas in turn
 }
 
-// AddMesh starts a mesh that publishes nothing yet.
+// AddMesh starts a mesh without services and returns it. It sends nothing before Publish.
 func (f *Fleet) AddMesh(name string) *Mesh {
 	m := &Mesh{
 		Process:     *f.newProcess(name),
@@ -41,7 +42,7 @@
 	return m
 }
 
-// Mesh returns the mesh of that name, or nil.
+// Mesh returns the mesh with the name, or nil if there is none.
 func (f *Fleet) Mesh(name string) *Mesh {
 	i := slices.IndexFunc(f.Meshes, func(m *Mesh) bool { return m.Name == name })
 	if i < 0 {
@@ -50,7 +51,7 @@
 	return f.Meshes[i]
 }
 
-// Publish replaces the mesh's services and sends them to the replicas.
+// Publish replaces the mesh's services and sends the new publication to the replicas.
 func (m *Mesh) Publish(services ...catalog.Service) {
 	m.publication.Seq++
 	m.publication.Services = services
@@ -60,7 +61,7 @@
 // Accepted reports whether the latest publication was accepted.
 func (m *Mesh) Accepted() bool { return m.AcceptedSeq == m.publication.Seq }
 
-// send sends the publication to the next replica, and again until it is answered.
+// send sends the publication to the next replica, and retries until a replica answers.
 func (m *Mesh) send() {
 	m.round++
 	m.attempt++
@@ -74,7 +75,7 @@
 	m.sendAfter(publishRetryInterval)
 }
 
-// sendAfter sends the publication again after a while, unless another request or an answer comes first.
+// sendAfter sends the publication again after the duration d, unless a later request or an answer comes first.
 func (m *Mesh) sendAfter(d time.Duration) {
 	round := m.round
 	m.Timer(m.Now()+d, func() {
@@ -84,7 +85,7 @@
 	})
 }
 
-// handleAnswer takes the answer to the request of a round.
+// handleAnswer handles the answer to the request of a round. It ignores answers to earlier rounds.
 func (m *Mesh) handleAnswer(round, seq uint64, findings []catalog.Finding, err error) {
 	if round != m.round {
 		return
--- a/internal/fleetsim/operator.go
+++ b/internal/fleetsim/operator.go
@@ -12,15 +12,15 @@
 // requestRetryInterval is how long the operator waits for an answer before it sends a request to the next replica.
 const requestRetryInterval = time.Second
 
-// Request is a command that the operator sends until it has an answer, a proposal always under the same ID.
+// Request is a command that the operator sends until it receives an answer. A proposal keeps its ID when it is sent again.
 type Request struct {
 	Command    fleetconfig.Command
-	SentAt     time.Duration // true time
-	AnsweredAt time.Duration // true time; 0: not yet
-	Answer     fleetconfig.Answer
+	SentAt     time.Duration      // true time
+	AnsweredAt time.Duration      // true time; 0: not answered yet
+	Answer     fleetconfig.Answer // first answer
 }
 
-// Submit sends a command to the replicas. A proposal gets an ID where it has none.
+// Submit sends a command of the operator to the replicas. It sets the ID of a proposal that has none.
 func (f *Fleet) Submit(c fleetconfig.Command) *Request {
 	number := len(f.Requests) + 1
 	if c.Propose != nil {
@@ -32,12 +32,12 @@
 	return request
 }
 
-// SetFederationTerms submits the federation's terms. Their Base says on which terms they were made.
+// SetFederationTerms submits the federation's terms. terms.Base is the number of the terms on which they are based.
 func (f *Fleet) SetFederationTerms(terms federation.Terms) *Request {
 	return f.Submit(fleetconfig.Command{MeshChange: &federation.Change{Terms: &terms}})
 }
 
-// send sends a request to the replicas in turn until it is answered.
+// send sends a request to the replicas in turn until one answers.
 func (f *Fleet) send(request *Request, attempt int) {
 	if request.AnsweredAt > 0 {
 		return
@@ -51,7 +51,7 @@
 	f.Operator.Timer(f.Operator.Now()+requestRetryInterval, func() { f.send(request, attempt+1) })
 }
 
-// handleAnswer takes an answer, of which a request may get several: the first counts, all are checked.
+// handleAnswer handles an answer to a request. A request may receive several: the first one is stored, and all are checked.
 func (f *Fleet) handleAnswer(request *Request, answer fleetconfig.Answer) {
 	if request.AnsweredAt == 0 {
 		request.AnsweredAt = f.engine.now
--- a/internal/fleetsim/planted_faults.go
+++ b/internal/fleetsim/planted_faults.go
@@ -9,34 +9,35 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// plantedFault is a fault that the explorer must detect. The hooks put it between the parts, so that these stay as they are.
+// plantedFault is a defect that Explore must detect. Its hooks wrap the interfaces of the simulated programs, whose own code
+// stays unchanged.
 type plantedFault struct {
-	name  string // in the explore command's -plant
+	name  string // value of the explore command's flag -plant
 	hooks Hooks
 }
 
 var plantedFaults = []plantedFault{
 	{"lease-not-checked", Hooks{WrapClient: func(client fleetconfig.Leaseholder) fleetconfig.Leaseholder {
-		return unleasedClient{client}
+		return noLeaseCheckClient{client}
 	}}},
 	{"lease-from-answer", Hooks{LeaseFromAnswerTime: true}},
 	{"prepare-skipped", Hooks{SkipMemoryCheck: true}},
 	{"wrong-precedence", Hooks{WrapMerger: func(merger catalog.Merger) catalog.Merger { return ownerIgnoringMerger{merger} }}},
-	{"first-come", Hooks{WrapMerger: func(merger catalog.Merger) catalog.Merger { return firstMeshMerger{merger} }}},
+	{"first-come", Hooks{WrapMerger: func(merger catalog.Merger) catalog.Merger { return inputOrderMerger{merger} }}},
 	{"estimate-halved", Hooks{AdjustEstimate: func(required uint64) uint64 { return required / 2 }}},
 	{"silence-ignored", Hooks{
 		WrapLeases: func(leases fleetconfig.LeaseService, state fleetconfig.ReplicatedState) fleetconfig.LeaseService {
-			return &impatientLeases{LeaseService: leases, state: state}
+			return &earlyActivationLeases{LeaseService: leases, state: state}
 		},
 	}},
 	{"grant-unconfirmed", Hooks{GrantUnconfirmed: true}},
 	{"forgetful-disk", Hooks{LoseLastWrites: true}},
 	{"hearing-forgotten", Hooks{WrapPublishers: func(publishers consensus.PublisherTracker) consensus.PublisherTracker {
-		return forgetfulPublishers{publishers}
+		return earlyLossPublishers{publishers}
 	}}},
 }
 
-// PlantedFaultHooks returns the hooks of a planted fault; false: there is none of that name.
+// PlantedFaultHooks returns the hooks of the planted fault with the name, and false if there is none.
 func PlantedFaultHooks(name string) (Hooks, bool) {
 	i := slices.IndexFunc(plantedFaults, func(f plantedFault) bool { return f.name == name })
 	if i < 0 {
@@ -45,7 +46,7 @@
 	return plantedFaults[i].hooks, true
 }
 
-// PlantedFaultNames are the names of the planted faults.
+// PlantedFaultNames returns the names of all planted faults.
 func PlantedFaultNames() []string {
 	var names []string
 	for _, fault := range plantedFaults {
@@ -54,41 +55,42 @@
 	return names
 }
 
-// unleasedClient allows everything once it has a version.
-type unleasedClient struct{ fleetconfig.Leaseholder }
+// noLeaseCheckClient authorizes every connection after its first version, even without a valid lease.
+type noLeaseCheckClient struct{ fleetconfig.Leaseholder }
 
 // Authorize implements fleetconfig.Leaseholder.
-func (c unleasedClient) Authorize(now time.Duration, conflicts func() bool) fleetconfig.Authorization {
+func (c noLeaseCheckClient) Authorize(now time.Duration, conflicts func() bool) fleetconfig.Authorization {
 	if _, ok := c.ActiveVersion(); ok {
 		return fleetconfig.Authorization{Allowed: true}
 	}
 	return c.Leaseholder.Authorize(now, conflicts)
 }
 
-// impatientLeases activates a version once the nodes that renewed within patience have prepared it.
-type impatientLeases struct {
+// earlyActivationLeases activates a version after all nodes that renewed within renewalWindow have prepared it. It does not wait
+// for the other members.
+type earlyActivationLeases struct {
 	fleetconfig.LeaseService
 	state    fleetconfig.ReplicatedState
-	renewals map[string]receivedRenewal // the latest one by node; nil before it leads
+	renewals map[string]receivedRenewal // latest renewal by node; nil until the replica leads
 }
 
-// patience is below any MemberTimeout, for which a leader has to wait.
-const patience = time.Second
+// renewalWindow is shorter than every MemberTimeout, for which a leader must wait.
+const renewalWindow = time.Second
 
-// receivedRenewal is a renewal and when it was received, on the replica's clock.
+// receivedRenewal is a renewal and the time of its receipt on the replica's clock.
 type receivedRenewal struct {
 	at time.Duration
 	fleetconfig.Renewal
 }
 
 // BecomeLeader implements fleetconfig.LeaseService.
-func (l *impatientLeases) BecomeLeader(now time.Duration, term uint64) {
+func (l *earlyActivationLeases) BecomeLeader(now time.Duration, term uint64) {
 	l.renewals = map[string]receivedRenewal{}
 	l.LeaseService.BecomeLeader(now, term)
 }
 
 // HandleRenewal implements fleetconfig.LeaseService.
-func (l *impatientLeases) HandleRenewal(now time.Duration, r fleetconfig.Renewal) []fleetconfig.Command {
+func (l *earlyActivationLeases) HandleRenewal(now time.Duration, r fleetconfig.Renewal) []fleetconfig.Command {
 	if l.renewals != nil {
 		l.renewals[r.Node] = receivedRenewal{now, r}
 	}
@@ -96,13 +98,13 @@
 }
 
 // DueCommands implements fleetconfig.LeaseService.
-func (l *impatientLeases) DueCommands(now time.Duration) []fleetconfig.Command {
+func (l *earlyActivationLeases) DueCommands(now time.Duration) []fleetconfig.Command {
 	due := l.LeaseService.DueCommands(now)
 	proposed, hasProposed := l.state.Proposed()
 	ready := 0
 	for _, renewal := range l.renewals {
 		switch {
-		case now-renewal.at > patience:
+		case now-renewal.at > renewalWindow:
 		case renewal.PreparedVersion != proposed.Number:
 			return due
 		default:
@@ -115,19 +117,20 @@
 	return due
 }
 
-// forgetfulPublishers takes a mesh that has not published since the election for silent during all of the mesh timeout before it.
-type forgetfulPublishers struct{ consensus.PublisherTracker }
+// earlyLossPublishers backdates an election by the mesh timeout, so a mesh that has not published since the election is marked
+// lost too early.
+type earlyLossPublishers struct{ consensus.PublisherTracker }
 
 // BecomeLeader implements federation.LeaderTracker.
-func (p forgetfulPublishers) BecomeLeader(now time.Duration) {
+func (p earlyLossPublishers) BecomeLeader(now time.Duration) {
 	p.PublisherTracker.BecomeLeader(now - meshTimeout)
-	const step = meshTimeout / 8 // short enough that the tracker does not take the replica for paused meanwhile
+	const step = meshTimeout / 8 // a longer gap between calls makes the tracker assume that the replica was paused
 	for ago := meshTimeout - step; ago > 0; ago -= step {
 		p.DueChanges(now - ago)
 	}
 }
 
-// ownerIgnoringMerger merges without the previous owners, so that precedence decides on each name anew.
+// ownerIgnoringMerger ignores the previous owners, so precedence alone decides the owner of each name.
 type ownerIgnoringMerger struct{ catalog.Merger }
 
 // Merge implements catalog.Merger.
@@ -139,11 +142,11 @@
 	return state, findings
 }
 
-// firstMeshMerger gives precedence to the mesh that comes first among the inputs.
-type firstMeshMerger struct{ catalog.Merger }
+// inputOrderMerger replaces the precedence of the meshes with their order in the inputs.
+type inputOrderMerger struct{ catalog.Merger }
 
 // Merge implements catalog.Merger.
-func (m firstMeshMerger) Merge(previous *catalog.State, in catalog.Inputs, at time.Duration) (*catalog.State, []catalog.Finding) {
+func (m inputOrderMerger) Merge(previous *catalog.State, in catalog.Inputs, at time.Duration) (*catalog.State, []catalog.Finding) {
 	in.Meshes = slices.Clone(in.Meshes)
 	for i := range in.Meshes {
 		in.Meshes[i].Precedence = len(in.Meshes) - i
--- a/internal/fleetsim/process.go
+++ b/internal/fleetsim/process.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-const million = 1_000_000
+const partsPerMillion = 1_000_000
 
-// Clock is a machine's monotonic clock.
+// Clock is the monotonic clock of a machine.
 type Clock struct {
-	Offset   time.Duration // what it shows at the true time 0
-	DriftPPM int64         // parts per million by which it runs fast; below 0: slow
+	Offset   time.Duration // reading at the true time 0
+	DriftPPM int64         // drift against true time in parts per million; negative: the clock runs slow
 }
 
-// Read is what the clock shows at a true time.
+// Read returns the clock's reading at a true time.
 func (c Clock) Read(trueTime time.Duration) time.Duration {
-	// In two parts, as the product of time and PPM overflows after some hours.
-	wholeDrift := int64(trueTime) / million * c.DriftPPM
-	restDrift := int64(trueTime) % million * c.DriftPPM / million
-	return c.Offset + trueTime + time.Duration(wholeDrift) + time.Duration(restDrift)
+	// The drift is computed in two parts, because the product of trueTime and DriftPPM overflows after some hours.
+	wholeDrift := int64(trueTime) / partsPerMillion * c.DriftPPM
+	remainderDrift := int64(trueTime) % partsPerMillion * c.DriftPPM / partsPerMillion
+	return c.Offset + trueTime + time.Duration(wholeDrift) + time.Duration(remainderDrift)
 }
 
-// TrueTime is the earliest true time at which the clock shows at.
+// TrueTime returns the earliest true time at which the clock's reading is at or later.
 func (c Clock) TrueTime(at time.Duration) time.Duration {
-	t := time.Duration(float64(at-c.Offset) * million / float64(million+c.DriftPPM))
-	for c.Read(t) < at { // the division is rounded
+	t := time.Duration(float64(at-c.Offset) * partsPerMillion / float64(partsPerMillion+c.DriftPPM))
+	for c.Read(t) < at { // the floating-point result may be rounded down
 		t++
 	}
 	return t
 }
 
-// Process is a process on a machine. While it is paused none of its actions run, its clock goes on, and its events are
-// deferred.
+// Process is a process on a machine. While a process is paused, its clock advances but its actions are deferred until it is
+// resumed.
 type Process struct {
 	Name  string
 	Clock Clock
 
 	engine     *Engine
-	generation uint64 // grows with each start and each crash
+	generation uint64 // incremented by each start and each crash
 	up         bool
 	paused     bool
-	deferred   []func()
+	deferred   []func() // actions that became due while the process was paused
 }
 
-// Now is what the process's clock shows.
+// Now returns the current reading of the process's clock.
 func (p *Process) Now() time.Duration { return p.Clock.Read(p.engine.now) }
 
-// Up reports whether the process exists, running or paused.
+// Up reports whether the process is up, running or paused.
 func (p *Process) Up() bool { return p.up }
 
-// Post runs an action in the process at a true time, unless the process has ended by then.
+// Post runs an action in the process at a true time, unless the process has ended or restarted by then.
 func (p *Process) Post(at time.Duration, action func()) {
 	generation := p.generation
 	p.engine.Schedule(at, func() {
@@ -56,7 +56,7 @@
 	})
 }
 
-// deliver runs an action in the process, defers it while the process is paused, and drops it where it is down.
+// deliver runs an action in the process. It defers the action if the process is paused, and drops it if the process is down.
 func (p *Process) deliver(action func()) {
 	switch {
 	case !p.up:
@@ -67,7 +67,7 @@
 	}
 }
 
-// Timer runs an action when the process's own clock shows at.
+// Timer runs an action when the process's clock reaches at.
 func (p *Process) Timer(at time.Duration, action func()) { p.Post(p.Clock.TrueTime(at), action) }
 
 // start begins a new generation of a process that is down.
@@ -79,7 +79,7 @@
 	p.engine.Trace(p.Name, "start", p.generation, "")
 }
 
-// crash ends the process; what it deferred is lost.
+// crash ends the process and drops its deferred actions.
 func (p *Process) crash() {
 	p.generation++
 	p.up = false
@@ -88,13 +88,13 @@
 	p.engine.Trace(p.Name, "crash", p.generation, "")
 }
 
-// pause suspends a process that is up until resume.
+// pause suspends the process until resume. It has no effect on a process that is down.
 func (p *Process) pause() {
 	p.paused = p.up
 	p.engine.Trace(p.Name, "pause", 0, "")
 }
 
-// resume schedules the deferred actions of a paused process, in their order, for now.
+// resume continues a paused process and schedules its deferred actions for the current time, in their original order.
 func (p *Process) resume() {
 	if !p.paused {
 		return
--- a/internal/fleetsim/proxy.go
+++ b/internal/fleetsim/proxy.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	fetchTimeout   = 300 * time.Millisecond // for a version's body, from one replica
+	fetchTimeout   = 300 * time.Millisecond // to fetch a version's body from one replica
 	minPrepareTime = time.Millisecond
 	maxPrepareTime = 20 * time.Millisecond
 )
 
-// Proxy is a proxy's process. Its LeaseClient decides, and the Proxy carries out the actions as the program's event loop
-// does.
+// Proxy is the process of a proxy. It passes events to its LeaseClient and executes the actions that the client returns, as the
+// program's event loop does.
 type Proxy struct {
 	Process
 	Zone        string
-	MemoryLimit uint64 // bytes of memory; 0: unlimited. It outlasts the process.
+	MemoryLimit uint64 // in bytes; 0: unlimited. It persists across restarts.
 
-	// The load's connections, over all generations of the process.
+	// Counters of the load's connections, across all restarts.
 	Attempts           uint64
 	Allowed            uint64
-	ServedDisconnected uint64                            // of Allowed: placed without knowing the active version
-	RejectedByState    map[fleetconfig.LeaseState]uint64 // by the client's state, or superseded
+	ServedDisconnected uint64                            // included in Allowed: placed while the active version was unknown
+	RejectedByState    map[fleetconfig.LeaseState]uint64 // by the client's state at the rejection, or superseded
 
 	fleet             *Fleet
 	incarnation       uint64
 	client            fleetconfig.Leaseholder
-	renewalsSentAt    map[uint64]time.Duration   // by Renewal.Seq, on the proxy's clock, until they are answered
-	timerAt           time.Duration              // of the client, on the proxy's clock; 0: no timer is set
-	preparing         fleetconfig.PrepareVersion // in progress; zero: none
-	prepared          map[uint64]*loadedVersion
-	active            *loadedVersion // nil: none
+	renewalsSentAt    map[uint64]time.Duration   // time by Renewal.Seq, on the proxy's clock; holds unanswered renewals
+	timerAt           time.Duration              // the client's timer, on the proxy's clock; 0: no timer is set
+	preparing         fleetconfig.PrepareVersion // version being fetched or compiled; zero: none
+	prepared          map[uint64]*compiledVersion
+	active            *compiledVersion // nil: none
 	draining          bool
-	pauseAfterRenewal time.Duration // pause for so long once the next renewal is sent; 0: do not
+	pauseAfterRenewal time.Duration // pause duration after the next renewal is sent; 0: no pause
 }
 
-// boot starts a process, which knows no version.
+// boot starts a new process, which has no version yet.
 func (p *Proxy) boot() {
 	p.start()
 	p.incarnation++
@@ -47,7 +47,7 @@
 	p.renewalsSentAt = map[uint64]time.Duration{}
 	p.timerAt = 0
 	p.preparing = fleetconfig.PrepareVersion{}
-	p.prepared = map[uint64]*loadedVersion{}
+	p.prepared = map[uint64]*compiledVersion{}
 	p.active = nil
 	p.draining = false
 	p.handle(fleetconfig.HeadroomChanged{Headroom: fleetconfig.MemoryHeadroom{Limit: p.MemoryLimit}})
@@ -57,7 +57,7 @@
 	}
 }
 
-// SetMemoryLimit changes the memory limit; 0: unlimited.
+// SetMemoryLimit sets the memory limit in bytes; 0 means unlimited.
 func (p *Proxy) SetMemoryLimit(bytes uint64) {
 	p.MemoryLimit = bytes
 	if p.up {
@@ -73,7 +73,7 @@
 	p.handle(fleetconfig.HeadroomChanged{Headroom: headroom})
 }
 
-// Drain makes the proxy reject new connections, and ends its process after a while on its own clock.
+// Drain makes the proxy reject new connections. The process ends after the given duration on its own clock.
 func (p *Proxy) Drain(after time.Duration) {
 	p.Post(p.engine.now, func() {
 		p.draining = true
@@ -82,13 +82,13 @@
 	})
 }
 
-// Draining reports whether the proxy drains.
+// Draining reports whether the proxy is draining.
 func (p *Proxy) Draining() bool { return p.draining }
 
-// Status is the status of the proxy's LeaseClient.
+// Status returns the status of the proxy's LeaseClient.
 func (p *Proxy) Status() fleetconfig.LeaseStatus { return p.client.Status(p.Now()) }
 
-// ActiveVersion is the version that the proxy acts on; 0: none.
+// ActiveVersion returns the number of the version that the proxy acts on, or 0 if there is none.
 func (p *Proxy) ActiveVersion() uint64 {
 	if number, ok := p.client.ActiveVersion(); ok && p.up {
 		return number
@@ -96,7 +96,7 @@
 	return 0
 }
 
-// handle passes an event to the client and executes its actions.
+// handle passes an event to the client and executes the actions that it returns.
 func (p *Proxy) handle(event fleetconfig.Event) {
 	for _, action := range p.client.Handle(p.Now(), event) {
 		p.execute(action)
@@ -128,7 +128,7 @@
 	}
 }
 
-// setTimer replaces the client's timer. Events of earlier ones are ignored.
+// setTimer replaces the client's timer. Earlier timers have no effect when they expire.
 func (p *Proxy) setTimer(at time.Duration) {
 	if p.timerAt == at {
 		return
@@ -142,7 +142,7 @@
 	})
 }
 
-// replica is the one that the proxy sends its attempt to. Each proxy starts with another one.
+// replica returns the replica to which the proxy sends an attempt. Proxies start with different replicas.
 func (p *Proxy) replica(attempt int) *Replica {
 	first := slices.Index(p.fleet.Proxies, p)
 	return p.fleet.Replicas[(first+attempt)%len(p.fleet.Replicas)]
@@ -170,7 +170,7 @@
 	})
 }
 
-// handleLease takes an answer, however late and how often it arrives. An answer to an earlier process is ignored.
+// handleLease handles an answer to a renewal. It ignores duplicates and answers to an earlier incarnation of the proxy.
 func (p *Proxy) handleLease(lease fleetconfig.Lease) {
 	sentAt, ok := p.renewalsSentAt[lease.Seq]
 	if !ok || lease.Incarnation != p.incarnation {
@@ -183,8 +183,8 @@
 	p.handle(fleetconfig.LeaseGranted{Lease: lease, SentAt: sentAt})
 }
 
-// fetch gets a version's body from a replica, and prepares it. Without an answer in time it asks the next one, as long as the
-// version is to be prepared.
+// fetch requests a version's body from a replica, and prepares the version when the body arrives. Without an answer within
+// fetchTimeout it asks the next replica, until the client discards the version or prepares another one.
 func (p *Proxy) fetch(wanted fleetconfig.PrepareVersion, attempt int) {
 	if p.preparing != wanted {
 		return
@@ -194,7 +194,7 @@
 	p.fleet.Network.Send(p.Name, &replica.Process, func() {
 		version, ok := replica.state.Version(wanted.Number)
 		if !ok || version.Digest != wanted.Digest {
-			return // the replica is behind, or the version was withdrawn
+			return // the replica lags behind, or the version was withdrawn
 		}
 		p.fleet.Network.Send(replica.Name, &p.Process, func() {
 			if !received && p.preparing == wanted {
@@ -210,7 +210,7 @@
 	})
 }
 
-// prepare validates and compiles a version, which takes a while.
+// prepare validates and compiles a version after a random delay that simulates the duration of this work.
 func (p *Proxy) prepare(version fleetconfig.Version) {
 	wanted := p.preparing
 	p.Timer(p.Now()+p.engine.RandomDuration(minPrepareTime, maxPrepareTime), func() {
@@ -218,10 +218,10 @@
 			return
 		}
 		p.preparing = fleetconfig.PrepareVersion{}
-		loaded, rejection := p.loadWithinLimit(version)
+		compiled, rejection := p.compileWithinLimit(version)
 		if rejection == nil {
-			p.fleet.invariants.checkPrepared(p, loaded)
-			p.prepared[version.Number] = loaded
+			p.fleet.invariants.checkPrepared(p, compiled)
+			p.prepared[version.Number] = compiled
 		} else {
 			p.engine.Trace(p.Name, "rejects", version.Number, rejection.Cause)
 		}
@@ -229,21 +229,21 @@
 	})
 }
 
-// loadWithinLimit compiles a version for the proxy's zone. It rejects one that needs more memory than the limit.
-func (p *Proxy) loadWithinLimit(version fleetconfig.Version) (*loadedVersion, *fleetconfig.Rejection) {
-	loaded, rejection := p.fleet.loadVersion(version, p.Zone)
+// compileWithinLimit compiles a version for the proxy's zone. It rejects a version that requires more memory than the limit.
+func (p *Proxy) compileWithinLimit(version fleetconfig.Version) (*compiledVersion, *fleetconfig.Rejection) {
+	compiled, rejection := p.fleet.compileCached(version, p.Zone)
 	if rejection != nil {
 		return nil, rejection
 	}
-	required := p.fleet.Hooks.adjustEstimate(p.fleet.requiredBytes(p.active, loaded))
+	required := p.fleet.Hooks.adjustEstimate(p.fleet.requiredBytes(p.active, compiled))
 	if p.MemoryLimit > 0 && required > p.MemoryLimit && !p.fleet.Hooks.SkipMemoryCheck {
-		return nil, tooLarge(loaded, required, p.MemoryLimit)
+		return nil, tooLargeRejection(compiled, required, p.MemoryLimit)
 	}
-	return loaded, nil
+	return compiled, nil
 }
 
-// tooLarge is the rejection of a version that needs more memory than a limit; both are in bytes.
-func tooLarge(version *loadedVersion, required, limit uint64) *fleetconfig.Rejection {
+// tooLargeRejection returns the rejection of a version that requires more memory than the limit. Both are in bytes.
+func tooLargeRejection(version *compiledVersion, required, limit uint64) *fleetconfig.Rejection {
 	rejection := &fleetconfig.Rejection{
 		Kind:           kindTooLarge,
 		Cause:          "the table does not fit",
@@ -256,7 +256,7 @@
 	return rejection
 }
 
-// switchTo makes a prepared version the active one, and drops earlier ones.
+// switchTo activates a prepared version and drops all earlier ones.
 func (p *Proxy) switchTo(number uint64) {
 	version := p.prepared[number]
 	if version == nil {
@@ -274,15 +274,15 @@
 	p.reportHeadroom(p.MemoryLimit)
 }
 
-// nextVersion is the prepared version that is not active yet, or nil.
-func (p *Proxy) nextVersion() *loadedVersion {
+// nextVersion returns the prepared version that is not active yet, or nil.
+func (p *Proxy) nextVersion() *compiledVersion {
 	if number := p.Status().PreparedVersion; number != 0 && (p.active == nil || number != p.active.Number) {
 		return p.prepared[number]
 	}
 	return nil
 }
 
-// Catalog is the active version's catalog, or nil.
+// Catalog returns the catalog of the active version, or nil.
 func (p *Proxy) Catalog() *catalog.State {
 	if p.active == nil {
 		return nil
@@ -290,7 +290,7 @@
 	return p.active.catalog
 }
 
-// Pool is the pool that the active version selects for a key; empty: none.
+// Pool returns the pool that the active version selects for a key, or "" if there is none.
 func (p *Proxy) Pool(key string) string {
 	if p.active == nil {
 		return ""
@@ -298,7 +298,7 @@
 	return p.active.pool(key)
 }
 
-// Resolve describes what a name means in the active version; empty: nothing.
+// Resolve describes the catalog entry to which a name resolves in the active version, or returns "" if there is none.
 func (p *Proxy) Resolve(name string) string {
 	if p.active == nil || p.active.catalog == nil {
 		return ""
--- a/internal/fleetsim/proxy_load.go
+++ b/internal/fleetsim/proxy_load.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	backlogSize  = 6                    // connections that arrive while a proxy is paused
+	backlogSize  = 6                    // number of connections that arrive while a proxy is paused
 	maxPlaceTime = 4 * time.Millisecond // from the decision to the first write
 )
 
-// superseded is a state beside the client's, for connections that were decided by a version that is no longer the proxy's.
+// superseded is a rejection state that supplements the client's states. It counts connections whose version was replaced, by one
+// that routes them differently, between the routing decision and the first write.
 const superseded fleetconfig.LeaseState = "superseded"
 
-// randomKey draws a key for the load.
+// randomKey returns a random key of the load.
 func (f *Fleet) randomKey() string { return KeyName(f.engine.Rand.IntN(f.KeyCount)) }
 
-// KeyName is the load's key number i.
+// KeyName returns the load's connection key number i.
 func KeyName(i int) string { return fmt.Sprint("key", i) }
 
-// generateLoad places a connection of a random key now and then, as long as the process runs and does not drain.
+// generateLoad places connections with random keys at random intervals while the process runs and is not draining.
 func (p *Proxy) generateLoad() {
 	interval := p.fleet.LoadInterval
 	p.Timer(p.Now()+p.engine.RandomDuration(interval/2, interval*3/2), func() {
@@ -32,19 +33,20 @@
 	})
 }
 
-// placeBacklog places the connections that arrived while the proxy was paused, in the turn in which it goes on.
+// placeBacklog places the connections that arrived while the proxy was paused, at the time of its resumption.
 func (p *Proxy) placeBacklog() {
 	for range backlogSize {
 		p.Post(p.engine.now, func() { p.Place(p.fleet.randomKey()) })
 	}
 }
 
-// Authorize asks the LeaseClient whether a key's connection may be placed now.
+// Authorize asks the LeaseClient whether a connection with the key may be placed now.
 func (p *Proxy) Authorize(key string) fleetconfig.Authorization {
 	return p.client.Authorize(p.Now(), func() bool { return conflicting(p.active, p.nextVersion(), key) })
 }
 
-// Place places a connection: it decides now and writes a little later, if it is then still allowed.
+// Place places a connection with a key. It routes the connection now and writes to it up to maxPlaceTime later, if the client
+// still allows the placement then.
 func (p *Proxy) Place(key string) {
 	p.Attempts++
 	if authorization := p.Authorize(key); !authorization.Allowed {
@@ -66,17 +68,17 @@
 	})
 }
 
-// countRejection counts a connection that was not placed.
+// countRejection counts a rejected connection by state.
 func (p *Proxy) countRejection(state fleetconfig.LeaseState) {
 	p.RejectedByState[state]++
 }
 
-// write acts on the active version: it writes to an endpoint of the key's pool.
+// write simulates the first write to an endpoint of the key's pool, by which the proxy acts on the active version.
 func (p *Proxy) write(key string) {
-	if p.active == nil { // by its own settings, which only ServeOnExpiry allows
+	if p.active == nil { // the proxy uses its own settings, which only ServeOnExpiry allows
 		p.ServedDisconnected++
 		if p.fleet.Terms.OnLeaseExpiry != fleetconfig.ServeOnExpiry {
-			p.fleet.violate("%s acts by its own settings under %s", p.Name, p.fleet.Terms.OnLeaseExpiry)
+			p.fleet.violate("%s places a connection by its own settings, which policy %s forbids", p.Name, p.fleet.Terms.OnLeaseExpiry)
 		}
 		return
 	}
@@ -87,5 +89,5 @@
 		p.ServedDisconnected++
 		return
 	}
-	p.fleet.invariants.checkAct(p, key, pool)
+	p.fleet.invariants.checkPlacement(p, key, pool)
 }
--- a/internal/fleetsim/replica.go
+++ b/internal/fleetsim/replica.go
@@ -8,39 +8,39 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// Replica is a control-plane replica's process, and its disk, which outlasts the process.
+// Replica is the process of a control-plane replica, together with its disk, which persists across restarts.
 type Replica struct {
 	Process
 
 	fleet     *Fleet
-	id        uint64 // from 1 on
+	id        uint64 // starts at 1
 	disk      consensus.MemoryStore
-	staleDisk consensus.MemoryStore // an earlier state of disk, for Hooks.LoseLastWrites
-	starts    uint64                // of the process
+	staleDisk consensus.MemoryStore // earlier state of disk, for Hooks.LoseLastWrites
+	starts    uint64                // number of times that the process was started
 
-	node        *consensus.Node
-	state       fleetconfig.ReplicatedState
-	leases      fleetconfig.LeaseService
-	leaseServer *consensus.LeaseServer
-	proposer    *consensus.CatalogProposer
-	lastLedTerm uint64 // the latest term that the trace shows it leading in
+	node           *consensus.Node
+	state          fleetconfig.ReplicatedState
+	leases         fleetconfig.LeaseService
+	leaseServer    *consensus.LeaseServer
+	proposer       *consensus.CatalogProposer
+	lastTracedTerm uint64 // latest term that traceLeadership added to the trace
 
 	lastRenewalID   uint64
 	renewals        map[uint64]pendingRenewal
 	answerHandlers  map[consensus.ProposalID]func(fleetconfig.Answer)
-	snapshotTargets []uint64 // peers that a snapshot was sent to in this turn
+	snapshotTargets []uint64 // peers to which this turn sent a snapshot
 }
 
-// pendingRenewal is a renewal on its way to the leader, and how its lease goes back.
+// pendingRenewal is an unanswered renewal.
 type pendingRenewal struct {
 	fleetconfig.Renewal
-	reply           func(fleetconfig.Lease)
-	forwarded       bool
-	receivedAt      time.Duration // true time, at the leader
-	activeAtReceipt uint64        // the highest version that was active at any replica then
+	reply           func(fleetconfig.Lease) // sends the lease to the proxy
+	forwarded       bool                    // by another replica
+	receivedAt      time.Duration           // true time at which the leader received it
+	activeAtReceipt uint64                  // highest version number that was active at any replica at receivedAt
 }
 
-// checkedState is a replicated state whose commands are checked as they apply.
+// checkedState is a replicated state that checks the invariants after each command.
 type checkedState struct {
 	fleetconfig.ReplicatedState
 	replica *Replica
@@ -53,13 +53,13 @@
 	return answer
 }
 
-// boot starts the process from its disk. All else of the process before is lost.
+// boot starts the process with the state of its disk. All other state of an earlier process is lost.
 func (r *Replica) boot() {
 	r.start()
 	r.starts++
 	state := fleetconfig.NewStateMachine()
 	r.state = state
-	r.lastLedTerm = 0
+	r.lastTracedTerm = 0
 	r.leases = r.fleet.Hooks.wrapLeases(fleetconfig.NewLeaseManager(state), state)
 	r.renewals = map[uint64]pendingRenewal{}
 	r.answerHandlers = map[consensus.ProposalID]func(fleetconfig.Answer){}
@@ -69,13 +69,13 @@
 	var err error
 	r.node, err = consensus.New(r.config(), checkedState{state, r}, must(r.disk.Load()))
 	if err != nil {
-		r.fleet.violate("%s does not start again: %v", r.Name, err)
+		r.fleet.violate("%s fails to start from its disk: %v", r.Name, err)
 		r.crash()
 		return
 	}
 	r.leaseServer = consensus.NewLeaseServer(r.node, r.leases)
 	r.proposer = r.newCatalogProposer(state)
-	r.settle()
+	r.processPending()
 	r.tick()
 }
 
@@ -94,44 +94,45 @@
 	}
 }
 
-// tick schedules the next tick, which schedules the one after it.
+// tick schedules the next tick, which in turn schedules its successor.
 func (r *Replica) tick() {
-	const flushChance = 0.1 // of a disk that loses writes, at each tick
+	const flushChance = 0.1 // at each tick, for a disk that loses its latest writes in a crash
 	r.Timer(r.Now()+r.fleet.TickInterval, func() {
 		if r.fleet.Hooks.LoseLastWrites && r.engine.Chance(flushChance) {
 			r.staleDisk = r.disk
 		}
-		r.failOn(r.node.Tick())
+		r.reportError(r.node.Tick())
 		r.leaseServer.Tick()
 		r.proposer.Tick()
-		r.settle()
+		r.processPending()
 		r.tick()
 	})
 }
 
-// failOn reports an error of the node as a violation, but for BadMessage: a late message of an earlier process may be one.
-func (r *Replica) failOn(err error) {
+// reportError reports an error of the node as a violation. It ignores BadMessage, because a delayed message of an earlier process
+// may cause it.
+func (r *Replica) reportError(err error) {
 	if err != nil && !consensus.BadMessage.Matches(err) {
 		r.fleet.violate("%s: %v", r.Name, err)
 	}
 }
 
-// Leading reports whether the replica is up and takes itself for the leader.
+// Leading reports whether the replica is up and considers itself the leader.
 func (r *Replica) Leading() bool { return r.up && r.node.Leading() }
 
-// State is the replica's replicated state.
+// State returns the replicated state of the replica.
 func (r *Replica) State() fleetconfig.ReplicatedState { return r.state }
 
-// Status is the state of the members as the replica knows it.
+// Status returns the status of all members from the view of the replica.
 func (r *Replica) Status() []fleetconfig.NodeStatus { return r.leases.Status(r.Now()) }
 
-// settle does all pending work of the turn: what has been committed is applied, and answers and messages are sent.
-func (r *Replica) settle() {
+// processPending does all pending work: it applies committed commands, and sends answers and messages.
+func (r *Replica) processPending() {
 	for pending := true; pending && r.fleet.Violation == nil; {
 		replies, outcome, err := r.leaseServer.Run(r.Now(), &r.disk, r.send)
-		r.failOn(err)
+		r.reportError(err)
 		for _, to := range r.snapshotTargets {
-			r.failOn(r.node.ReportSnapshot(to, true))
+			r.reportError(r.node.ReportSnapshot(to, true))
 		}
 		pending = len(r.snapshotTargets) > 0
 		r.snapshotTargets = r.snapshotTargets[:0]
@@ -147,27 +148,27 @@
 	}
 }
 
-// traceLeadership adds each term that the replica leads in to the trace.
+// traceLeadership adds an entry to the trace for each term in which the replica leads.
 func (r *Replica) traceLeadership() {
-	if term := r.node.Term(); r.node.LeaderReady() && r.lastLedTerm != term {
-		r.lastLedTerm = term
+	if term := r.node.Term(); r.node.LeaderReady() && r.lastTracedTerm != term {
+		r.lastTracedTerm = term
 		r.engine.Trace(r.Name, "leads", term, "")
 	}
 }
 
-// send is how the node sends a message to a peer.
+// send sends a message of the node to a peer.
 func (r *Replica) send(m consensus.Message) {
 	to := r.fleet.Replicas[m.To-1]
 	if m.Snapshot {
 		r.snapshotTargets = append(r.snapshotTargets, m.To)
 	}
 	r.fleet.Network.Send(r.Name, &to.Process, func() {
-		r.failOn(to.node.Step(m.Bytes))
-		to.settle()
+		r.reportError(to.node.Step(m.Bytes))
+		to.processPending()
 	})
 }
 
-// handleOutcome answers the proposals of this replica that have been applied, and forgets those that have failed.
+// handleOutcome answers the proposals of this replica that have been applied, and drops the handlers of failed proposals.
 func (r *Replica) handleOutcome(outcome consensus.Outcome) {
 	for _, applied := range outcome.Applied {
 		if handle := r.answerHandlers[applied.ProposalID]; applied.Local && handle != nil {
@@ -183,7 +184,7 @@
 	}
 }
 
-// describeCommand is a command and its error for the trace.
+// describeCommand returns a command and the error of its answer as text for the trace.
 func describeCommand(c fleetconfig.Command, answer fleetconfig.Answer) string {
 	const maxBytes = 120
 	text := string(must(json.Marshal(c)))
@@ -193,7 +194,7 @@
 	return text[:min(len(text), maxBytes)]
 }
 
-// forwardTarget is the leader, where it is another replica.
+// forwardTarget returns the leader, and false if there is none or the replica itself leads.
 func (r *Replica) forwardTarget() (*Replica, bool) {
 	leader := r.node.Leader()
 	if leader == 0 || leader == r.id {
@@ -202,7 +203,8 @@
 	return r.fleet.Replicas[leader-1], true
 }
 
-// handleRenewal handles a renewal on the leader, and forwards it once elsewhere.
+// handleRenewal handles a renewal if the replica leads, and otherwise forwards it to the leader. A renewal is forwarded at most
+// once.
 func (r *Replica) handleRenewal(renewal pendingRenewal) {
 	renewal.receivedAt = r.engine.now
 	renewal.activeAtReceipt = r.fleet.invariants.highestActive
@@ -212,13 +214,13 @@
 		if r.fleet.Hooks.GrantUnconfirmed {
 			r.grantUnconfirmed(renewal)
 		}
-	} else if leader, ok := r.forwardTarget(); ok && !renewal.forwarded { // without a leader the proxy renews again
+	} else if leader, ok := r.forwardTarget(); ok && !renewal.forwarded { // without a leader the proxy retries
 		r.forwardRenewal(leader, renewal)
 	}
-	r.settle()
+	r.processPending()
 }
 
-// grantUnconfirmed answers the latest renewal without the confirmation of a quorum.
+// grantUnconfirmed answers the latest renewal before a quorum has confirmed that the replica still leads.
 func (r *Replica) grantUnconfirmed(renewal pendingRenewal) {
 	if lease, ok := r.leases.GrantLease(r.Now(), renewal.Renewal); ok {
 		delete(r.renewals, r.lastRenewalID)
@@ -226,7 +228,7 @@
 	}
 }
 
-// forwardRenewal sends a renewal on to the leader. The lease comes back the same way.
+// forwardRenewal forwards a renewal to the leader, whose answer returns through this replica.
 func (r *Replica) forwardRenewal(leader *Replica, renewal pendingRenewal) {
 	reply := func(lease fleetconfig.Lease) {
 		r.fleet.Network.Send(leader.Name, &r.Process, func() { renewal.reply(lease) })
@@ -236,14 +238,14 @@
 	})
 }
 
-// answerRenewal checks a lease and sends it back.
+// answerRenewal checks a lease and sends it to the proxy.
 func (r *Replica) answerRenewal(renewal pendingRenewal, lease fleetconfig.Lease) {
 	r.fleet.invariants.checkLease(r, renewal, lease)
 	renewal.reply(lease)
 }
 
-// handleCommand proposes an operator's command on the leader, and forwards it once elsewhere. A command that cannot be
-// proposed gets no answer: the operator sends it again.
+// handleCommand proposes an operator's command if the replica leads, and otherwise forwards it to the leader, at most once. A
+// command that cannot be proposed is not answered, and the operator retries it.
 func (r *Replica) handleCommand(c fleetconfig.Command, forwarded bool, reply func(fleetconfig.Answer)) {
 	if leader, ok := r.forwardTarget(); ok && !r.node.Leading() && !forwarded {
 		r.fleet.Network.Send(r.Name, &leader.Process, func() {
@@ -262,11 +264,11 @@
 	}
 	if err == nil {
 		r.answerHandlers[id] = reply
-		r.settle()
+		r.processPending()
 	}
 }
 
-// must returns a value whose error would be a defect of this package, and panics with the error.
+// must returns value, and panics if err is not nil. Use it only where an error would be a defect of this package.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
--- a/internal/fleetsim/replica_catalog.go
+++ b/internal/fleetsim/replica_catalog.go
@@ -10,7 +10,7 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// newCatalogProposer returns the proposer beside the replica's node, with the fleet's hooks.
+// newCatalogProposer returns a catalog proposer for the replica's node, wrapped by the fleet's hooks.
 func (r *Replica) newCatalogProposer(machine *fleetconfig.StateMachine) *consensus.CatalogProposer {
 	state := machine.Federation().(*federation.State)
 	state.Merger = r.fleet.Hooks.wrapMerger(r.fleet.Merger)
@@ -20,7 +20,7 @@
 	return consensus.NewCatalogProposer(r.node, r.state, tracker)
 }
 
-// checkedPublisherTracker checks the losses that a tracker finds.
+// checkedPublisherTracker checks I7 for the losses that a tracker reports.
 type checkedPublisherTracker struct {
 	consensus.PublisherTracker
 	replica *Replica
@@ -35,8 +35,8 @@
 	return due
 }
 
-// handlePublication proposes a publication on the leader, and forwards it once elsewhere. One that cannot be proposed gets
-// no answer: the mesh sends it again.
+// handlePublication proposes a publication if the replica leads, and otherwise forwards it to the leader, at most once. A
+// publication that cannot be proposed is not answered, and the mesh retries it.
 func (r *Replica) handlePublication(p catalog.Publication, forwarded bool, reply func([]catalog.Finding, error)) {
 	if leader, ok := r.forwardTarget(); ok && !r.node.Leading() && !forwarded {
 		r.fleet.Network.Send(r.Name, &leader.Process, func() {
@@ -50,11 +50,11 @@
 	if err != nil {
 		return
 	}
-	if r.fleet.Leader() == r { // a leader that was deposed and does not know it yet does not count
+	if r.fleet.Leader() == r { // a deposed leader that still considers itself the leader is ignored
 		r.fleet.invariants.publications[p.Mesh] = receivedPublication{r.engine.now, r.node.Term()}
 	}
-	if len(ids) == 0 { // it is in effect already
-		reply(r.findingsOf(p.Mesh), nil)
+	if len(ids) == 0 { // the publication is already in effect
+		reply(r.findingsFor(p.Mesh), nil)
 	}
 	pending := len(ids)
 	var lastErr error
@@ -65,34 +65,35 @@
 			}
 			pending--
 			if pending == 0 {
-				reply(r.findingsOf(p.Mesh), lastErr)
+				reply(r.findingsFor(p.Mesh), lastErr)
 			}
 		}
 	}
-	r.settle()
+	r.processPending()
 }
 
-// findingsOf are the findings of the merged catalog that concern a mesh.
-func (r *Replica) findingsOf(mesh string) []catalog.Finding {
+// findingsFor returns the findings of the merged catalog that concern a mesh.
+func (r *Replica) findingsFor(mesh string) []catalog.Finding {
 	return slices.DeleteFunc(slices.Clone(r.state.Federation().Findings()),
 		func(f catalog.Finding) bool { return f.Mesh != mesh })
 }
 
-// stepCatalog lets the proposer handle an outcome and proposes the version that it calls for. It reports whether the node
-// has work afterwards.
+// stepCatalog passes an outcome to the proposer, and proposes the version that the proposer requests, if any. It reports whether
+// the node then has pending work.
 func (r *Replica) stepCatalog(outcome consensus.Outcome) bool {
 	r.proposer.HandleOutcome(r.Now(), outcome)
 	if proposal := r.proposer.Step(r.Now()); proposal != nil {
 		if r.fleet.compiles(proposal.Body) {
-			r.failOn(r.proposer.Propose(r.Now(), *proposal))
+			r.reportError(r.proposer.Propose(r.Now(), *proposal))
 		} else {
-			r.proposer.RecordValidationFailure(catalog.UnknownService.New("catalog", "a route names a service that it lacks"))
+			r.proposer.RecordValidationFailure(
+				catalog.UnknownService.New("catalog", "a route refers to a service that the catalog does not contain"))
 		}
 	}
 	return r.node.HasWork()
 }
 
-// withCatalog completes a proposal without a catalog, as the leader does.
+// withCatalog adds the leader's catalog to a proposal that has none, in runs with publishing meshes.
 func (r *Replica) withCatalog(c fleetconfig.Command) fleetconfig.Command {
 	if c.Propose == nil || c.Propose.Body == nil || len(r.fleet.Meshes) == 0 {
 		return c
@@ -104,7 +105,7 @@
 	return c
 }
 
-// Federation is the federation's state at the replica that has applied most.
+// Federation returns the federation's state at the replica that is up and has applied the most commands.
 func (f *Fleet) Federation() federation.ReplicatedState {
 	var latest federation.ReplicatedState
 	applied := uint64(0)
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -8,22 +8,22 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// maxLinkDelay is the slowest link of a fleet with an AgreementTimeout of a second: a renewal and its answer take six
+// maxLinkDelay is the largest link delay of a fleet with an AgreementTimeout of a second. A renewal and its answer take six
 // messages, which must fit into a sixth of a lease.
 const maxLinkDelay = 20 * time.Millisecond
 
-// scenarioStream keeps the draws of a scenario's Config apart from those of its run.
+// scenarioStream is combined with the seed by XOR, so that a scenario's Config and its run use different random numbers.
 const scenarioStream = 0x5eed
 
-// scenario draws what happens to a fleet.
+// scenario generates random faults and requests for a fleet.
 type scenario struct {
 	fleet     *Fleet
 	draft     Draft
-	randomInt func(n int) int // from 0 to n-1
-	healed    bool            // all faults have ended
+	randomInt func(n int) int // returns a random number from 0 to n-1
+	healed    bool            // whether all faults have ended
 }
 
-// federatedMeshes are the meshes of a scenario.
+// federatedMeshes returns the meshes of a scenario.
 func federatedMeshes() []catalog.Mesh {
 	return []catalog.Mesh{{Name: "thies", Precedence: 1}, {Name: "dakar", Precedence: 2}, {Name: "caroni", Precedence: 3}}
 }
@@ -35,13 +35,13 @@
 		randomInt: f.engine.Rand.IntN,
 		draft:     Draft{Routes: map[string]string{}, LargeRoutes: map[string]int{}, Terms: f.Terms, Shuffle: true},
 	}
-	if seed%3 != 0 { // in the other runs meshes publish to the replicas
+	if seed%3 != 0 { // in the other runs, meshes publish to the replicas
 		s.draft.Inputs.Meshes = federatedMeshes()
 	}
 	return s
 }
 
-// randomConfig draws a fleet. The order of the draws matters: with another one the seeds mean other runs.
+// randomConfig returns a random fleet. A different order of the random draws would change the run of every seed.
 func randomConfig(seed uint64, hooks Hooks, trace io.Writer) Config {
 	randomInt := NewEngine(seed^scenarioStream, nil).Rand.IntN
 	c := Config{
@@ -77,28 +77,28 @@
 	return c
 }
 
-// awaitProposal proposes a version that every node can load, and waits until all proxies act on it. It returns how long that
-// took. It is a violation where it takes longer than the limit.
+// awaitProposal proposes a version that every proxy can compile, and waits until all proxies have a lease on it. It returns the
+// elapsed time. Exceeding the limit is a violation.
 func (s *scenario) awaitProposal(what string, limit time.Duration) time.Duration {
 	request := s.propose(true)
 	return s.await(what, limit, func() bool {
-		if request.AnsweredAt > 0 && request.Answer.Err != nil { // an earlier request came between
+		if request.AnsweredAt > 0 && request.Answer.Err != nil { // an earlier request conflicted with the proposal
 			request = s.propose(true)
 		}
 		return request.AnsweredAt > 0 && s.fleet.Active().Number >= request.Answer.Number && s.fleet.Settled()
 	})
 }
 
-// await waits until a condition holds, and returns how long that took. It is a violation where it takes longer than the limit.
+// await waits until a condition holds, and returns the elapsed time. Exceeding the limit is a violation.
 func (s *scenario) await(what string, limit time.Duration, condition func() bool) time.Duration {
 	after, ok := s.fleet.RunUntil(limit, condition)
 	if !ok {
-		s.fleet.violate("%s: not within %s: %s", what, limit, s.fleet.Describe())
+		s.fleet.violate("%s: not reached within %s: %s", what, limit, s.fleet.Describe())
 	}
 	return after
 }
 
-// repeat runs an action at random intervals until a time.
+// repeat runs an action at random intervals until a true time.
 func (s *scenario) repeat(minInterval, maxInterval, until time.Duration, action func()) {
 	engine := s.fleet.engine
 	engine.Schedule(engine.now+engine.RandomDuration(minInterval, maxInterval), func() {
@@ -109,12 +109,12 @@
 	})
 }
 
-// scheduleEnd schedules the end of a fault for a random time, at the latest this long after now.
+// scheduleEnd schedules the end of a fault at a random time, at most latest from now.
 func (s *scenario) scheduleEnd(latest time.Duration, end func()) {
 	const earliest = 50 * time.Millisecond
 	engine := s.fleet.engine
 	engine.Schedule(engine.now+engine.RandomDuration(earliest, latest), end)
 }
 
-// pick draws an item of a list.
+// pick returns a random item of a list.
 func pick[T any](s *scenario, list []T) T { return list[s.randomInt(len(list))] }
--- a/internal/fleetsim/scenario_faults.go
+++ b/internal/fleetsim/scenario_faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// replicaNames are the names of the replicas.
+// replicaNames returns the names of all replicas.
 func (s *scenario) replicaNames() []string {
 	var names []string
 	for _, r := range s.fleet.Replicas {
@@ -14,7 +14,7 @@
 	return names
 }
 
-// proxyNames are the names of the proxies.
+// proxyNames returns the names of all proxies, including those that have ended.
 func (s *scenario) proxyNames() []string {
 	var names []string
 	for _, p := range s.fleet.Proxies {
@@ -23,19 +23,20 @@
 	return names
 }
 
-// maxFaultDuration is the longest that most faults last: for long enough that a proxy that renews no lease meanwhile is no
-// longer waited for.
+// maxFaultDuration returns the longest duration of most faults. It is long enough that the leader stops waiting for a proxy that
+// cannot renew its lease during the fault.
 func (s *scenario) maxFaultDuration() time.Duration {
 	return s.fleet.Terms.MemberTimeout + s.fleet.Terms.AgreementTimeout
 }
 
-// The memory limits that a proxy may get, in bytes: some are below what a version needs.
+// Random memory limits of a proxy, in bytes. Some are lower than a version requires.
 const (
 	minMemoryLimit    = 20_000
 	memoryLimitSpread = 200_000
 )
 
-// injectFault draws a fault. All but a memory limit and another set of proxies end by themselves after a while.
+// injectFault injects a random fault. Each fault ends after a random duration, except memory limits and changes of the set of
+// proxies.
 func (s *scenario) injectFault() {
 	replicas, proxies := s.replicaNames(), s.proxyNames()
 	process := pick(s, slices.Concat(replicas, proxies))
@@ -62,7 +63,7 @@
 	}
 }
 
-// restart crashes a process and starts it again later. A proxy that drains stays down.
+// restart crashes a process and starts it again later. A draining proxy stays down.
 func (s *scenario) restart(name string) {
 	s.fleet.Crash(name)
 	s.scheduleEnd(s.maxFaultDuration()/2, func() {
@@ -72,7 +73,8 @@
 	})
 }
 
-// restartReplicas crashes a majority of the replicas, or all at once, as when the power fails.
+// restartReplicas crashes a majority of the replicas, or all of them, at the same time, as a power failure does, and starts them
+// again later.
 func (s *scenario) restartReplicas(replicas []string) {
 	if s.randomInt(2) == 0 {
 		replicas = replicas[:len(replicas)/2+1]
@@ -82,7 +84,7 @@
 	}
 }
 
-// pauseProcess pauses a process; a proxy mostly while a renewal is in progress.
+// pauseProcess pauses a process. It mostly pauses a proxy right after the proxy sends a renewal.
 func (s *scenario) pauseProcess(name string) {
 	longest := s.maxFaultDuration()
 	if p := s.fleet.Proxy(name); p != nil && s.randomInt(3) > 0 {
@@ -93,7 +95,7 @@
 	s.scheduleEnd(longest, func() { s.fleet.Resume(name) })
 }
 
-// disturbLeader crashes, pauses or disconnects the leader.
+// disturbLeader crashes, pauses or disconnects the leader, if there is one.
 func (s *scenario) disturbLeader(replicas []string) {
 	leader := s.fleet.Leader()
 	if leader == nil {
@@ -112,7 +114,7 @@
 	}
 }
 
-// disconnectProxy disconnects a proxy from the replicas, in one direction or both.
+// disconnectProxy disconnects a proxy from all replicas, in one direction or both.
 func (s *scenario) disconnectProxy(proxy string, replicas []string) {
 	longest := s.maxFaultDuration() * 3 / 2
 	if s.randomInt(2) == 0 {
@@ -122,13 +124,13 @@
 	}
 }
 
-// disconnect disconnects processes, as Fleet.Disconnect does, for a random time.
-func (s *scenario) disconnect(from, to []string, back bool, longest time.Duration) {
-	s.fleet.Disconnect(from, to, back)
-	s.scheduleEnd(longest, func() { s.fleet.Reconnect(from, to, back) })
+// disconnect disconnects processes, as Fleet.Disconnect does, for a random duration of at most longest.
+func (s *scenario) disconnect(from, to []string, bidirectional bool, longest time.Duration) {
+	s.fleet.Disconnect(from, to, bidirectional)
+	s.scheduleEnd(longest, func() { s.fleet.Reconnect(from, to, bidirectional) })
 }
 
-// degradeNetwork makes all links lose and delay messages.
+// degradeNetwork makes the default link lose and delay messages for a random duration.
 func (s *scenario) degradeNetwork() {
 	longest := s.maxFaultDuration()
 	link := &s.fleet.Network.Default
@@ -142,7 +144,7 @@
 	})
 }
 
-// changeProxies adds a proxy or drains one.
+// changeProxies adds or drains a proxy, within limits of the number of proxies ever added.
 func (s *scenario) changeProxies() {
 	const minProxies, maxProxies = 3, 8
 	p := pick(s, s.fleet.Proxies)
--- a/internal/fleetsim/scenario_operator.go
+++ b/internal/fleetsim/scenario_operator.go
@@ -11,10 +11,10 @@
 	"example.org/micafront/internal/fleetconfig"
 )
 
-// operatorName is who proposes the operator's versions, as their history and the trace say.
+// operatorName is the proposer's name in the operator's proposals. It appears in histories and in the trace.
 const operatorName = "staff"
 
-// operate draws what the operator does: a rollback, a withdrawal or, mostly, a proposal.
+// operate submits a random request of the operator: a rollback, a withdrawal or, in most cases, a proposal.
 func (s *scenario) operate() {
 	switch s.randomInt(8) {
 	case 0:
@@ -36,7 +36,7 @@
 	s.fleet.Submit(fleetconfig.Command{Propose: &fleetconfig.Propose{RollbackOf: rollbackOf, ProposedBy: operatorName}})
 }
 
-// withdraw withdraws the version that is proposed at the leader, if there is one.
+// withdraw withdraws the leader's proposed version, if there is one.
 func (s *scenario) withdraw() {
 	leader := s.fleet.Leader()
 	if leader == nil {
@@ -48,8 +48,9 @@
 	}
 }
 
-// propose changes the draft and proposes it, on the version that is active at a random replica, which may be outdated. With
-// mustSucceed it is on the active version and compiles. The order of the draws matters, as it does in randomConfig.
+// propose changes the draft and proposes it. The proposal is based on the version that is active at a random replica, which may
+// be outdated. With mustSucceed, the proposal compiles and is based on the fleet's active version. As in randomConfig, the order
+// of the random draws must not change.
 func (s *scenario) propose(mustSucceed bool) *Request {
 	s.changeRoutes()
 	s.changeTerms()
@@ -66,7 +67,7 @@
 	proposal := &fleetconfig.Propose{ProposedBy: operatorName, Force: s.randomInt(4) == 0}
 	proposal.Body, _ = s.fleet.BuildBody(&s.draft, base)
 	if !s.fleet.compiles(proposal.Body) && (proposal.Force || mustSucceed || s.randomInt(4) > 0) {
-		// The operator mostly validates a proposal first, and then leaves out the routes to services.
+		// In most cases the operator validates a proposal, and removes the routes to services if it does not compile.
 		maps.DeleteFunc(s.draft.Routes, func(_, pool string) bool { return strings.HasPrefix(pool, catalog.ServicePrefix) })
 		proposal.Body, _ = s.fleet.BuildBody(&s.draft, base)
 	}
@@ -76,7 +77,7 @@
 	return s.fleet.Submit(fleetconfig.Command{Propose: proposal})
 }
 
-// changeRoutes changes some of the draft's routes, and now and then a large one.
+// changeRoutes changes some of the draft's routes, and sometimes adds a large route or removes all large routes.
 func (s *scenario) changeRoutes() {
 	d := &s.draft
 	for range 1 + s.randomInt(3) {
@@ -94,7 +95,7 @@
 	d.LargeRoutes[name] = 20 + s.randomInt(300) // keys
 }
 
-// changeTerms now and then changes the draft's timeouts.
+// changeTerms sometimes changes the draft's timeouts.
 func (s *scenario) changeTerms() {
 	if s.randomInt(8) != 0 {
 		return
@@ -110,15 +111,16 @@
 	}
 }
 
-// serviceNames are the names that each mesh may publish, so that names collide.
+// serviceNames lists the services that a mesh may publish. All meshes share them, so that names conflict.
 var serviceNames = []string{"mail", "feed", "chat"}
 
-// serviceOf is a mesh's own service of a name.
-func serviceOf(mesh, name string) catalog.Service {
+// meshService returns the named service of a mesh, with an owner and a contract that only this mesh uses.
+func meshService(mesh, name string) catalog.Service {
 	return NewService(mesh, name, "team-"+mesh, name+"-of-"+mesh)
 }
 
-// changePublications changes what a mesh publishes in the draft, and now and then whether it is lost.
+// changePublications replaces the publication of a random mesh in the draft. If the mesh is marked lost, it removes the mark;
+// otherwise it sometimes marks the mesh lost.
 func (s *scenario) changePublications() {
 	in := &s.draft.Inputs
 	in.Publications = slices.Clone(in.Publications)
@@ -133,7 +135,7 @@
 	}
 	for _, name := range serviceNames {
 		if s.randomInt(3) > 0 || name == "mail" && len(in.Publications) == 0 {
-			next.Services = append(next.Services, serviceOf(mesh, name))
+			next.Services = append(next.Services, meshService(mesh, name))
 		}
 	}
 	in.Publications = append(in.Publications, next)
--- a/internal/fleetsim/scenario_publishers.go
+++ b/internal/fleetsim/scenario_publishers.go
@@ -8,11 +8,11 @@
 	"example.org/micafront/internal/federation"
 )
 
-// meshesPublish reports whether the run has meshes that publish to the replicas. The operator's drafts have no catalog
-// then, and the leader completes them.
+// meshesPublish reports whether the run has meshes that publish to the replicas. In such a run, the operator's drafts contain no
+// catalog, and the leader adds it.
 func (s *scenario) meshesPublish() bool { return len(s.draft.Inputs.Meshes) == 0 }
 
-// startPublishers has the meshes, in a run that has them, publish until a time. Now and then one is disconnected.
+// startPublishers starts the meshes of a run that has them. They publish until a true time, and are sometimes disconnected.
 func (s *scenario) startPublishers(until time.Duration) {
 	if !s.meshesPublish() {
 		return
@@ -25,23 +25,24 @@
 		publish()
 		s.repeat(2*time.Second, 8*time.Second, until, publish)
 		s.repeat(5*time.Second, 20*time.Second, until, func() {
-			s.disconnect([]string{m.Name}, s.replicaNames(), true, 2*meshTimeout) // long enough to be lost
+			s.disconnect([]string{m.Name}, s.replicaNames(), true, 2*meshTimeout) // long enough for the mesh to be marked lost
 		})
 	}
 }
 
-// publishRandomServices has a mesh publish some of the service names, or none.
+// publishRandomServices makes a mesh publish a random selection of the services, possibly none.
 func (s *scenario) publishRandomServices(m *Mesh) {
 	var services []catalog.Service
 	for _, name := range serviceNames {
 		if s.randomInt(3) > 0 {
-			services = append(services, serviceOf(m.Name, name))
+			services = append(services, meshService(m.Name, name))
 		}
 	}
 	m.Publish(services...)
 }
 
-// awaitCatalog checks I7: once all faults have ended, the merged catalog becomes active, unless nodes or routes reject it.
+// awaitCatalog checks that the merged catalog becomes active after all faults have ended, unless the proposer is blocked because
+// nodes or routes reject the catalog. It is part of I7.
 func (s *scenario) awaitCatalog() {
 	f := s.fleet
 	if len(f.Meshes) == 0 || f.Violation != nil {
--- a/internal/fleetsim/summary.go
+++ b/internal/fleetsim/summary.go
@@ -10,7 +10,7 @@
 	"example.org/micafront/internal/stats"
 )
 
-// Summary adds up outcomes, whose fields have the same names.
+// Summary aggregates the outcomes of runs. Its fields correspond to those of Outcome.
 type Summary struct {
 	SeedCount                 uint64
 	EventCount                uint64
@@ -20,17 +20,17 @@
 	TimesToAgreeWithoutFaults []time.Duration
 	TimesToAgreeAfterHealing  []time.Duration
 	ByPolicy                  map[fleetconfig.LeaseExpiryPolicy]*ConnectionCounts
-	Failed                    []Outcome // with a violation; sorted by seed in the result of ExploreAll
+	Failed                    []Outcome // runs with a violation; ExploreAll sorts them by seed
 }
 
-// ConnectionCounts are the connections of the load.
+// ConnectionCounts counts the connections of the load.
 type ConnectionCounts struct {
-	Attempts        uint64 // to place a connection
-	Allowed         uint64
-	RejectedByState map[fleetconfig.LeaseState]uint64 // by the state of the proxy's client, or superseded
+	Attempts        uint64                            // attempted placements
+	Allowed         uint64                            // placed connections
+	RejectedByState map[fleetconfig.LeaseState]uint64 // by the client's state at the rejection, or superseded
 }
 
-// add adds the connections of one proxy or of one run.
+// add adds the counts of one proxy or one run.
 func (p *ConnectionCounts) add(attempts, allowed uint64, rejectedByState map[fleetconfig.LeaseState]uint64) {
 	p.Attempts += attempts
 	p.Allowed += allowed
@@ -42,7 +42,7 @@
 	}
 }
 
-// Add adds an outcome.
+// Add adds the outcome of a run.
 func (s *Summary) Add(o Outcome) {
 	s.SeedCount++
 	s.EventCount += o.EventCount
@@ -51,14 +51,14 @@
 	s.Overlaps = append(s.Overlaps, o.Overlaps...)
 	s.TimesToAgreeWithoutFaults = append(s.TimesToAgreeWithoutFaults, o.TimeToAgreeWithoutFaults)
 	s.TimesToAgreeAfterHealing = append(s.TimesToAgreeAfterHealing, o.TimeToAgreeAfterHealing)
-	s.placements(o.OnLeaseExpiry).add(o.Attempts, o.Allowed, o.RejectedByState)
+	s.connections(o.OnLeaseExpiry).add(o.Attempts, o.Allowed, o.RejectedByState)
 	if o.Violation != nil {
 		s.Failed = append(s.Failed, o)
 	}
 }
 
-// placements returns the sums of the runs under a policy.
-func (s *Summary) placements(policy fleetconfig.LeaseExpiryPolicy) *ConnectionCounts {
+// connections returns the counts of all runs with a policy.
+func (s *Summary) connections(policy fleetconfig.LeaseExpiryPolicy) *ConnectionCounts {
 	if s.ByPolicy == nil {
 		s.ByPolicy = map[fleetconfig.LeaseExpiryPolicy]*ConnectionCounts{}
 	}
@@ -68,7 +68,8 @@
 	return s.ByPolicy[policy]
 }
 
-// String is the summary as a table, for people. Policies and states have the names of the configuration and of telemetry.
+// String returns the summary as a human-readable table. Policies have the names that they have in the configuration, and lease
+// states those that they have in telemetry.
 func (s *Summary) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d seeds, %d events, %d connections placed by a version, %d versions activated\n",
@@ -84,7 +85,7 @@
 	return b.String()
 }
 
-// write writes a line about the connections under a policy: their number, and the shares of the allowed and the rejected ones.
+// write writes a line with the number of connections under a policy and the fractions that were allowed and rejected.
 func (p *ConnectionCounts) write(b *strings.Builder, policy fleetconfig.LeaseExpiryPolicy) {
 	share := func(count uint64) float64 { return float64(count) / float64(p.Attempts) }
 	fmt.Fprintf(b, "connections with on_silence %q: %d, allowed %.4f, rejected", policy, p.Attempts, share(p.Allowed))
@@ -94,14 +95,14 @@
 	b.WriteByte('\n')
 }
 
-// writeQuantiles writes a row of the table. It sorts the times.
+// writeQuantiles writes a row of the table. It sorts times in place.
 func writeQuantiles(b *strings.Builder, title string, times []time.Duration) {
 	slices.Sort(times)
 	quantile := func(fraction float64) time.Duration { return stats.Quantile(times, fraction).Round(time.Microsecond) }
 	fmt.Fprintf(b, "%-34s %7d %12s %12s %12s\n", title, len(times), quantile(0.5), quantile(0.99), quantile(1))
 }
 
-// writeFailed writes the first violations.
+// writeFailed writes a line for each of the first maxFailed violations and the number of further ones.
 func (s *Summary) writeFailed(b *strings.Builder) {
 	const maxFailed = 10
 	for i, outcome := range s.Failed {
--- a/internal/fleetsim/versions.go
+++ b/internal/fleetsim/versions.go
@@ -15,21 +15,21 @@
 	"example.org/micafront/internal/routing"
 )
 
-// defaultPool takes what no other route matches.
+// defaultPool receives the connections that match no other route.
 const defaultPool = "rest"
 
-// Draft is what an operator makes versions from: routes and the federation's inputs.
+// Draft holds the routes and the inputs of the federation from which an operator builds a version.
 type Draft struct {
-	Routes      map[string]string // pool or service by key; other keys go to the pool "rest"
-	LargeRoutes map[string]int    // number of keys by route name, all to the pool "rest"
+	Routes      map[string]string // pool or service by connection key; other keys go to the pool "rest"
+	LargeRoutes map[string]int    // number of keys by route name; all go to the pool "rest"
 	Inputs      catalog.Inputs
 	Terms       fleetconfig.Terms
-	Shuffle     bool // merge the inputs in a random order, some of them twice
+	Shuffle     bool // merge the inputs in a random order, with some of them duplicated
 }
 
-// routingSet is the draft's route table.
+// routingSet returns the draft's routes as a routing.Set.
 func (d *Draft) routingSet() routing.Set {
-	to := func(pool string) []routing.SplitShare { // all of a route's connections
+	to := func(pool string) []routing.SplitShare { // sends all connections of a route to one pool
 		return []routing.SplitShare{{Pool: pool, PPM: routing.TotalPPM}}
 	}
 	set := routing.Set{
@@ -59,8 +59,8 @@
 
 func sortedKeys[K ~string, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// BuildBody makes a version's body from a draft, on top of the active version; nil: there is none. It returns the findings of merging
-// the draft's inputs into a catalog.
+// BuildBody builds a version's body from a draft. If active is not nil, its catalog is the previous one in the merge of the draft's
+// inputs. BuildBody also returns the findings of that merge.
 func (f *Fleet) BuildBody(d *Draft, active *fleetconfig.Version) (*fleetconfig.Body, []catalog.Finding) {
 	body := &fleetconfig.Body{
 		Settings: json.RawMessage(`{}`),
@@ -76,7 +76,7 @@
 	}
 	inputs, at := d.Inputs, f.agreedTime()
 	if d.Shuffle {
-		inputs = f.shuffled(inputs)
+		inputs = f.shuffledInputs(inputs)
 	}
 	state, findings := f.Hooks.wrapMerger(f.Merger).Merge(previous, inputs, at)
 	f.invariants.checkMerge(previous, d.Inputs, state, at)
@@ -84,11 +84,11 @@
 	return body, findings
 }
 
-// agreedTime is the true time in whole milliseconds. Any time that never goes back would do.
+// agreedTime returns the true time in whole milliseconds. Merges only require a time that never decreases.
 func (f *Fleet) agreedTime() time.Duration { return f.engine.now.Truncate(time.Millisecond) }
 
-// shuffled returns inputs in a random order, some of them twice.
-func (f *Fleet) shuffled(in catalog.Inputs) catalog.Inputs {
+// shuffledInputs returns inputs in a random order, with some of them duplicated.
+func (f *Fleet) shuffledInputs(in catalog.Inputs) catalog.Inputs {
 	random := f.engine.Rand
 	return catalog.Inputs{
 		Meshes:       ShuffledWithDuplicate(random, in.Meshes),
@@ -98,7 +98,7 @@
 	}
 }
 
-// ShuffledWithDuplicate returns a copy of a list in a random order, half of the time with one item twice.
+// ShuffledWithDuplicate returns a copy of a list in a random order. With a probability of one half, one item occurs twice.
 func ShuffledWithDuplicate[T any](random *rand.Rand, list []T) []T {
 	shuffled := slices.Clone(list)
 	if len(shuffled) > 0 && random.IntN(2) == 0 {
@@ -111,55 +111,55 @@
 func decodeCatalog(text []byte) *catalog.State {
 	state := &catalog.State{}
 	if err := json.Unmarshal(text, state); err != nil {
-		panic(fmt.Sprint("fleetsim: decoding a catalog that was encoded here: ", err))
+		panic(fmt.Sprint("fleetsim: cannot decode a catalog that this package encoded: ", err))
 	}
 	return state
 }
 
-// The kinds of a simulated proxy's rejections. They are part of the trace.
+// The error kinds in a simulated proxy's rejections. The trace contains them, so they must not change.
 const (
 	kindTooLarge    = "footprint/too-large"
 	kindNotCompiled = "fleetsim/not-compiled"
 )
 
-// loadedVersion is a version as a proxy of a zone uses it.
-type loadedVersion struct {
+// compiledVersion is a version compiled for the proxies of a zone.
+type compiledVersion struct {
 	fleetconfig.Version
 	table     *routing.Table
 	catalog   *catalog.State
 	estimate  memestimate.Estimate
-	bodyBytes int // of the encoded routes
+	bodyBytes int // size of the encoded routes
 }
 
-// loadKey is what a compiled version depends on.
-type loadKey struct{ digest, zone string }
+// compileKey holds the inputs that determine the result of a compilation.
+type compileKey struct{ digest, zone string }
 
-// loadResult is a compiled version, or why it cannot be compiled.
-type loadResult struct {
-	version   *loadedVersion
+// compileResult holds a compiled version, or the rejection if it cannot be compiled.
+type compileResult struct {
+	version   *compiledVersion
 	rejection *fleetconfig.Rejection
 }
 
-// loadVersion returns a version for the proxies of a zone. The compiled parts are shared by them and never changed.
-func (f *Fleet) loadVersion(v fleetconfig.Version, zone string) (*loadedVersion, *fleetconfig.Rejection) {
-	key := loadKey{v.Digest, zone}
-	result, ok := f.compiled[key]
+// compileCached returns a version compiled for a zone. Its callers share the compiled parts, which never change.
+func (f *Fleet) compileCached(v fleetconfig.Version, zone string) (*compiledVersion, *fleetconfig.Rejection) {
+	key := compileKey{v.Digest, zone}
+	result, ok := f.compileCache[key]
 	if !ok {
 		result.version, result.rejection = f.compile(v, zone)
-		f.compiled[key] = result
+		f.compileCache[key] = result
 	}
 	if result.rejection != nil {
 		return nil, result.rejection
 	}
-	loaded := *result.version
-	loaded.Version = v
-	return &loaded, nil
+	compiled := *result.version
+	compiled.Version = v
+	return &compiled, nil
 }
 
-// compile compiles a version for the proxies of a zone.
-func (f *Fleet) compile(v fleetconfig.Version, zone string) (*loadedVersion, *fleetconfig.Rejection) {
-	loaded := &loadedVersion{Version: v, bodyBytes: len(v.Body.Routing)}
-	reject := func(err error) (*loadedVersion, *fleetconfig.Rejection) {
+// compile compiles a version for the proxies of a zone, without the cache.
+func (f *Fleet) compile(v fleetconfig.Version, zone string) (*compiledVersion, *fleetconfig.Rejection) {
+	compiled := &compiledVersion{Version: v, bodyBytes: len(v.Body.Routing)}
+	reject := func(err error) (*compiledVersion, *fleetconfig.Rejection) {
 		return nil, &fleetconfig.Rejection{Kind: kindNotCompiled, Cause: err.Error()}
 	}
 	var set routing.Set
@@ -167,9 +167,9 @@
 		return reject(err)
 	}
 	if len(v.Body.Catalog) > 0 {
-		loaded.catalog = decodeCatalog(v.Body.Catalog)
+		compiled.catalog = decodeCatalog(v.Body.Catalog)
 		var err error
-		if set, err = f.Merger.Bind(set, loaded.catalog, zone); err != nil {
+		if set, err = f.Merger.Bind(set, compiled.catalog, zone); err != nil {
 			return reject(err)
 		}
 	}
@@ -177,21 +177,22 @@
 	if err != nil {
 		return reject(err)
 	}
-	loaded.table = table
-	loaded.estimate = f.Estimator.Table(&set)
-	return loaded, nil
+	compiled.table = table
+	compiled.estimate = f.Estimator.Table(&set)
+	return compiled, nil
 }
 
-// compiles reports whether proxies of every zone can compile a body, whatever its size.
+// compiles reports whether a body compiles for every zone. It ignores memory limits.
 func (f *Fleet) compiles(body *fleetconfig.Body) bool {
 	return !slices.ContainsFunc(f.Zones, func(zone string) bool {
-		_, rejection := f.loadVersion(fleetconfig.Version{Digest: body.Digest(), Body: *body}, zone)
+		_, rejection := f.compileCached(fleetconfig.Version{Digest: body.Digest(), Body: *body}, zone)
 		return rejection != nil
 	})
 }
 
-// requiredBytes is the lowest memory limit for a switch between two versions, by the estimate of its peak.
-func (f *Fleet) requiredBytes(current, next *loadedVersion) uint64 {
+// requiredBytes returns the lowest memory limit that permits a switch from current to next, from the estimate of its peak memory.
+// current may be nil.
+func (f *Fleet) requiredBytes(current, next *compiledVersion) uint64 {
 	var estimate memestimate.Estimate
 	if current != nil {
 		estimate = current.estimate
@@ -199,13 +200,13 @@
 	return memestimate.RequiredBytes(0, f.Estimator.SwitchPeak(estimate, next.estimate, next.bodyBytes))
 }
 
-// conflicting reports whether two versions decide differently on a key. A missing version conflicts with none.
-func conflicting(a, b *loadedVersion, key string) bool {
+// conflicting reports whether two versions contradict each other on a key. A nil version conflicts with no other.
+func conflicting(a, b *compiledVersion, key string) bool {
 	return a != nil && b != nil && a.pool(key) != b.pool(key)
 }
 
-// pool is the pool that the version selects for a key; empty: none.
-func (l *loadedVersion) pool(key string) string {
+// pool returns the pool that the version selects for a key, or "" if there is none.
+func (l *compiledVersion) pool(key string) string {
 	decision, ok := l.table.Decide(&routing.ConnectionAttributes{
 		Key:      key,
 		Listener: routing.MainListener,
@@ -217,7 +218,7 @@
 	return l.table.Set.Pools[decision.Pool].Name
 }
 
-// describeName describes what a name means in a catalog; empty: nothing.
+// describeName describes the entry to which a name resolves in a catalog, or returns "" if there is none.
 func describeName(s *catalog.State, name string) string {
 	entry, ok := s.Resolve(name)
 	if !ok {
@@ -230,7 +231,7 @@
 	return text
 }
 
-// NewService is a service as a mesh publishes it, with endpoints in the zone of the mesh's name.
+// NewService returns a service of a mesh. Its endpoints are in the zone that has the mesh's name.
 func NewService(mesh, name, owner, contract string) catalog.Service {
 	return catalog.Service{
 		Name:     name,
