--- a/internal/fleetsim/control.go
+++ b/internal/fleetsim/control.go
@@ -25,7 +25,8 @@
 // Pause suspends the named process until Resume.
 func (f *Fleet) Pause(name string) { f.process(name).pause() }
 
-// Resume continues the named process if it is paused. A proxy then places the connections that arrived during the pause.
+// Resume continues the named process if it is paused. A proxy then places the load's connections that arrived during the pause,
+// unless it is draining.
 func (f *Fleet) Resume(name string) {
 	process := f.process(name)
 	if !process.paused {
--- a/internal/fleetsim/engine.go
+++ b/internal/fleetsim/engine.go
@@ -28,7 +28,7 @@
 
 	recent     [recentEntries]traceEntry // ring buffer of the latest trace entries
 	traceCount uint64                    // number of trace entries so far
-	digest     *xxhash.Digest            // of the trace
+	digest     *xxhash.Digest            // hash of the trace so far
 	out        io.Writer                 // receives the trace; nil: the trace is not written
 	buffer     []byte                    // reused by Trace for the encoded entry
 }
--- a/internal/fleetsim/explore.go
+++ b/internal/fleetsim/explore.go
@@ -17,10 +17,10 @@
 	// healingTime is how long agreement may take after all faults have ended, in addition to MemberTimeout. A disconnected
 	// proxy renews only every 5 s. It may also stop right after a renewal, and then the leader waits for it. The election of a
 	// leader takes time as well.
-	healingTime        = 8 * time.Second
-	healingTimePerMesh = 4 * time.Second // for a catalog whose proposal waits for an earlier version
-	proposalTime       = time.Second     // to agree on a proposal, in addition to AgreementTimeout
-	maxDelayedInRow    = 2               // consecutive messages that may each have the largest extra delay
+	healingTime          = 8 * time.Second
+	healingTimePerMesh   = 4 * time.Second // for a catalog whose proposal waits for an earlier version
+	proposalTime         = time.Second     // to agree on a proposal, in addition to AgreementTimeout
+	maxConsecutiveDelays = 2               // consecutive messages that may each have the largest extra delay
 )
 
 // Outcome is the result of one run.
@@ -44,7 +44,7 @@
 func Explore(seed uint64, hooks Hooks, trace io.Writer) Outcome {
 	s := newScenario(seed, hooks, trace)
 	f := s.fleet
-	extraDelay := maxDelayedInRow * f.DefaultLink.MaxExtraDelay
+	extraDelay := maxConsecutiveDelays * f.DefaultLink.MaxExtraDelay
 	s.awaitProposal("I6: after the start", faultFreePeriod+f.Terms.MemberTimeout/2+extraDelay)
 	withoutFaults := s.awaitProposal("I6: a proposal without faults", DefaultTerms.AgreementTimeout+proposalTime+extraDelay)
 	s.runFaults()
@@ -89,7 +89,7 @@
 	s.fleet.Run(faultyPeriod)
 }
 
-// endFaults ends all faults, including memory limits, and lets the network recover.
+// endFaults ends all faults and removes all memory limits.
 func (s *scenario) endFaults() {
 	s.fleet.Network.Default = HealthyLink
 	s.healed = true
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -113,8 +113,8 @@
 	testkit.Equal(t, "lost messages", uint64(1), n.Lost)
 }
 
-// TestInvariantsDetectViolations checks that the checks of I1 to I5, and that of a switch to an unprepared version, report a
-// violation.
+// TestInvariantsDetectViolations requires a violation from each check of I1 to I5, and from a switch to an unprepared version. It
+// guards against a check that never fails.
 func TestInvariantsDetectViolations(t *testing.T) {
 	version := func(n uint64, pool string) *compiledVersion {
 		f := New(Config{Seed: 1, ProxyCount: 1})
--- a/internal/fleetsim/hooks.go
+++ b/internal/fleetsim/hooks.go
@@ -8,10 +8,10 @@
 
 // Hooks introduces planted faults into the simulated programs. The zero value introduces none.
 type Hooks struct {
-	WrapClient     func(fleetconfig.Leaseholder) fleetconfig.Leaseholder // wraps each proxy's lease client
-	WrapLeases     WrapLeases                                            // wraps each replica's lease service
-	WrapMerger     func(catalog.Merger) catalog.Merger                   // wraps the merger of all processes
-	WrapPublishers func(consensus.PublisherTracker) consensus.PublisherTracker
+	WrapClient     func(fleetconfig.Leaseholder) fleetconfig.Leaseholder       // wraps each proxy's lease client
+	WrapLeases     WrapLeases                                                  // wraps each replica's lease service
+	WrapMerger     func(catalog.Merger) catalog.Merger                         // wraps the merger of all processes
+	WrapPublishers func(consensus.PublisherTracker) consensus.PublisherTracker // wraps each replica's publisher tracker
 	// AdjustEstimate changes the estimate of the bytes that a proxy requires to switch versions.
 	AdjustEstimate func(required uint64) uint64
 
--- a/internal/fleetsim/process.go
+++ b/internal/fleetsim/process.go
@@ -18,7 +18,7 @@
 	return c.Offset + trueTime + time.Duration(wholeDrift) + time.Duration(remainderDrift)
 }
 
-// TrueTime returns the earliest true time at which the clock's reading is at or later.
+// TrueTime returns the earliest true time at which the clock has reached at.
 func (c Clock) TrueTime(at time.Duration) time.Duration {
 	t := time.Duration(float64(at-c.Offset) * partsPerMillion / float64(partsPerMillion+c.DriftPPM))
 	for c.Read(t) < at { // the floating-point result may be rounded down
--- a/internal/fleetsim/proxy_load.go
+++ b/internal/fleetsim/proxy_load.go
@@ -12,8 +12,8 @@
 	maxPlaceTime = 4 * time.Millisecond // from the decision to the first write
 )
 
-// superseded is a rejection state that supplements the client's states. It counts connections whose version was replaced, by one
-// that routes them differently, between the routing decision and the first write.
+// superseded is the state under which RejectedByState counts connections that the proxy rejected because, between the routing
+// decision and the first write, it switched to a version that routes them differently. The lease client has no such state.
 const superseded fleetconfig.LeaseState = "superseded"
 
 // randomKey returns a random key of the load.
@@ -33,7 +33,7 @@
 	})
 }
 
-// placeBacklog places the connections that arrived while the proxy was paused, at the time of its resumption.
+// placeBacklog places the connections that arrived during a pause, as soon as the proxy resumes.
 func (p *Proxy) placeBacklog() {
 	for range backlogSize {
 		p.Post(p.engine.now, func() { p.Place(p.fleet.randomKey()) })
--- a/internal/fleetsim/replica.go
+++ b/internal/fleetsim/replica.go
@@ -96,7 +96,7 @@
 
 // tick schedules the next tick, which in turn schedules its successor.
 func (r *Replica) tick() {
-	const flushChance = 0.1 // at each tick, for a disk that loses its latest writes in a crash
+	const flushChance = 0.1 // probability per tick that staleDisk catches up with disk
 	r.Timer(r.Now()+r.fleet.TickInterval, func() {
 		if r.fleet.Hooks.LoseLastWrites && r.engine.Chance(flushChance) {
 			r.staleDisk = r.disk
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -66,7 +66,13 @@
 	links := []Link{
 		HealthyLink,
 		{MinDelay: time.Millisecond, MaxDelay: 40 * time.Millisecond},
-		{MinDelay: 200 * time.Microsecond, MaxDelay: 10 * time.Millisecond, DuplicateRate: 0.05, ExtraDelayRate: 0.01, MaxExtraDelay: 3 * time.Second},
+		{
+			MinDelay:       200 * time.Microsecond,
+			MaxDelay:       10 * time.Millisecond,
+			DuplicateRate:  0.05,
+			ExtraDelayRate: 0.01,
+			MaxExtraDelay:  3 * time.Second,
+		},
 	}
 	c.DefaultLink = links[randomInt(len(links))]
 	if c.DefaultLink.MaxDelay > maxLinkDelay {
@@ -79,9 +85,9 @@
 
 // awaitProposal proposes a version that every proxy can compile, and waits until all proxies have a lease on it. It returns the
 // elapsed time. Exceeding the limit is a violation.
-func (s *scenario) awaitProposal(what string, limit time.Duration) time.Duration {
+func (s *scenario) awaitProposal(goal string, limit time.Duration) time.Duration {
 	request := s.propose(true)
-	return s.await(what, limit, func() bool {
+	return s.await(goal, limit, func() bool {
 		if request.AnsweredAt > 0 && request.Answer.Err != nil { // an earlier request conflicted with the proposal
 			request = s.propose(true)
 		}
@@ -90,10 +96,10 @@
 }
 
 // await waits until a condition holds, and returns the elapsed time. Exceeding the limit is a violation.
-func (s *scenario) await(what string, limit time.Duration, condition func() bool) time.Duration {
+func (s *scenario) await(goal string, limit time.Duration, condition func() bool) time.Duration {
 	after, ok := s.fleet.RunUntil(limit, condition)
 	if !ok {
-		s.fleet.violate("%s: not reached within %s: %s", what, limit, s.fleet.Describe())
+		s.fleet.violate("%s: not reached within %s: %s", goal, limit, s.fleet.Describe())
 	}
 	return after
 }
--- a/internal/fleetsim/scenario_faults.go
+++ b/internal/fleetsim/scenario_faults.go
@@ -144,7 +144,7 @@
 	})
 }
 
-// changeProxies adds or drains a proxy, within limits of the number of proxies ever added.
+// changeProxies adds or drains a proxy. Its limits count all proxies since the start, including those that have ended.
 func (s *scenario) changeProxies() {
 	const minProxies, maxProxies = 3, 8
 	p := pick(s, s.fleet.Proxies)
