--- a/cmd/micafront/operator_test.go
+++ b/cmd/micafront/admin_test.go
@@ -16,13 +16,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// withOperator makes the program listen for operators.
-func withOperator(proxy *proxyProcess) { proxy.operatorListen = "127.0.0.1:0" }
+// withAdminListener enables the admin listener.
+func withAdminListener(proxy *proxyProcess) { proxy.adminListen = "127.0.0.1:0" }
 
-// operatorCall makes one call as an operator and returns status and body.
-func (p *proxyProcess) operatorCall(method, path string) (int, string) {
+// adminCall makes an HTTP call to the admin listener and returns the response's status and body.
+func (p *proxyProcess) adminCall(method, path string) (int, string) {
 	p.t.Helper()
-	req, err := http.NewRequest(method, "http://"+p.operatorAddr+path, nil)
+	req, err := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -39,12 +39,12 @@
 	return res.StatusCode, string(body)
 }
 
-// waitForMetrics reads the telemetry until it has these figures.
+// waitForMetrics reads the telemetry until the named metrics have these values.
 func (p *proxyProcess) waitForMetrics(want map[string]string) {
 	p.t.Helper()
 	var diff string
 	for end := time.Now().Add(fakes.WaitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		_, body := p.operatorCall("GET", "/api/telemetry")
+		_, body := p.adminCall("GET", "/api/telemetry")
 		got := map[string]string{}
 		for _, l := range strings.Split(strings.TrimSpace(body), "\n") {
 			name, value, _ := strings.Cut(l, "=")
@@ -59,7 +59,7 @@
 	p.t.Fatalf("telemetry (-want +got):\n%s", diff)
 }
 
-// ping returns the answer to a readiness check by a new client.
+// ping sends a readiness check on a new client connection and returns the answer.
 func (p *proxyProcess) ping() string {
 	p.t.Helper()
 	client := p.dial()
@@ -68,19 +68,19 @@
 	return client.ReadLine()
 }
 
-// dialOperator connects as an operator.
-func (p *proxyProcess) dialOperator() *fakes.Peer {
+// dialAdmin opens a connection to the admin listener.
+func (p *proxyProcess) dialAdmin() *fakes.Peer {
 	p.t.Helper()
-	c, err := net.Dial("tcp", p.operatorAddr)
+	c, err := net.Dial("tcp", p.adminAddr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	return fakes.NewPeer(p.t, c)
 }
 
-// TestOperatorCalls checks paths, methods and the HTTP parser of the operator's listener.
-func TestOperatorCalls(t *testing.T) {
-	proxy, _ := startWithEndpoint(t, withOperator)
+// TestAdminCalls checks the paths, the methods and the HTTP parser of the admin listener.
+func TestAdminCalls(t *testing.T) {
+	proxy, _ := startWithEndpoint(t, withAdminListener)
 	for _, c := range []struct {
 		call   string
 		status int
@@ -90,7 +90,7 @@
 		{"POST /api/rejoin", 405}, {"DELETE /api/telemetry", 405},
 	} {
 		method, path, _ := strings.Cut(c.call, " ")
-		status, _ := proxy.operatorCall(method, path)
+		status, _ := proxy.adminCall(method, path)
 		testkit.Equal(t, c.call, c.status, status)
 	}
 	for in, want := range map[string]string{
@@ -104,8 +104,8 @@
 		"PING\r\n\r\n":                                                                       "400",
 		"GET /" + strings.Repeat("x", 5000):                                                  "431",
 	} {
-		c := proxy.dialOperator()
-		go func() { // one byte at a time, each in a packet of its own
+		c := proxy.dialAdmin()
+		go func() { // sends one byte at a time, each in a separate packet
 			for i := range len(in) {
 				if _, err := io.WriteString(c, in[i:i+1]); err != nil {
 					return
@@ -114,27 +114,27 @@
 		}()
 		testkit.Equal(t, fmt.Sprintf("status of %.60q", in), want, strings.Fields(c.ReadLine())[1])
 	}
-	partial := proxy.dialOperator()
+	partial := proxy.dialAdmin()
 	partial.Send("GET /api/ready HT")
 	partial.CloseWrite()
-	testkit.Equal(t, "half a call and its end", "HTTP/1.1 400 Bad Request", partial.ReadLine())
+	testkit.Equal(t, "partial call and EOF", "HTTP/1.1 400 Bad Request", partial.ReadLine())
 }
 
-// TestOperatorDuringConnectionFlood checks that neither unfinished calls nor clients that take every descriptor lock
-// operators out.
-func TestOperatorDuringConnectionFlood(t *testing.T) {
-	proxy, _ := startWithEndpoint(t, withOperator, withSockets(48))
-	var stuck []*fakes.Peer
+// TestAdminListenerDuringConnectionFlood checks that the admin listener still answers calls when there are many unfinished
+// calls and clients use all descriptors.
+func TestAdminListenerDuringConnectionFlood(t *testing.T) {
+	proxy, _ := startWithEndpoint(t, withAdminListener, withMaxDescriptors(48))
+	var unfinished []*fakes.Peer
 	for range 40 {
-		c := proxy.dialOperator()
+		c := proxy.dialAdmin()
 		c.Send("GET /api/re")
-		stuck = append(stuck, c)
+		unfinished = append(unfinished, c)
 	}
 	stop := make(chan bool)
 	defer close(stop)
 	for range 4 {
 		go func() {
-			// Bounded: a fast machine would run out of descriptors on this side first.
+			// Bounded, because a fast machine would run out of descriptors in the test first.
 			var open [512]net.Conn
 			defer func() {
 				for _, c := range open {
@@ -153,7 +153,7 @@
 				default:
 				}
 				if c, err := net.Dial("tcp", proxy.addr); err == nil {
-					_, _ = io.WriteString(c, openLine("key")) // no endpoint answers: descriptors stay in use
+					_, _ = io.WriteString(c, openLine("key")) // no endpoint answers, so that descriptors stay in use
 					open[i] = c
 				} else {
 					time.Sleep(time.Millisecond)
@@ -162,42 +162,43 @@
 		}()
 	}
 	for range 100 {
-		status, _ := proxy.operatorCall("GET", "/api/ready")
-		testkit.Equal(t, "during the flood", 200, status)
+		status, _ := proxy.adminCall("GET", "/api/ready")
+		testkit.Equal(t, "status during the flood", 200, status)
 	}
-	// The oldest call was closed, and the newest are still read.
-	testkit.Equal(t, "oldest", "EOF", stuck[0].ReadLine())
+	// The proxy closes the oldest unfinished call.
+	testkit.Equal(t, "oldest unfinished call", "EOF", unfinished[0].ReadLine())
 	pending := regexp.MustCompile(`(?m)^svc\.pending=[1-9]`)
 	for end := time.Now().Add(fakes.WaitTimeout); ; {
-		_, body := proxy.operatorCall("GET", "/api/telemetry")
+		_, body := proxy.adminCall("GET", "/api/telemetry")
 		if pending.MatchString(body) {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no flood: %s", body)
+			t.Fatalf("no request is pending, so the flood did not take effect: %s", body)
 		}
 	}
 }
 
-// TestTelemetry checks that each accepted request counts once in its class, and an attempt once its request is sent.
+// TestTelemetry checks that the telemetry counts every accepted request once in its class, and an attempt once its request
+// is sent.
 func TestTelemetry(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	client, upstream := proxy.connect(conns, "a")
 	failed := proxy.dial()
 	failed.Send(openLine("b"))
-	at := fakes.Await(t, conns)
-	at.ReadLine()
+	failedUpstream := fakes.Await(t, conns)
+	failedUpstream.ReadLine()
 	proxy.waitForMetrics(map[string]string{"svc.pending": "2", "svc.upstream_requests": "2", "svc.members": "1",
 		"svc.members_unavailable": "0", "svc.downstream_requests.feed.completed": "1"})
 	failed.Send("too early\r\n")
 	testkit.Equal(t, "failed", "ERR SYNTAX", failed.ReadLine())
 	rejected := proxy.dial()
 	rejected.Send(openLine("c"))
-	at = fakes.Await(t, conns)
-	at.ReadLine()
-	at.Send("BUSY\r\n")
+	rejectedUpstream := fakes.Await(t, conns)
+	rejectedUpstream.ReadLine()
+	rejectedUpstream.Send("BUSY\r\n")
 	if l := rejected.ReadLine(); !strings.HasPrefix(l, "BUSY ") {
-		t.Errorf("answer %q", l)
+		t.Errorf("answer %q, want BUSY", l)
 	}
 	bad := proxy.dial()
 	bad.Send("OPEN x k c=none,d=5000\r\n")
@@ -206,7 +207,7 @@
 	proxy.waitForLog(logConfigRejected)
 	proxy.reload(`"known":[{`, `"known":{`)
 	client.Close()
-	testkit.Equal(t, "its end", "EOF", upstream.ReadLine())
+	testkit.Equal(t, "end of the connection", "EOF", upstream.ReadLine())
 	for _, p := range []*fakes.Peer{failed, rejected, bad} {
 		p.Close()
 	}
@@ -218,14 +219,14 @@
 		"svc.downstream_requests.feed.failed": "1"})
 }
 
-// TestDrain checks that a drained proxy answers PING with an error, moves established and new connections, serves on,
-// and is ready after a rejoin. Each call is made twice, as operators do.
+// TestDrain checks that a drained proxy answers PING with an error and moves established and new connections while it
+// continues to serve, and that it is ready again after a rejoin. Every call is made twice, because operators repeat calls.
 func TestDrain(t *testing.T) {
-	proxy, conns := startWithEndpoint(t, withOperator)
+	proxy, conns := startWithEndpoint(t, withAdminListener)
 	put := func(path string) {
 		t.Helper()
 		for range 2 {
-			status, _ := proxy.operatorCall("PUT", path)
+			status, _ := proxy.adminCall("PUT", path)
 			testkit.Equal(t, path, 200, status)
 		}
 	}
@@ -240,7 +241,7 @@
 	moved(early)
 	lateClient, _ := proxy.connect(conns, "b")
 	moved(lateClient)
-	status, _ := proxy.operatorCall("GET", "/api/ready")
+	status, _ := proxy.adminCall("GET", "/api/ready")
 	testkit.Equal(t, "the process serves", 200, status)
 	put("/api/rejoin")
 	testkit.Equal(t, "back", "PONG", proxy.ping())
@@ -248,7 +249,7 @@
 	client.Send("M 1\r\n")
 	testkit.Equal(t, "stays", "M 1", upstream.ReadLine())
 	put("/api/evacuate")
-	put("/api/rejoin") // before a client was moved
+	put("/api/rejoin") // before any client was moved
 	put("/api/evacuate")
 	moved(client)
 	last, _ := proxy.connect(conns, "d")
--- a/cmd/micafront/delayed_endpoint_test.go
+++ b/cmd/micafront/delayed_endpoint_test.go
@@ -13,7 +13,7 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// waitForSocketState waits until the kernel's table has a connection to an address in a state, by its number there.
+// waitForSocketState waits until /proc/net/tcp lists a connection to an address in a state such as socketSynSent.
 func waitForSocketState(t *testing.T, addr, state string) {
 	t.Helper()
 	_, port, _ := net.SplitHostPort(addr)
@@ -30,8 +30,8 @@
 	t.Fatalf("no connection to %s in state %s", addr, state)
 }
 
-// waitForArrival waits until the program's end of a connection has something to read: bytes, an end or a reset. The
-// kernel's table then no longer lists it as established with an empty queue.
+// waitForArrival waits until the program's end of a connection has something to read: bytes, an EOF or a reset.
+// /proc/net/tcp then no longer lists the connection as established with an empty receive queue.
 func waitForArrival(t *testing.T, p *fakes.Peer) {
 	t.Helper()
 	near, far := p.RemoteAddr().(*net.TCPAddr).Port, p.LocalAddr().(*net.TCPAddr).Port
@@ -41,19 +41,19 @@
 			return
 		}
 	}
-	t.Fatal("what was sent did not arrive")
+	t.Fatal("nothing arrived at the program's end of the connection")
 }
 
-// States of sockets in /proc/net/tcp.
+// Socket states in /proc/net/tcp.
 const (
 	socketSynSent   = "02"
 	socketCloseWait = "08"
 )
 
-// acceptDelayed frees a delayed listener and accepts the connection that was dialed.
-func acceptDelayed(t *testing.T, delayed net.Listener, free func()) *fakes.Peer {
+// acceptDelayed unblocks a delayed listener and accepts the connection that was dialed.
+func acceptDelayed(t *testing.T, delayed net.Listener, unblock func()) *fakes.Peer {
 	t.Helper()
-	free()
+	unblock()
 	if err := delayed.(*net.TCPListener).SetDeadline(time.Now().Add(fakes.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -64,43 +64,43 @@
 	return fakes.NewPeer(t, conn)
 }
 
-// startWithDelayedEndpoint starts the program with one endpoint whose connections are established only once it is
-// freed.
-func startWithDelayedEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, free func()) {
+// startWithDelayedEndpoint starts the program with one endpoint whose connections are established only once unblock is
+// called.
+func startWithDelayedEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, unblock func()) {
 	t.Helper()
-	delayed, free = newDelayedListener(t)
+	delayed, unblock = newDelayedListener(t)
 	proxy = startProxy(t, fakes.List(1, true, listEntry("s-late", delayed.Addr().String(), "in_service")), options...)
-	return proxy, delayed, free
+	return proxy, delayed, unblock
 }
 
-// expectNoRequest checks that a connection of an endpoint ends without a first line.
+// expectNoRequest checks that the connection of an endpoint ends before another line arrives.
 func expectNoRequest(t *testing.T, upstream *fakes.Peer) {
 	t.Helper()
 	if l := upstream.ReadLine(); l != "EOF" && l != "RST" {
-		t.Errorf("the endpoint got %q", l)
+		t.Errorf("the endpoint received %q, want the end of the connection", l)
 	}
 }
 
-// startWithDelayedSecondEndpoint starts the program with an endpoint that answers and one whose connections are
-// delayed. It returns a request whose first attempt went to the former.
-func startWithDelayedSecondEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, free func(), client, upstream *fakes.Peer) {
+// startWithDelayedSecondEndpoint starts the program with an endpoint that accepts connections and one whose connections are
+// delayed. It sends requests until the first attempt of one goes to the former, and returns both ends of that request.
+func startWithDelayedSecondEndpoint(t *testing.T, options ...proxyOption) (proxy *proxyProcess, delayed net.Listener, unblock func(), client, upstream *fakes.Peer) {
 	t.Helper()
-	delayed, free = newDelayedListener(t)
+	delayed, unblock = newDelayedListener(t)
 	conns := make(chan *fakes.Peer, 8)
 	endpoint := fakes.NewScriptedEndpoint(t, "s-1", conns)
 	proxy = startProxy(t, fakes.List(1, true, listEntry(endpoint.ID, endpoint.Addr, "in_service"), listEntry("s-late", delayed.Addr().String(), "in_service")), options...)
 	for i := 0; ; i++ {
 		c := proxy.dial()
 		c.Send(openLineOfClass("mint", fmt.Sprint("key", i), ",d=90000"))
-		placed := make(chan bool)
+		dialed := make(chan bool)
 		ctx, cancel := context.WithCancel(t.Context())
-		go func() { // an attempt at the delayed endpoint, if there is one
+		go func() { // detects an attempt at the delayed endpoint
 			_, port, _ := net.SplitHostPort(delayed.Addr().String())
 			var n int
 			_, _ = fmt.Sscan(port, &n) // a listener's port is a number
 			for ctx.Err() == nil {
 				if all, _ := os.ReadFile("/proc/net/tcp"); regexp.MustCompile(fmt.Sprintf(`:%04X %s `, n, socketSynSent)).Match(all) {
-					placed <- false
+					dialed <- true
 					return
 				}
 				time.Sleep(time.Millisecond)
@@ -110,8 +110,8 @@
 		case upstream = <-conns:
 			cancel()
 			upstream.ReadLine()
-			return proxy, delayed, free, c, upstream
-		case <-placed:
+			return proxy, delayed, unblock, c, upstream
+		case <-dialed:
 		}
 		cancel()
 		c.Close()
@@ -119,14 +119,14 @@
 	}
 }
 
-// newDelayedEndpoint returns an endpoint whose connections are established only once accept is called; then they arrive
-// on the channel.
+// newDelayedEndpoint returns an endpoint whose connections are established only once accept is called. They then arrive on
+// the channel.
 func newDelayedEndpoint(t *testing.T) (addr string, accept func(), conns chan *fakes.Peer) {
 	t.Helper()
-	l, free := newDelayedListener(t)
+	l, unblock := newDelayedListener(t)
 	conns = make(chan *fakes.Peer, 16)
 	return l.Addr().String(), func() {
-		free()
+		unblock()
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -139,9 +139,9 @@
 	}, conns
 }
 
-// newDelayedListener returns a listener at which connections are established only once it is freed: its queue is full
-// until then.
-func newDelayedListener(t *testing.T) (listener net.Listener, free func()) {
+// newDelayedListener returns a listener at which connections are established only once unblock is called: its accept queue
+// is full until then.
+func newDelayedListener(t *testing.T) (listener net.Listener, unblock func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -155,7 +155,7 @@
 	if cerr := raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }); err != nil || cerr != nil {
 		t.Fatal(err, cerr)
 	}
-	fakes.Dial(t, listener.Addr().String()) // a queue of length 0 holds one
+	fakes.Dial(t, listener.Addr().String()) // a queue of length 0 holds one connection
 	return listener, func() {
 		conn, err := listener.Accept()
 		if err != nil {
--- a/cmd/micafrontctl/bench_check.go
+++ b/cmd/micafrontctl/bench_check.go
@@ -13,20 +13,20 @@
 	"example.org/micafront/internal/sitelang"
 )
 
-type benchCheck struct {
+type benchCheckCommand struct {
 	Routes int `help:"Routes of the site." default:"10000"`
 	Pools  int `help:"Its pools." default:"1000"`
 	Rounds int `help:"How often it is checked." default:"5"`
 }
 
-// benchPolicies is how many policies the generated site has.
+// benchPolicies is the number of policies in the generated site.
 const benchPolicies = 100
 
-// maxBenchAttempts is the largest limit of attempts among these policies.
+// maxBenchAttempts is the largest attempt limit among these policies.
 const maxBenchAttempts = 5
 
-// Run checks a generated site once a round in a process of its own, and prints the time and memory of these.
-func (c *benchCheck) Run() error {
+// Run checks a generated site in a separate process for each round, and prints the time and memory of these processes.
+func (c *benchCheckCommand) Run() error {
 	printHeading(0)
 	dir, err := os.MkdirTemp("", "micafront-bench")
 	if err != nil {
@@ -37,8 +37,8 @@
 	if err := os.WriteFile(path, []byte(c.largeSite()), 0o600); err != nil {
 		return err
 	}
-	written := time.Now().Add(-time.Minute)
-	_ = os.Chtimes(path, written, written) // if it fails, the check waits for a file that was just written
+	modified := time.Now().Add(-time.Minute)
+	_ = os.Chtimes(path, modified, modified) // if it fails, the check waits because the file was just written
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 		seconds = append(seconds, time.Since(began).Seconds())
 		peakMiB = max(peakMiB, float64(peakResidentKiB(cmd))/kibPerMiB)
 	}
-	if _, findings := sitelang.Load(path); findings.Fatal() {
+	if _, findings := sitelang.Load(path); findings.HasErrors() {
 		return findings.Err()
 	}
 	fmt.Println("| routes | pools | seconds, median | seconds, most | MiB at most |\n| --- | --- | --- | --- | --- |")
@@ -63,7 +63,7 @@
 }
 
 // largeSite returns the sample site with generated pools, policies and routes.
-func (c *benchCheck) largeSite() string {
+func (c *benchCheckCommand) largeSite() string {
 	beforePools, _, _ := strings.Cut(string(deploy.Thies), "pool: {")
 	var b strings.Builder
 	b.WriteString(beforePools + "pool: {\n")
--- a/internal/sitelang/reference.go
+++ b/internal/sitelang/reference.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// referenceIntro is the reference's text before the tables of the records.
+// referenceIntro is the text of the reference that precedes the table of units and the tables of the records.
 const referenceIntro = "# The site language\n\nMade from the schema by `micafront config reference`; edit the schema, not this page.\n\n" +
 	"A site is one CUE file or several: `include` names the others. Every figure carries its unit, with or without a space\n" +
 	"before it; a number without one is refused. Fields marked * are required. What the language has beside fields is CUE's\n" +
 	"own: patterns such as `[string]: {…}`, defaults, references, `if` and interpolation; `import` and `for` are refused.\n\n## Units\n\n" +
 	"| figure | units | example |\n| --- | --- | --- |\n"
 
-// Reference writes the language reference in Markdown, generated from the schema. Its errors are those of w.
-func Reference(w io.Writer) error {
+// WriteReference writes the language reference, which it generates from the schema, in Markdown. It returns w's errors.
+func WriteReference(w io.Writer) error {
 	if _, err := io.WriteString(w, referenceIntro); err != nil {
 		return err
 	}
@@ -35,8 +35,8 @@
 	return err
 }
 
-// writeRecordReference writes the section of a record and then those of the records in it, each once. written has the names
-// of the records that have their section.
+// writeRecordReference writes the section of a record, and then the sections of the records that its fields hold. written
+// contains the names of the records whose section has been written; those are skipped.
 func writeRecordReference(w io.Writer, r *record, written map[string]bool) error {
 	if written[r.name] {
 		return nil
@@ -51,7 +51,7 @@
 		if !f.optional {
 			requiredMark = " *"
 		}
-		if _, err := fmt.Fprintf(w, "| `%s`%s | %s | %s |\n", f.name, requiredMark, f.describeCell(), strings.ReplaceAll(f.doc, "|", "or")); err != nil {
+		if _, err := fmt.Fprintf(w, "| `%s`%s | %s | %s |\n", f.name, requiredMark, f.tableCell(), strings.ReplaceAll(f.doc, "|", "or")); err != nil {
 			return err
 		}
 		for t := f.valueType; t != nil; t = t.element {
@@ -68,24 +68,24 @@
 	return nil
 }
 
-// describeCell returns what a field holds, for the reference's tables.
-func (f *field) describeCell() string {
-	out := f.valueType.describeCell()
+// tableCell describes a field's type and range in the reference's tables.
+func (f *field) tableCell() string {
+	out := f.valueType.tableCell()
 	if f.rangeText != "" {
 		out += ", " + f.rangeText
 	}
 	return out
 }
 
-// describeCell returns the type for the reference's tables. Lists, maps and records name what they hold.
-func (t *fieldType) describeCell() string {
+// tableCell describes the type in the reference's tables. Lists, maps and records include the type of their contents.
+func (t *fieldType) tableCell() string {
 	switch t.kind {
 	case kindRecord:
 		return "a record: " + strings.TrimPrefix(t.record.name, "#")
 	case kindMap:
-		return "by name: " + strings.TrimPrefix(t.element.describeCell(), "a record: ")
+		return "by name: " + strings.TrimPrefix(t.element.tableCell(), "a record: ")
 	case kindList:
-		return "a list: " + t.element.describeCell()
+		return "a list: " + t.element.tableCell()
 	case kindUntyped:
 		return "any members"
 	case kindEnum:
--- a/internal/testing/fleettest/faults.go
+++ b/internal/testing/fleettest/faults.go
@@ -66,7 +66,7 @@
 	return faultKind{
 		name: name, needsReplicas: true, affects: affects,
 		inject: func(f *Fleet, target int) (func() error, error) {
-			fault := faultinject.Fault{Kind: faultinject.Mute, Direction: direction}
+			fault := faultinject.Fault{Kind: faultinject.Blackhole, Direction: direction}
 			return f.setFault(fmt.Sprintf(pattern, target+1), fault)
 		},
 	}
@@ -105,12 +105,12 @@
 
 func killProxy(f *Fleet, target int) (func() error, error) {
 	proxy := f.Proxies[target]
-	return func() error { return f.Restart(proxy) }, proxy.Kill(f.ctx)
+	return func() error { return f.RestartProxy(proxy) }, proxy.Kill(f.ctx)
 }
 
 func stopProxy(f *Fleet, target int) (func() error, error) {
 	proxy := f.Proxies[target]
-	return func() error { return f.Restart(proxy) }, proxy.Stop(f.ctx)
+	return func() error { return f.RestartProxy(proxy) }, proxy.Stop(f.ctx)
 }
 
 func pauseProxy(f *Fleet, target int) (func() error, error) {
