--- a/internal/fleetsim/invariants.go
+++ b/internal/fleetsim/invariants.go
@@ -106,8 +106,8 @@
 func (c *invariants) checkPlacement(p *Proxy, key, pool string) {
 	c.placementCount++
 	now, number := c.fleet.engine.now, p.active.Number
-	decision := placementKey{p.Zone, key}
-	placements := c.firstPlacements[decision]
+	routed := placementKey{p.Zone, key}
+	placements := c.firstPlacements[routed]
 	for _, newer := range placements {
 		if newer.version <= number || newer.pool == pool {
 			continue
@@ -120,7 +120,7 @@
 	}
 	i := slices.IndexFunc(placements, func(placed firstPlacement) bool { return placed.version == number })
 	if i < 0 {
-		c.firstPlacements[decision] = append(placements, firstPlacement{number, pool, now})
+		c.firstPlacements[routed] = append(placements, firstPlacement{number, pool, now})
 	} else if placements[i].pool != pool {
 		c.fleet.violate("I4: %s sends %q to %s by version %d, but another proxy of its zone sends it to %s",
 			p.Name, key, pool, number, placements[i].pool)
@@ -174,7 +174,7 @@
 // checkDigest checks I4 for the version that a process uses.
 func (c *invariants) checkDigest(process string, v fleetconfig.Version) {
 	if known, ok := c.digests[v.Number]; ok && known != v.Digest {
-		c.fleet.violate("I4: version %d is %s at %s, but %s at another process", v.Number, v.Digest, process, known)
+		c.fleet.violate("I4: version %d is %s at %s, but was recorded as %s before", v.Number, v.Digest, process, known)
 	}
 	c.digests[v.Number] = v.Digest
 }
@@ -189,7 +189,8 @@
 	if known, ok := c.snapshots[index]; !ok {
 		c.snapshots[index] = snapshot
 	} else if !bytes.Equal(known, snapshot) {
-		c.fleet.violate("I3: the state of %s differs from another replica's at index %d: %s", r.Name, index, describeDifference(known, snapshot))
+		c.fleet.violate("I3: the state of %s differs at index %d from the first one recorded there: %s",
+			r.Name, index, describeDifference(known, snapshot))
 	}
 	if active, ok := r.state.Active(); ok {
 		c.checkDigest(r.Name, active)
