--- a/internal/fleetsim/explore/main.go
+++ b/internal/fleetsim/explore/main.go
@@ -1,5 +1,5 @@
-// Command explore runs simulated fleets under random faults and looks for one that violates an invariant. It prints the
-// summary, and exits with 1 where there is a violation, with 2 where the command line is wrong.
+// Command explore runs simulated fleets under random faults and searches for violations of the invariants of package fleetsim.
+// It prints a summary. Its exit code is 1 after a violation and 2 for an invalid command line.
 //
 //	go run ./internal/fleetsim/explore -seeds 300
 //	go run ./internal/fleetsim/explore -seed 17 -trace
@@ -25,21 +25,21 @@
 func main() {
 	seeds := flag.Uint64("seeds", 1000, "number of seeds to run")
 	from := flag.Uint64("from", 1, "first seed")
-	seed := flag.Uint64("seed", 0, "run only this seed and print what led to a violation")
+	seed := flag.Uint64("seed", 0, "run only this seed and print the latest events before a violation")
 	trace := flag.Bool("trace", false, "with -seed: print every event")
 	workers := flag.Int("workers", runtime.GOMAXPROCS(0), "number of seeds to run at a time")
-	fault := flag.String("plant", "", fmt.Sprint("plant a fault, which has to be detected; one of ", fleetsim.FaultNames()))
+	fault := flag.String("plant", "", fmt.Sprint("plant a fault, which the run must detect; one of ", fleetsim.PlantedFaultNames()))
 	flag.Parse()
-	hooks, known := fleetsim.FaultHooks(*fault)
+	hooks, known := fleetsim.PlantedFaultHooks(*fault)
 	if *fault != "" && !known || flag.NArg() > 0 || *workers < 1 {
 		flag.Usage()
 		os.Exit(exitUsage)
 	}
-	exploration := fleetsim.Exploration{From: *from, Seeds: *seeds, Workers: *workers, Hooks: hooks}
+	exploration := fleetsim.Exploration{FirstSeed: *from, SeedCount: *seeds, Workers: *workers, Hooks: hooks}
 	single := *seed > 0
 	if single {
-		exploration.From = *seed
-		exploration.Seeds = 1
+		exploration.FirstSeed = *seed
+		exploration.SeedCount = 1
 		if *trace {
 			exploration.Trace = os.Stdout
 		}
--- a/internal/fleetsim/summary.go
+++ b/internal/fleetsim/summary.go
@@ -10,28 +10,28 @@
 	"example.org/micafront/internal/stats"
 )
 
-// Summary adds up outcomes, whose fields have the same names.
+// Summary aggregates the outcomes of runs. Its fields correspond to those of Outcome.
 type Summary struct {
-	Seeds         uint64
-	Steps         uint64
-	Acts          uint64
-	Versions      uint64
-	Overlaps      []time.Duration
-	WithoutFaults []time.Duration
-	AfterHealing  []time.Duration
-	ByPolicy      map[fleetconfig.LeaseExpiryPolicy]*Placements
-	Failed        []Outcome // with a violation; sorted by seed in the result of ExploreAll
+	SeedCount                 uint64
+	EventCount                uint64
+	PlacedConnections         uint64
+	ActivatedVersions         uint64
+	Overlaps                  []time.Duration
+	TimesToAgreeWithoutFaults []time.Duration
+	TimesToAgreeAfterHealing  []time.Duration
+	ByPolicy                  map[fleetconfig.LeaseExpiryPolicy]*ConnectionCounts
+	Failed                    []Outcome // runs with a violation; ExploreAll sorts them by seed
 }
 
-// Placements are the connections of the load.
-type Placements struct {
-	Attempts        uint64 // to place a connection
-	Allowed         uint64
-	RejectedByState map[fleetconfig.LeaseState]uint64 // by the state of the proxy's client, or superseded
+// ConnectionCounts counts the connections of the load.
+type ConnectionCounts struct {
+	Attempts        uint64                            // attempted placements
+	Allowed         uint64                            // placed connections
+	RejectedByState map[fleetconfig.LeaseState]uint64 // by the client's state at the rejection, or superseded
 }
 
-// add adds the connections of one proxy or of one run.
-func (p *Placements) add(attempts, allowed uint64, rejectedByState map[fleetconfig.LeaseState]uint64) {
+// add adds the counts of one proxy or one run.
+func (p *ConnectionCounts) add(attempts, allowed uint64, rejectedByState map[fleetconfig.LeaseState]uint64) {
 	p.Attempts += attempts
 	p.Allowed += allowed
 	if p.RejectedByState == nil {
@@ -42,41 +42,42 @@
 	}
 }
 
-// Add adds an outcome.
+// Add adds the outcome of a run.
 func (s *Summary) Add(o Outcome) {
-	s.Seeds++
-	s.Steps += o.Steps
-	s.Acts += o.Acts
-	s.Versions += o.Versions
+	s.SeedCount++
+	s.EventCount += o.EventCount
+	s.PlacedConnections += o.PlacedConnections
+	s.ActivatedVersions += o.ActivatedVersions
 	s.Overlaps = append(s.Overlaps, o.Overlaps...)
-	s.WithoutFaults = append(s.WithoutFaults, o.WithoutFaults)
-	s.AfterHealing = append(s.AfterHealing, o.AfterHealing)
-	s.placements(o.OnLeaseExpiry).add(o.Attempts, o.Allowed, o.RejectedByState)
+	s.TimesToAgreeWithoutFaults = append(s.TimesToAgreeWithoutFaults, o.TimeToAgreeWithoutFaults)
+	s.TimesToAgreeAfterHealing = append(s.TimesToAgreeAfterHealing, o.TimeToAgreeAfterHealing)
+	s.connections(o.OnLeaseExpiry).add(o.Attempts, o.Allowed, o.RejectedByState)
 	if o.Violation != nil {
 		s.Failed = append(s.Failed, o)
 	}
 }
 
-// placements returns the sums of the runs under a policy.
-func (s *Summary) placements(policy fleetconfig.LeaseExpiryPolicy) *Placements {
+// connections returns the counts of all runs with a policy.
+func (s *Summary) connections(policy fleetconfig.LeaseExpiryPolicy) *ConnectionCounts {
 	if s.ByPolicy == nil {
-		s.ByPolicy = map[fleetconfig.LeaseExpiryPolicy]*Placements{}
+		s.ByPolicy = map[fleetconfig.LeaseExpiryPolicy]*ConnectionCounts{}
 	}
 	if s.ByPolicy[policy] == nil {
-		s.ByPolicy[policy] = &Placements{}
+		s.ByPolicy[policy] = &ConnectionCounts{}
 	}
 	return s.ByPolicy[policy]
 }
 
-// String is the summary as a table, for people. Policies and states have the names of the configuration and of telemetry.
+// String returns the summary as a human-readable table. Policies have the names that they have in the configuration, and lease
+// states those that they have in telemetry.
 func (s *Summary) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d seeds, %d events, %d connections placed by a version, %d versions activated\n",
-		s.Seeds, s.Steps, s.Acts, s.Versions)
+		s.SeedCount, s.EventCount, s.PlacedConnections, s.ActivatedVersions)
 	fmt.Fprintf(&b, "%-34s %7s %12s %12s %12s\n", "", "count", "p50", "p99", "max")
 	writeQuantiles(&b, "overlap of contradicting versions", s.Overlaps)
-	writeQuantiles(&b, "time to agree without faults", s.WithoutFaults)
-	writeQuantiles(&b, "time to agree after all faults", s.AfterHealing)
+	writeQuantiles(&b, "time to agree without faults", s.TimesToAgreeWithoutFaults)
+	writeQuantiles(&b, "time to agree after all faults", s.TimesToAgreeAfterHealing)
 	for _, policy := range sortedKeys(s.ByPolicy) {
 		s.ByPolicy[policy].write(&b, policy)
 	}
@@ -84,8 +85,8 @@
 	return b.String()
 }
 
-// write writes a line about the connections under a policy: their number, and the shares of the allowed and the rejected ones.
-func (p *Placements) write(b *strings.Builder, policy fleetconfig.LeaseExpiryPolicy) {
+// write writes a line with the number of connections under a policy and the fractions that were allowed and rejected.
+func (p *ConnectionCounts) write(b *strings.Builder, policy fleetconfig.LeaseExpiryPolicy) {
 	share := func(count uint64) float64 { return float64(count) / float64(p.Attempts) }
 	fmt.Fprintf(b, "connections with on_silence %q: %d, allowed %.4f, rejected", policy, p.Attempts, share(p.Allowed))
 	for _, state := range sortedKeys(p.RejectedByState) {
@@ -94,14 +95,14 @@
 	b.WriteByte('\n')
 }
 
-// writeQuantiles writes a row of the table. It sorts the times.
+// writeQuantiles writes a row of the table. It sorts times in place.
 func writeQuantiles(b *strings.Builder, title string, times []time.Duration) {
 	slices.Sort(times)
 	quantile := func(fraction float64) time.Duration { return stats.Quantile(times, fraction).Round(time.Microsecond) }
 	fmt.Fprintf(b, "%-34s %7d %12s %12s %12s\n", title, len(times), quantile(0.5), quantile(0.99), quantile(1))
 }
 
-// writeFailed writes the first violations.
+// writeFailed writes a line for each of the first maxFailed violations and the number of further ones.
 func (s *Summary) writeFailed(b *strings.Builder) {
 	const maxFailed = 10
 	for i, outcome := range s.Failed {
