--- a/internal/proxy/hotrestart_link.go
+++ b/internal/proxy/hotrestart_link.go
@@ -113,7 +113,7 @@
 	}
 	conn, err := r.loop.Adopt(handover.link, &predecessor.link)
 	if err != nil {
-		r.warn("hot restart: failed to adopt the link to the predecessor", err)
+		r.warn("hot restart: no link to the predecessor", err)
 		return
 	}
 	conn.AcceptDescriptors()
@@ -126,7 +126,7 @@
 // offerHandover opens the socket at which a successor connects.
 func (r *hotRestart) offerHandover() {
 	if err := r.socket.open(r.loop, r.handOver); err != nil {
-		r.warn("hot restart: failed to open the socket for a successor", err)
+		r.warn("hot restart: no socket for a successor", err)
 	}
 }
 
@@ -165,7 +165,7 @@
 		err = conn.WriteWithDescriptors(append(text, '\n'), r.host.listenerDescriptors()...)
 	}
 	if err != nil {
-		r.warn("hot restart: failed to send the handover", err)
+		r.warn("hot restart: handover not sent", err)
 		conn.Close()
 		return
 	}
--- a/internal/proxy/version_measure.go
+++ b/internal/proxy/version_measure.go
@@ -78,7 +78,7 @@
 	overestimated := estimated > measured+measured*overestimateNumerator/toleranceDenominator+measureSlackBytes
 	if underestimated || overestimated {
 		c.counters.EstimateErrors++
-		c.log.Warn("fleet: memory estimate of the version is outside its tolerance", zap.Uint64("version", number),
+		c.log.Warn("fleet: memory estimate of the version is off", zap.Uint64("version", number),
 			zap.Uint64("estimated_bytes", estimated), zap.Uint64("measured_bytes", measured),
 			zap.Uint64("baseline_bytes", version.baselineBytes))
 	}
