--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -31,15 +31,15 @@
 		s.reject(0, reasonStopping)
 		return
 	}
-	if !request.HasWait {
-		request.Wait = min(class.Timeout, maxClientWait)
+	if !request.HasTimeout {
+		request.Timeout = min(class.Timeout, maxClientWait)
 	}
 	if !s.assignRoute() {
 		return
 	}
 	// The deadline counts from the request's arrival, even if the request waited to be read.
 	receivedAt := s.downstream.ReceivedAt()
-	s.deadline = p.drainer.boundDeadline(s.policyState.Deadline(receivedAt, receivedAt+request.Wait))
+	s.deadline = p.drainer.boundDeadline(s.policyState.Deadline(receivedAt, receivedAt+request.Timeout))
 	if request.Resumed {
 		p.counters.Resumed++
 	}
--- a/internal/proxy/config_subscriber.go
+++ b/internal/proxy/config_subscriber.go
@@ -219,7 +219,7 @@
 	return loaderInput{
 		activeTable:    cs.host.activeTable(),
 		activeEstimate: cs.active.estimate,
-		place:          configbundle.Locality{Zone: cs.host.activeSettings().Zone, Mesh: cs.mesh},
+		locality:       configbundle.Locality{Zone: cs.host.activeSettings().Zone, Mesh: cs.mesh},
 	}
 }
 
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -165,8 +165,8 @@
 func (l *endpointListSource) update() {
 	l.loop.Cancel(l.timer)
 	l.timer = nil
-	if due := l.selector.NextTick(); due != 0 {
-		l.timer = l.loop.After(due-l.loop.Now(), func() {
+	if nextTick := l.selector.NextTick(); nextTick != 0 {
+		l.timer = l.loop.After(nextTick-l.loop.Now(), func() {
 			l.selector.Tick(l.loop.Now())
 			l.update()
 		})
--- a/internal/proxy/hotrestart_peer.go
+++ b/internal/proxy/hotrestart_peer.go
@@ -58,13 +58,13 @@
 	l.process.onLinkClosed(cause)
 }
 
-// Opened is part of evloop.Handler.
+// Opened implements evloop.Handler.
 func (l *peerLink) Opened() {}
 
-// Drained is part of evloop.Handler.
+// Drained implements evloop.Handler.
 func (l *peerLink) Drained() {}
 
-// Data is part of evloop.Handler.
+// Data implements evloop.Handler.
 func (l *peerLink) Data(b []byte) {
 	l.buffer = append(l.buffer, b...)
 	for {
@@ -88,8 +88,8 @@
 	}
 }
 
-// EOF is part of evloop.Handler.
+// EOF implements evloop.Handler.
 func (l *peerLink) EOF() { l.fail(nil) }
 
-// Closed is part of evloop.Handler.
+// Closed implements evloop.Handler.
 func (l *peerLink) Closed(err error) { l.process.onLinkClosed(err) }
--- a/internal/proxy/hotrestart_state.go
+++ b/internal/proxy/hotrestart_state.go
@@ -87,7 +87,7 @@
 	state := handoverState{
 		Discovery:      p.discoveryClient.Addr,
 		DroppedClasses: maps.Clone(p.droppedClasses),
-		Reserved:       p.pools.owners.Reservations(),
+		Reserved:       p.pools.membership.Reservations(),
 		Listeners:      p.listeners.extraNames(),
 	}
 	if p.pools.isSingle() && p.pools.active[0].name == routing.SinglePoolSet().Pools[0].Name {
@@ -135,8 +135,8 @@
 		p.discoveryClient.Generation = 0 // generations of different sources are not comparable
 	}
 	p.updateEndpoints(&list, balancer.CachedList)
-	p.pools.owners.RestoreReservations(state.Reserved)
-	updates := p.pools.owners.ApplyList(p.loop.Now(), balancer.CachedList, list.Generation, list.Entries())
+	p.pools.membership.RestoreReservations(state.Reserved)
+	updates := p.pools.membership.ApplyList(p.loop.Now(), balancer.CachedList, list.Generation, list.Entries())
 	hasPoolStates := len(state.Pools) > 0 // otherwise the only pool's state already holds the whole list
 	for i, pool := range p.pools.active {
 		if restored[i].ok {
--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -102,8 +102,8 @@
 
 // decisionsDiffer reports whether two tables decide differently on a request.
 func (a *placementAuthorizer) decisionsDiffer(s *session, former, latter *routing.Table) bool {
-	formerLine := s.routingLineFor(former, a.fieldBuffers[0])
-	latterLine := s.routingLineFor(latter, a.fieldBuffers[1])
-	a.fieldBuffers = [2][]string{formerLine.Fields, latterLine.Fields}
-	return routing.Conflicting(former, latter, &formerLine, &latterLine)
+	formerAttributes := s.connectionAttributesFor(former, a.fieldBuffers[0])
+	latterAttributes := s.connectionAttributesFor(latter, a.fieldBuffers[1])
+	a.fieldBuffers = [2][]string{formerAttributes.Fields, latterAttributes.Fields}
+	return routing.Conflicting(former, latter, &formerAttributes, &latterAttributes)
 }
--- a/internal/proxy/pool_list.go
+++ b/internal/proxy/pool_list.go
@@ -12,7 +12,7 @@
 
 // applyList distributes a whole endpoint list or a delta among the pools.
 func (ps *poolSet) applyList(list *discovery.List, kind balancer.ListKind) {
-	ps.distribute(ps.owners.ApplyList(ps.loop.Now(), kind, list.Generation, list.Entries()))
+	ps.distribute(ps.membership.ApplyList(ps.loop.Now(), kind, list.Generation, list.Entries()))
 }
 
 // distribute passes the pools their endpoint updates, and reassigns connections whose endpoints moved to another pool.
@@ -20,40 +20,40 @@
 	for _, update := range updates {
 		ps.events.handle(ps.active[update.Pool], update.Members)
 	}
-	ps.logNotes(ps.owners.TakeEvents())
-	if ps.isSingle() && !ps.owners.AnyReserved() {
+	ps.logMembershipEvents(ps.membership.TakeEvents())
+	if ps.isSingle() && !ps.membership.AnyReserved() {
 		return
 	}
 	ps.reassignConnections()
 	ps.releaseReserved()
 }
 
-// maxLoggedNotes is how many notes of one turn get a log line each. The rest are counted by event, because a swap of pools may
-// move thousands of endpoints.
-const maxLoggedNotes = 32
+// maxLoggedEvents is how many membership events of one turn get a log line each. The rest are counted by type, because a swap of
+// pools may move thousands of endpoints.
+const maxLoggedEvents = 32
 
-// logNotes logs ownership changes of endpoints.
-func (ps *poolSet) logNotes(notes []routing.MembershipEvent) {
-	for _, note := range notes[:min(len(notes), maxLoggedNotes)] {
-		ps.log.Info(string(note.Type), zap.String("endpoint", note.Endpoint), zap.String("from", note.From),
-			zap.String("to", note.To))
+// logMembershipEvents logs the changes of the pools that endpoints belong to.
+func (ps *poolSet) logMembershipEvents(events []routing.MembershipEvent) {
+	for _, event := range events[:min(len(events), maxLoggedEvents)] {
+		ps.log.Info(string(event.Type), zap.String("endpoint", event.Endpoint), zap.String("from", event.From),
+			zap.String("to", event.To))
 	}
-	if len(notes) <= maxLoggedNotes {
+	if len(events) <= maxLoggedEvents {
 		return
 	}
 	counts := map[routing.MembershipEventType]int{}
-	for _, note := range notes[maxLoggedNotes:] {
-		counts[note.Type]++
+	for _, event := range events[maxLoggedEvents:] {
+		counts[event.Type]++
 	}
-	for _, event := range slices.Sorted(maps.Keys(counts)) {
-		ps.log.Info(string(event), zap.Int("more_endpoints", counts[event]))
+	for _, eventType := range slices.Sorted(maps.Keys(counts)) {
+		ps.log.Info(string(eventType), zap.Int("more_endpoints", counts[eventType]))
 	}
 }
 
 // releaseReserved adds reserved endpoints to their pools once they have warmed up, and sets a timer for the next ones.
 func (ps *poolSet) releaseReserved() {
 	now := ps.loop.Now()
-	updates, next := ps.owners.ReleaseDue(now)
+	updates, next := ps.membership.ReleaseDue(now)
 	if len(updates) > 0 {
 		ps.distribute(updates)
 		return
@@ -77,7 +77,7 @@
 		if s.downstreamState() != stateRelaying || s.pool.retireBy != 0 {
 			continue
 		}
-		i := ps.owners.PoolOf(s.attempt.endpoint.id)
+		i := ps.membership.PoolOf(s.attempt.endpoint.id)
 		if i < 0 || ps.active[i] == s.pool {
 			continue
 		}
--- a/internal/proxy/pool_reload.go
+++ b/internal/proxy/pool_reload.go
@@ -18,7 +18,7 @@
 func (ps *poolSet) applyTable(table *routing.Table) error {
 	warmUp := ps.settings.activeSettings().Rules.WarmUp
 	if reflect.DeepEqual(ps.table.Set, table.Set) {
-		ps.owners.SetWarmUp(warmUp)
+		ps.membership.SetWarmUp(warmUp)
 		return nil
 	}
 	successors := routing.SuccessorPools(&ps.table.Set, &table.Set)
@@ -34,7 +34,7 @@
 	if successors[slices.Index(former, ps.discoveryPool)] < 0 {
 		ps.discoveryPool = pools[0]
 	}
-	updates := ps.owners.Reconfigure(now, &table.Set, warmUp, successors)
+	updates := ps.membership.Reconfigure(now, &table.Set, warmUp, successors)
 	for i := range updates {
 		if slices.Contains(created, pools[updates[i].Pool]) {
 			updates[i].Members.Kind = balancer.CachedList
--- a/internal/proxy/pools.go
+++ b/internal/proxy/pools.go
@@ -38,7 +38,7 @@
 	sessions *sessionTable
 
 	table         *routing.Table
-	owners        *routing.PoolMembership
+	membership    *routing.PoolMembership
 	active        []*endpointPool // in the order of the table's pools
 	discoveryPool *endpointPool   // only its balancer requests the endpoint list
 	retired       []*endpointPool // removed by the configuration, with connections left
@@ -52,7 +52,7 @@
 	ps.table = table
 	ps.nextSeed = seed
 	ps.routeUsages = map[string]*routeUsage{}
-	ps.owners = routing.NewPoolMembership(&table.Set, ps.settings.activeSettings().Rules.WarmUp)
+	ps.membership = routing.NewPoolMembership(&table.Set, ps.settings.activeSettings().Rules.WarmUp)
 	for i := range table.Set.Pools {
 		pool, err := ps.newPool(table.Set.Pools[i].Name)
 		if err != nil {
@@ -91,7 +91,7 @@
 // forEndpoint returns the pool that owns an endpoint. For an endpoint without an owner it returns the first pool, whose
 // balancer does not know the endpoint.
 func (ps *poolSet) forEndpoint(endpointID string) *endpointPool {
-	if i := ps.owners.PoolOf(endpointID); i >= 0 {
+	if i := ps.membership.PoolOf(endpointID); i >= 0 {
 		return ps.active[i]
 	}
 	return ps.active[0]
@@ -122,7 +122,7 @@
 	}
 	endpointCounts := make([]int, len(ps.active))
 	for id := range endpoints {
-		if i := ps.owners.PoolOf(id); i >= 0 {
+		if i := ps.membership.PoolOf(id); i >= 0 {
 			endpointCounts[i]++
 		}
 	}
--- a/internal/proxy/protocol.go
+++ b/internal/proxy/protocol.go
@@ -50,8 +50,8 @@
 	Group            string
 	Tenant           string
 	PreviousEndpoint string        // where the connection was established before; "" for a new connection
-	Wait             time.Duration // how long the client waits for an answer; valid if HasWait is set
-	HasWait          bool
+	Timeout          time.Duration // how long the client waits for an answer; valid if HasTimeout is set
+	HasTimeout       bool
 	LoadHint         float64
 	ClientRetry      bool // the client has sent the request before
 	Returning        bool // the client was disconnected or asked to migrate, and has reconnected
--- a/internal/proxy/reattach.go
+++ b/internal/proxy/reattach.go
@@ -14,8 +14,8 @@
 func (s *session) startReattach() {
 	p := s.proxy
 	p.counters.Reattached++
-	line := s.routingLine()
-	if decision, ok := p.pools.table.Decide(&line); ok {
+	attributes := s.connectionAttributes()
+	if decision, ok := p.pools.table.Decide(&attributes); ok {
 		s.table = p.pools.table
 		s.route = p.pools.ensureRouteUsage(p.pools.table.Set.Routes[decision.Route].Name)
 	}
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -11,16 +11,16 @@
 
 // Requests are first routed to a pool. If the pool rejects them, they continue with the next pool of their policy.
 
-// routingLine returns the values of a session on which the active table's decision depends.
-func (s *session) routingLine() routing.ConnectionAttributes {
-	return s.routingLineFor(s.proxy.pools.table, nil)
+// connectionAttributes returns the values of a session on which the active table's decision depends.
+func (s *session) connectionAttributes() routing.ConnectionAttributes {
+	return s.connectionAttributesFor(s.proxy.pools.table, nil)
 }
 
-// routingLineFor returns the values of a session on which a table's decision depends. It overwrites buffer with the
-// line's fields.
-func (s *session) routingLineFor(table *routing.Table, buffer []string) routing.ConnectionAttributes {
+// connectionAttributesFor returns the values of a session on which a table's decision depends. It stores Fields in buffer and
+// overwrites its elements.
+func (s *session) connectionAttributesFor(table *routing.Table, buffer []string) routing.ConnectionAttributes {
 	request := s.request
-	line := routing.ConnectionAttributes{
+	attributes := routing.ConnectionAttributes{
 		Class:    request.Class,
 		Key:      request.Key,
 		Group:    request.Group,
@@ -29,14 +29,14 @@
 		Fields:   buffer[:0],
 	}
 	if request.Fields == nil {
-		return line
+		return attributes
 	}
-	line.Fields = slices.Grow(line.Fields, len(table.FieldNames))
+	attributes.Fields = slices.Grow(attributes.Fields, len(table.FieldNames))
 	for _, name := range table.FieldNames {
 		value, _ := request.Fields.Field(name) // "" if the request has no such field
-		line.Fields = append(line.Fields, value)
+		attributes.Fields = append(attributes.Fields, value)
 	}
-	return line
+	return attributes
 }
 
 // assignRoute selects a request's route, pool and policy. If the request has no route or its pools are at their limits,
@@ -44,8 +44,8 @@
 func (s *session) assignRoute() bool {
 	p := s.proxy
 	table := p.pools.table
-	line := s.routingLine()
-	decision, ok := table.Decide(&line)
+	attributes := s.connectionAttributes()
+	decision, ok := table.Decide(&attributes)
 	if !ok {
 		p.counters.NoRoute++
 		s.fail(reasonNoRoute)
--- a/internal/proxy/version_fetch.go
+++ b/internal/proxy/version_fetch.go
@@ -45,7 +45,7 @@
 type loaderInput struct {
 	activeTable    *routing.Table
 	activeEstimate memestimate.Estimate // of activeTable; Live 0: not estimated yet
-	place          configbundle.Locality
+	locality       configbundle.Locality
 }
 
 // versionLoader fetches versions of the fleet's configuration from the control plane and prepares them, one at a time. It
@@ -57,10 +57,10 @@
 	controlPlane *controlclient.Client
 	counters     *metrics.Fleet
 
-	wanted         fleetconfig.PrepareVersion // being fetched or prepared; number 0: none
-	failedAttempts int                        // failed fetches of wanted
-	tooLongAnswers int                        // answers of replicas that wanted is too long
-	preparing      bool                       // a goroutine prepares a version, possibly one that is no longer wanted
+	wanted           fleetconfig.PrepareVersion // being fetched or prepared; number 0: none
+	failedAttempts   int                        // failed fetches of wanted
+	tooLongResponses int                        // responses of replicas in which the text of wanted is too long
+	preparing        bool                       // a goroutine prepares a version, possibly one that is no longer wanted
 
 	prepared *preparedVersion // nil: none
 }
@@ -74,7 +74,7 @@
 	l.prepared = nil
 	l.wanted = version
 	l.failedAttempts = 0
-	l.tooLongAnswers = 0
+	l.tooLongResponses = 0
 	l.startFetch(version)
 }
 
@@ -130,7 +130,7 @@
 		text:           text,
 		table:          input.activeTable,
 		activeEstimate: input.activeEstimate,
-		place:          input.place,
+		locality:       input.locality,
 		limitBytes:     l.host.heapLimit(),
 	}
 	go func() {
@@ -154,8 +154,8 @@
 	l.counters.FetchFailures++
 	l.host.warn("fleet: version cannot be fetched yet", zap.Uint64("version", version.Number), zap.Error(err))
 	if controlclient.ResponseTooLarge.Matches(err) {
-		l.tooLongAnswers++
-		if l.tooLongAnswers >= min(tooLongQuorum, l.controlPlane.ReplicaCount()) {
+		l.tooLongResponses++
+		if l.tooLongResponses >= min(tooLongQuorum, l.controlPlane.ReplicaCount()) {
 			maxBytes := l.maxTextBytes()
 			l.rejectVersion(version, &fleetconfig.Rejection{
 				Kind:       controlclient.ResponseTooLarge.Name,
--- a/internal/proxy/version_prepare.go
+++ b/internal/proxy/version_prepare.go
@@ -56,7 +56,7 @@
 	text           []byte
 	table          *routing.Table       // the active routing table
 	activeEstimate memestimate.Estimate // of table; Live 0: not estimated yet
-	place          configbundle.Locality
+	locality       configbundle.Locality
 	limitBytes     uint64 // heap limit; 0: none
 }
 
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	// The digest matches the version that the fleet agreed on, so any further fault is the same at all replicas and is a rejection.
-	bundle, err := configbundle.Decode(version.Body, j.place)
+	bundle, err := configbundle.Decode(version.Body, j.locality)
 	if err != nil {
 		return nil, invalidVersion(version.Number, err)
 	}
