--- a/internal/controlplane/discovery_client.go
+++ b/internal/controlplane/discovery_client.go
@@ -30,7 +30,7 @@
 	cancel     context.CancelFunc
 	done       chan struct{} // closed when the client has ended
 	httpClient http.Client
-	generation uint64 // discovery's own number of the last accepted object; 0: the next request asks for the full list
+	generation uint64 // discovery's own number of the last accepted update; 0: the next request asks for the full list
 	fetchFull  bool   // request the full list without a watch, because a watch did not start with it
 }
 
@@ -84,7 +84,7 @@
 	return fmt.Sprintf("http://%s%s?watch=1&from=%d", c.addr, endpointListPath, c.generation)
 }
 
-// watchOnce makes one request and handles its objects until the response ends. It reports whether any object was accepted.
+// watchOnce makes one request and handles its updates until the response ends. It reports whether any update was accepted.
 func (c *discoveryClient) watchOnce(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -114,11 +114,11 @@
 		}
 		return false, DiscoveryFailed.New(url, "status %s", resp.Status)
 	}
-	return c.readObjects(ctx, url, resp.Body, idleTimer)
+	return c.readUpdates(ctx, url, resp.Body, idleTimer)
 }
 
-// readObjects decodes the objects of a response and handles each.
-func (c *discoveryClient) readObjects(
+// readUpdates decodes the updates of a response and handles each.
+func (c *discoveryClient) readUpdates(
 	ctx context.Context, url string, body io.Reader, idleTimer *time.Timer,
 ) (received bool, err error) {
 	reader := &objectReader{source: body, onKeepAlive: func() {
@@ -127,14 +127,14 @@
 	}}
 	decoder := json.NewDecoder(reader)
 	for {
-		var object endpointlist.Update
-		if err := decoder.Decode(&object); errors.Is(err, io.EOF) {
+		var update endpointlist.Update
+		if err := decoder.Decode(&update); errors.Is(err, io.EOF) {
 			return received, DiscoveryFailed.New(url, "the response ended")
 		} else if err != nil {
 			return received, err
 		}
 		idleTimer.Stop() // a slow event loop does not make the watch idle
-		if err := c.handleObject(ctx, object); err != nil {
+		if err := c.handleUpdate(ctx, update); err != nil {
 			return received, err
 		}
 		received = true
@@ -148,22 +148,22 @@
 	}
 }
 
-// handleObject passes an object to the event loop. It rejects an older generation, which would restore removed endpoints,
+// handleUpdate passes an update to the event loop. It rejects an older generation, which would restore removed endpoints,
 // unless the client requested the full list: discovery may have restarted its numbering.
-func (c *discoveryClient) handleObject(ctx context.Context, object endpointlist.Update) error {
+func (c *discoveryClient) handleUpdate(ctx context.Context, update endpointlist.Update) error {
 	previous := c.generation
-	c.generation = 0 // until the object is accepted
+	c.generation = 0 // until the update is accepted
 	switch {
-	case object.Generation < previous:
-		return fmt.Errorf("generation %d is older than the previous generation %d", object.Generation, previous)
+	case update.Generation < previous:
+		return fmt.Errorf("generation %d is older than the previous generation %d", update.Generation, previous)
 	case c.fetchFull:
-		object.Reset = true
-	case previous == 0 && !object.Reset:
+		update.Reset = true
+	case previous == 0 && !update.Reset:
 		c.fetchFull = true
-		return fmt.Errorf("generation %d: changes were received before a full list", object.Generation)
+		return fmt.Errorf("generation %d: changes were received before a full list", update.Generation)
 	}
 	applyErr, err := query(ctx, c.replica, func(loop *eventLoop) error {
-		return loop.endpoints.applyObject(loop, c, object)
+		return loop.endpoints.applyUpdate(loop, c, update)
 	})
 	if err != nil {
 		return err
@@ -171,7 +171,7 @@
 	if applyErr != nil {
 		return applyErr
 	}
-	c.generation = object.Generation
+	c.generation = update.Generation
 	return nil
 }
 
--- a/internal/controlplane/discovery_state.go
+++ b/internal/controlplane/discovery_state.go
@@ -55,7 +55,7 @@
 	return d.sinceContact() >= time.Duration(d.timeout.Load())
 }
 
-// recordSuccess records that a request to discovery returned an object. It logs the first success after a failure.
+// recordSuccess records that a request to discovery returned an update. It logs the first success after a failure.
 func (d *discoveryState) recordSuccess() {
 	d.recordContact()
 	if d.lastErr.Swap(nil) != nil {
--- a/internal/controlplane/endpoint_list.go
+++ b/internal/controlplane/endpoint_list.go
@@ -130,24 +130,24 @@
 		earlyUpdate: early,
 		earlyCount:  p.earlyCount,
 		superseded:  make(chan struct{}),
-		fullText:    sync.OnceValue(func() []byte { return encodeObject(list.FullUpdate()) }),
+		fullText:    sync.OnceValue(func() []byte { return encodeUpdate(list.FullUpdate()) }),
 	})
 }
 
-// applyObject handles an object from service discovery. A rejected object changes nothing.
-func (p *listPublisher) applyObject(loop *eventLoop, source *discoveryClient, object endpointlist.Update) error {
+// applyUpdate handles an update from service discovery. A rejected update changes nothing.
+func (p *listPublisher) applyUpdate(loop *eventLoop, source *discoveryClient, update endpointlist.Update) error {
 	if p.client != source {
 		return Stopping.New("discovery "+source.addr, "it is no longer watched")
 	}
 	list := loop.state.EndpointList()
-	change, changed, err := list.NextChange(object.Instances, object.Reset)
+	change, changed, err := list.NextChange(update.Instances, update.Reset)
 	if err != nil {
 		return err
 	}
-	if object.Reset {
-		p.pending = object.Instances
+	if update.Reset {
+		p.pending = update.Instances
 		p.pendingIsFull = true
-	} else if p.pending, err = endpointlist.Merge(p.pending, object.Instances); err != nil {
+	} else if p.pending, err = endpointlist.Merge(p.pending, update.Instances); err != nil {
 		return err
 	}
 	if changed && p.addEarlyEntries(list.EarlyEntries(change)) {
@@ -179,7 +179,7 @@
 	}
 	list := loop.state.EndpointList()
 	change, changed, err := list.NextChange(p.pending, p.pendingIsFull)
-	if err != nil { // each object is valid, but their combination is not
+	if err != nil { // each update is valid, but their combination is not
 		loop.replica.discovery.recordFailure(err)
 		p.dropPending()
 		return
--- a/internal/controlplane/endpoint_list_test.go
+++ b/internal/controlplane/endpoint_list_test.go
@@ -132,32 +132,32 @@
 }
 
 // next reads one line; false: the watch has ended.
-func (r *watchReader) next() (object endpointlist.Update, ok bool) {
+func (r *watchReader) next() (update endpointlist.Update, ok bool) {
 	r.cluster.t.Helper()
 	select {
 	case text, ok := <-r.lines:
 		if !ok || text == "" {
-			return object, ok
+			return update, ok
 		}
-		r.cluster.must(json.Unmarshal([]byte(text), &object))
-		if object.Generation < r.listNumber {
-			r.cluster.t.Fatalf("list %d was sent after list %d", object.Generation, r.listNumber)
+		r.cluster.must(json.Unmarshal([]byte(text), &update))
+		if update.Generation < r.listNumber {
+			r.cluster.t.Fatalf("list %d was sent after list %d", update.Generation, r.listNumber)
 		}
-		if r.listNumber = object.Generation; object.Reset {
+		if r.listNumber = update.Generation; update.Reset {
 			r.resets++
 			r.lifecycles = map[string]string{}
 		}
-		for _, entry := range object.Instances {
+		for _, entry := range update.Instances {
 			var instance struct{ InstanceID, Lifecycle string }
 			r.cluster.must(json.Unmarshal(entry, &instance))
 			if r.lifecycles[instance.InstanceID] = instance.Lifecycle; instance.Lifecycle == endpointlist.Terminated {
 				delete(r.lifecycles, instance.InstanceID)
 			}
 		}
-		return object, true
+		return update, true
 	case <-time.After(fakes.WaitTimeout):
 		r.cluster.t.Fatal("the watch sent nothing in time")
-		return object, false
+		return update, false
 	}
 }
 
@@ -242,8 +242,8 @@
 	reader.awaitEnd()
 	second := cluster.leader()
 	reader = cluster.watch(cluster.replicas[second], before)
-	if object, _ := reader.next(); object.Generation < before {
-		t.Errorf("the next leader sent list %d after list %d", object.Generation, before)
+	if update, _ := reader.next(); update.Generation < before {
+		t.Errorf("the next leader sent list %d after list %d", update.Generation, before)
 	}
 	registry.Set(instance("s-4", endpointlist.Ready))
 	reader.awaitList("s-1 terminating", "s-2 in_service", "s-3 in_service", "s-4 in_service")
@@ -257,9 +257,9 @@
 		t.Errorf("%d full lists were sent", reader.resets)
 	}
 	again := cluster.watch(cluster.replicas[second], reader.listNumber-1)
-	if object, _ := again.next(); object.Reset || object.Generation != reader.listNumber || len(object.Instances) != 1 {
-		t.Errorf("list %d was followed by list %d, full: %v, %d entries", reader.listNumber-1, object.Generation, object.Reset,
-			len(object.Instances))
+	if update, _ := again.next(); update.Reset || update.Generation != reader.listNumber || len(update.Instances) != 1 {
+		t.Errorf("list %d was followed by list %d, full: %v, %d entries", reader.listNumber-1, update.Generation, update.Reset,
+			len(update.Instances))
 	}
 	// Another discovery server numbers its lists from 1. The numbers of the replicated list continue.
 	previous := reader.listNumber
@@ -420,8 +420,8 @@
 		entry := instance("s-1", endpointlist.Ready)
 		entry.Weight, entry.MachineType = float64(i+2), strings.Repeat("x", 64<<10)
 		registry.Set(entry)
-		if object, ok := reader.next(); !ok || i > 3000 {
-			t.Fatalf("list %d, other watch open: %v: the unread watch is still open after %d changes", object.Generation, ok, i)
+		if update, ok := reader.next(); !ok || i > 3000 {
+			t.Fatalf("list %d, other watch open: %v: the unread watch is still open after %d changes", update.Generation, ok, i)
 		}
 	}
 	registry.Set(instance("s-2", endpointlist.Ready))
--- a/internal/controlplane/endpoint_watch.go
+++ b/internal/controlplane/endpoint_watch.go
@@ -40,12 +40,12 @@
 	return s.list.UpdatesSince(number)
 }
 
-// encodeObject encodes an object as one line of a watch.
-func encodeObject(object endpointlist.Update) []byte {
-	if object.Instances == nil {
-		object.Instances = []json.RawMessage{}
+// encodeUpdate encodes an update as one line of a watch.
+func encodeUpdate(update endpointlist.Update) []byte {
+	if update.Instances == nil {
+		update.Instances = []json.RawMessage{}
 	}
-	text, err := json.Marshal(object)
+	text, err := json.Marshal(update)
 	if err != nil { // a defect: the entries were decoded when they were received
 		return nil
 	}
@@ -132,20 +132,20 @@
 	needsFull := first && s.sentNumber <= snapshot.baseNumber
 	switch {
 	case needsFull || s.sentNumber != snapshot.list.Number():
-		for _, object := range snapshot.updatesSince(s.sentNumber, needsFull) {
-			if object.Reset {
+		for _, update := range snapshot.updatesSince(s.sentNumber, needsFull) {
+			if update.Reset {
 				text = append(text, snapshot.fullText()...)
 				s.sentEarlyCount = 0
 			} else {
-				text = append(text, encodeObject(object)...)
+				text = append(text, encodeUpdate(update)...)
 			}
 		}
-	case first: // the watcher is up to date: an object without entries confirms it
-		text = encodeObject(endpointlist.Update{Generation: s.sentNumber})
+	case first: // the watcher is up to date: an update without entries confirms it
+		text = encodeUpdate(endpointlist.Update{Generation: s.sentNumber})
 	}
 	s.sentNumber = snapshot.list.Number()
 	if s.sentEarlyCount < snapshot.earlyCount && len(snapshot.earlyUpdate.Instances) > 0 {
-		text = append(text, encodeObject(snapshot.earlyUpdate)...)
+		text = append(text, encodeUpdate(snapshot.earlyUpdate)...)
 	}
 	s.sentEarlyCount = snapshot.earlyCount
 	return text
