--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -223,8 +223,8 @@
 // for the response. If the standby fails as well, there is only one failure report.
 func TestWatchIsLostWhileStandbyWaits(t *testing.T) {
 	for _, how := range []string{"silence", "reset"} {
-		for _, answer := range []string{"list", "none"} {
-			t.Run(how+" "+answer, func(t *testing.T) {
+		for _, response := range []string{"list", "none"} {
+			t.Run(how+" "+response, func(t *testing.T) {
 				h, old := newHarnessWithStalledWatch(t, standbySoonTimes)
 				second := h.nextCall("watch=1&from=2")
 				lost := "the watch timed out"
@@ -238,7 +238,7 @@
 				for promoted := false; !promoted; { // the loop may not have read the end of the response yet
 					h.runOnLoop(func() { promoted = h.standby == nil })
 				}
-				if answer == "list" {
+				if response == "list" {
 					second.respond(fakes.List(3, false) + "\n")
 					h.expectReports("noted: discovery: "+lost+" (*from=1, object 2, 20 bytes of it); the standby", "3 of kind 0")
 					return
@@ -338,11 +338,11 @@
 	h.nextCall("")
 	h.runOnLoop(timeOutFetches)
 	h.expectReports("failed: discovery: no answer in time (*/registry/instances, object 1)")
-	for answer, fault := range map[string]string{"{}\n{}": "more than one object", "{}{}": "bytes left", `{"generation":`: "", "": "no object", "{\n": "ended before"} {
+	for response, fault := range map[string]string{"{}\n{}": "more than one object", "{}{}": "bytes left", `{"generation":`: "", "": "no object", "{\n": "ended before"} {
 		h.runOnLoop(h.Fetch)
 		call := h.nextCall("")
-		call.respond(answer)
-		if answer != "" {
+		call.respond(response)
+		if response != "" {
 			call.respond("")
 		}
 		h.expectReports("failed: discovery: endpoint list: *" + fault)
@@ -375,25 +375,25 @@
 
 // TestFailureKinds checks the kind of each failure and that its CallError names the call.
 func TestFailureKinds(t *testing.T) {
-	for answer, kind := range map[string]*apperror.Kind{"[503]": rejected, "": truncated, "{]\n": invalidList, "{}{\"generation\":-1}\n": invalidList} {
+	for response, kind := range map[string]*apperror.Kind{"[503]": rejected, "": truncated, "{]\n": invalidList, "{}{\"generation\":-1}\n": invalidList} {
 		h := newHarness(t, standbySoonTimes)
 		h.Generation = 0
 		var got error
 		failed := h.OnFailure
 		h.OnFailure = func(err error) { got = err; failed(err) }
 		h.runOnLoop(func() { h.Watch(true) })
-		h.nextCall("watch=1&from=0").respond(answer)
-		if strings.HasPrefix(answer, "{}") {
+		h.nextCall("watch=1&from=0").respond(response)
+		if strings.HasPrefix(response, "{}") {
 			h.expectReports("0 of kind 0")
 		}
 		h.expectReports("failed: discovery: ")
 		h.runOnLoop(func() {
 			if !kind.Matches(got) || (kind == invalidList) != errors.Is(got, ErrInvalidList) {
-				t.Errorf("%q: %v is not of kind %s", answer, got, kind.Name)
+				t.Errorf("%q: %v is not of kind %s", response, got, kind.Name)
 			}
 			var failure *CallError
 			if !errors.As(got, &failure) || failure.Addr != h.Addr || failure.Path != listPath+"?watch=1&from=0" || failure.Object < 1 {
-				t.Errorf("%q: %+v does not name its call", answer, failure)
+				t.Errorf("%q: %+v does not name its call", response, failure)
 			}
 		})
 	}
