--- a/internal/proxy/line_protocol.go
+++ b/internal/proxy/line_protocol.go
@@ -41,7 +41,7 @@
 		Returning:        open.Returning,
 		Resumed:          open.Resumed,
 		Fields:           &open,
-		Forward:          func(wait time.Duration) []byte { return open.AppendForwarded(nil, wait) },
+		Forward:          func(timeout time.Duration) []byte { return open.AppendForwarded(nil, timeout) },
 	}
 	return len(line), request, nil
 }
--- a/internal/proxy/protocol.go
+++ b/internal/proxy/protocol.go
@@ -59,8 +59,8 @@
 
 	// Fields gives access to further fields of the message.
 	Fields RequestFields
-	// Forward returns the message to send to an endpoint. wait is how long the proxy waits for an answer.
-	Forward func(wait time.Duration) []byte
+	// Forward returns the message to send to an endpoint. timeout is how long the proxy waits for an answer.
+	Forward func(timeout time.Duration) []byte
 }
 
 // RequestFields looks up fields of a request's message by name.
