--- a/internal/proxy/line_protocol.go
+++ b/internal/proxy/line_protocol.go
@@ -34,14 +34,14 @@
 		Group:            open.Group,
 		Tenant:           open.Tenant,
 		PreviousEndpoint: open.PreviousEndpoint,
-		Wait:             open.Timeout,
-		HasWait:          open.HasTimeout,
+		Timeout:          open.Timeout,
+		HasTimeout:       open.HasTimeout,
 		LoadHint:         open.LoadHint,
 		ClientRetry:      open.Retry,
 		Returning:        open.Returning,
 		Resumed:          open.Resumed,
 		Fields:           &open,
-		Forward:          func(wait time.Duration) []byte { return open.AppendForwarded(nil, wait) },
+		Forward:          func(timeout time.Duration) []byte { return open.AppendForwarded(nil, timeout) },
 	}
 	return len(line), request, nil
 }
--- a/internal/proxy/protocol.go
+++ b/internal/proxy/protocol.go
@@ -50,8 +50,8 @@
 	Group            string
 	Tenant           string
 	PreviousEndpoint string        // where the connection was established before; "" for a new connection
-	Wait             time.Duration // how long the client waits for an answer; valid if HasWait is set
-	HasWait          bool
+	Timeout          time.Duration // how long the client waits for an answer; valid if HasTimeout is set
+	HasTimeout       bool
 	LoadHint         float64
 	ClientRetry      bool // the client has sent the request before
 	Returning        bool // the client was disconnected or asked to migrate, and has reconnected
@@ -59,8 +59,8 @@
 
 	// Fields gives access to further fields of the message.
 	Fields RequestFields
-	// Forward returns the message to send to an endpoint. wait is how long the proxy waits for an answer.
-	Forward func(wait time.Duration) []byte
+	// Forward returns the message to send to an endpoint. timeout is how long the proxy waits for an answer.
+	Forward func(timeout time.Duration) []byte
 }
 
 // RequestFields looks up fields of a request's message by name.
