--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -26,8 +26,9 @@
 	b.admissionUpdatedAt = b.now
 }
 
-// admit reports whether a request is admitted. A client gets the same answer from every node and on every retry, so
-// that retries don't raise the admitted load. Connections beyond a tenant's quota are rejected first, then those of
+// admit reports whether a request is admitted. With load reports, the fleet load decides. Without them, the
+// client's hash decides, so that nodes with the same admission rate give a client the same answer on every retry and
+// retries don't raise the admitted load. Connections beyond a tenant's quota are rejected first, then those of
 // classes with a low priority for their load.
 func (b *Balancer) admit(req *request) bool {
 	if b.admissionRate >= 1 && !b.settings.LoadReports || req.Resumed || b.probeTrafficDue() {
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -182,9 +182,9 @@
 	return req.class.Idempotency == Idempotent || neverExecuted || discardedEverywhere
 }
 
-// mayRetryOn reports whether another attempt may be sent to an endpoint. Once an attempt may have been executed, a
-// request that is idempotent by key is retried only within its deduplication window and scope, and one that is not
-// idempotent is not retried.
+// mayRetryOn reports whether another attempt may be sent to an endpoint. Once an attempt may have been executed, an
+// IdempotentByKey request is retried only within its deduplication window and scope, and a NotIdempotent request is not
+// retried.
 func (b *Balancer) mayRetryOn(req *request, endpoint *endpointState) bool {
 	if req.executedOn == nil || req.class.Idempotency == Idempotent {
 		return true
--- a/balancer/draining.go
+++ b/balancer/draining.go
@@ -9,7 +9,7 @@
 
 // startDrain schedules the migration of the established connections of a draining endpoint, before the endpoint stops
 // and resets them. Migration begins with the next epoch, when the slot table assigns the endpoint's keys to other
-// endpoints; earlier, groups would be scattered.
+// endpoints. An earlier migration would scatter the clients of a group.
 func (b *Balancer) startDrain(endpoint *endpointState) {
 	if endpoint.phase != Draining || endpoint.drainStepsLeft > 0 || len(endpoint.active) == 0 {
 		return
--- a/balancer/handover_resume.go
+++ b/balancer/handover_resume.go
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// decodeEndpoints prefers a listed endpoint among several endpoints with the same ID.
+// decodeEndpoints validates and decodes the state's endpoints. If several have the same ID, endpointsByID holds a listed
+// one in preference to a removed one.
 func (d *stateDecoder) decodeEndpoints() error {
 	d.endpoints = make([]*endpointState, len(d.state.Endpoints))
 	d.endpointsByID = map[string]*endpointState{}
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -7,13 +7,13 @@
 )
 
 // Overload detection for endpoints that don't report their load, based on message latency, rejections and resets.
-// Overload lowers the fraction of its keys that an endpoint is sent and migrates connections off it.
+// Overload lowers the fraction of an endpoint's keys that this node sends to it and migrates connections off it.
 
 // minAdmittedFraction keeps a few keys on an overloaded endpoint, so that nodes notice when it recovers.
 const minAdmittedFraction = 0.05
 
-// currentAdmittedFraction returns the fraction of its keys that an endpoint is sent. After an overload it recovers
-// linearly, from 0 to 1 in WarmUp.
+// currentAdmittedFraction returns the fraction of an endpoint's keys that this node sends to it. After an overload the
+// fraction recovers linearly, from 0 to 1 in WarmUp.
 func (b *Balancer) currentAdmittedFraction(endpoint *endpointState) float64 {
 	if endpoint.admittedFraction < 1 {
 		elapsed := b.now - endpoint.admittedFractionAt
@@ -24,8 +24,8 @@
 	return endpoint.admittedFraction
 }
 
-// halveAdmittedFraction halves the fraction of its keys that an endpoint is sent, after a rejection or reset by the
-// endpoint.
+// halveAdmittedFraction halves the fraction of an endpoint's keys that this node sends to it, after a rejection or reset
+// by the endpoint.
 func (b *Balancer) halveAdmittedFraction(endpoint *endpointState) {
 	endpoint.admittedFraction = max(b.currentAdmittedFraction(endpoint)/2, minAdmittedFraction)
 }
