--- a/balancer/load_learning.go
+++ b/balancer/load_learning.go
@@ -73,8 +73,8 @@
 )
 
 // reportingEndpoints returns the endpoints that are asked for their load, sorted by ID. These are all endpoints of a
-// short list. Of a long list, they are a sample and the endpoints with active requests of this node. The sample differs between nodes but is the same over time,
-// so that connections can be kept.
+// short list. Of a long list, they are a sample and the endpoints with active requests of this node. The sample differs
+// between nodes but is the same over time, so that connections can be kept.
 func (b *Balancer) reportingEndpoints() []*endpointState {
 	ready := b.readyEndpoints()
 	if len(ready) <= maxReportingEndpoints {
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -24,8 +24,8 @@
 	return endpoint.admittedFraction
 }
 
-// halveAdmittedFraction halves the fraction of an endpoint's keys that this node sends to it, after a rejection or reset
-// by the endpoint.
+// halveAdmittedFraction halves the fraction of an endpoint's keys that this node sends to it, after the endpoint
+// rejected a request or reset a connection.
 func (b *Balancer) halveAdmittedFraction(endpoint *endpointState) {
 	endpoint.admittedFraction = max(b.currentAdmittedFraction(endpoint)/2, minAdmittedFraction)
 }
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -21,7 +21,7 @@
 const assumedHeadroom = 4
 
 // The fill rate of the token bucket grants sustainedFraction of the connections that are allowed per OverloadWindow. The
-// size of the bucket grants the rest, a quarter of that, for bursts.
+// size of the bucket grants the remaining fifth, a quarter of the sustained connections, for bursts.
 const (
 	sustainedFraction = 0.8
 	burstDivisor      = 4
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -18,7 +18,7 @@
 // Snapshot is the complete state of a Balancer. A Balancer restored from it returns the same actions as the original for all
 // further events. A State, in contrast, holds only what a successor process needs.
 //
-// Endpoints, requests and classes refer to each other by index in the lists of the Snapshot; noIndex (-1) is no reference.
+// Endpoints, requests and classes refer to each other by index in the lists of the Snapshot; noIndex (-1) represents nil.
 type Snapshot struct {
 	Version     int
 	Settings    Settings
