--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -81,8 +81,9 @@
 // Work queues up at the rate by which it exceeds the endpoint's capacity, so growth measures the excess. All nodes
 // observe it within a second, and each migrates the same fraction of its own connections: the excess, and enough to
 // empty the queue within half an OverloadWindow, in which the migrated clients reconnect. If the fleet is short of
-// capacity, a third of that fraction is migrated. If the endpoint or its zone fails attempts as well, all connections
-// are migrated. Connections with the lowest priority for their load go first.
+// capacity, the fraction is a third of that. If attempts to the endpoint or its zone fail as well, the fraction is 1. The
+// lateness scales the fraction, so that a latency up to half the objective migrates none. Connections with the lowest
+// priority for their load go first.
 func (b *Balancer) relieveOverload(endpoint *endpointState, slowness, growth float64) {
 	growth = max(growth, minLatencyGrowth)
 	queued := 2 * float64(endpoint.messageLatency) / float64(b.settings.Rules.OverloadWindow)
--- a/balancer/slow_start_model_test.go
+++ b/balancer/slow_start_model_test.go
@@ -459,10 +459,10 @@
 	return most, description
 }
 
-// totals sums up the warming hosts. most is their maximum overload and at describes it. early and connections are their
-// attempts in the first 3 s and their final connections, as fractions of the share of a warm host. fair is the number
-// of connections that all of them together would hold if they were warm.
-func (m *rampModel) totals() (most float64, at string, early, connections, fair float64) {
+// totals sums up the warming hosts. worstOverload is their maximum overload, and worstAttempts describes it. early and
+// connections are their attempts in the first 3 s and their final connections, as fractions of the share of a warm
+// host. warmConnections is the number of connections that all of them together would hold if they were warm.
+func (m *rampModel) totals() (worstOverload float64, worstAttempts string, early, connections, warmConnections float64) {
 	warming, up := 0.0, 0.0
 	for _, host := range m.hostList {
 		if host.up {
@@ -478,12 +478,12 @@
 				early++
 			}
 		}
-		if overload, description := m.maxOverload(host); overload > most {
-			most, at = overload, host.endpoint.ID+": "+description
+		if overload, description := m.maxOverload(host); overload > worstOverload {
+			worstOverload, worstAttempts = overload, host.endpoint.ID+": "+description
 		}
 	}
 	share := float64(m.established) / up
-	return most, at, early / warming / share, connections / warming / share, warming * share
+	return worstOverload, worstAttempts, early / warming / share, connections / warming / share, warming * share
 }
 
 // All nodes together must not overload a warming host, with few nodes and with many. The host must still be used early.
@@ -522,17 +522,17 @@
 func (s rampScenario) test(t *testing.T) {
 	m := newRampModel(t, s)
 	m.run()
-	most, at, early, connections, fair := m.totals()
+	worstOverload, worstAttempts, early, connections, warmConnections := m.totals()
 	rejected := float64(m.rejected["slow start"]) / float64(m.requested)
 	t.Logf("maximum %.2f of the bound (%s); %.2f of a share in the first 3 s, %.2f after the warm-up; of %d requests rejected: %v",
-		most, at, early, connections, m.requested, m.rejected)
-	if most > 1 {
-		t.Errorf("a warming host got %.2f times the bound: %s", most, at)
+		worstOverload, worstAttempts, early, connections, m.requested, m.rejected)
+	if worstOverload > 1 {
+		t.Errorf("a warming host got %.2f times the bound: %s", worstOverload, worstAttempts)
 	}
 	if rejected > 0.08 {
 		t.Errorf("slow start budgets rejected a fraction of %.3f although warm hosts had capacity", rejected)
 	}
-	if scatter := 1 / math.Sqrt(fair); s.connectionLifetime < 9*sec && (connections < 0.6-scatter || early < 0.1-scatter/4) {
+	if scatter := 1 / math.Sqrt(warmConnections); s.connectionLifetime < 9*sec && (connections < 0.6-scatter || early < 0.1-scatter/4) {
 		t.Errorf("a warming host got %.2f of a share in the first 3 s and holds %.2f after the warm-up", early, connections)
 	}
 }
