--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -7,13 +7,13 @@
 )
 
 // Overload detection for endpoints that don't report their load, based on message latency, rejections and resets.
-// Overload lowers the fraction of its keys that an endpoint is sent and migrates connections off it.
+// Overload lowers the fraction of an endpoint's keys that this node sends to it and migrates connections off it.
 
 // minAdmittedFraction keeps a few keys on an overloaded endpoint, so that nodes notice when it recovers.
 const minAdmittedFraction = 0.05
 
-// currentAdmittedFraction returns the fraction of its keys that an endpoint is sent. After an overload it recovers
-// linearly, from 0 to 1 in WarmUp.
+// currentAdmittedFraction returns the fraction of an endpoint's keys that this node sends to it. After an overload the
+// fraction recovers linearly, from 0 to 1 in WarmUp.
 func (b *Balancer) currentAdmittedFraction(endpoint *endpointState) float64 {
 	if endpoint.admittedFraction < 1 {
 		elapsed := b.now - endpoint.admittedFractionAt
@@ -24,8 +24,8 @@
 	return endpoint.admittedFraction
 }
 
-// halveAdmittedFraction halves the fraction of its keys that an endpoint is sent, after a rejection or reset by the
-// endpoint.
+// halveAdmittedFraction halves the fraction of an endpoint's keys that this node sends to it, after the endpoint
+// rejected a request or reset a connection.
 func (b *Balancer) halveAdmittedFraction(endpoint *endpointState) {
 	endpoint.admittedFraction = max(b.currentAdmittedFraction(endpoint)/2, minAdmittedFraction)
 }
@@ -81,8 +81,9 @@
 // Work queues up at the rate by which it exceeds the endpoint's capacity, so growth measures the excess. All nodes
 // observe it within a second, and each migrates the same fraction of its own connections: the excess, and enough to
 // empty the queue within half an OverloadWindow, in which the migrated clients reconnect. If the fleet is short of
-// capacity, a third of that fraction is migrated. If the endpoint or its zone fails attempts as well, all connections
-// are migrated. Connections with the lowest priority for their load go first.
+// capacity, the fraction is a third of that. If attempts to the endpoint or its zone fail as well, the fraction is 1. The
+// lateness scales the fraction, so that a latency up to half the objective migrates none. Connections with the lowest
+// priority for their load go first.
 func (b *Balancer) relieveOverload(endpoint *endpointState, slowness, growth float64) {
 	growth = max(growth, minLatencyGrowth)
 	queued := 2 * float64(endpoint.messageLatency) / float64(b.settings.Rules.OverloadWindow)
