--- a/internal/proxy/hotrestart_predecessor.go
+++ b/internal/proxy/hotrestart_predecessor.go
@@ -13,7 +13,7 @@
 	clientIDs map[string]bool // clients with a session there at the handover
 }
 
-// onHeartbeat is part of linkedProcess.
+// onHeartbeat implements linkedProcess.
 func (proc *predecessorProcess) onHeartbeat(h heartbeat) {
 	proc.restart.host.restoreEstablished(h.Established)
 	if h.Transfer != nil {
@@ -30,7 +30,7 @@
 	proc.restart.host.adoptConnection(conn, fds[0], fds[1])
 }
 
-// onLinkClosed is part of linkedProcess. This process continues whatever the cause, because it holds the whole handover.
+// onLinkClosed implements linkedProcess. This process continues whatever the cause, because it holds the whole handover.
 func (proc *predecessorProcess) onLinkClosed(cause error) {
 	r := proc.restart
 	r.log.Debug("hot restart: link to the predecessor closed", zap.Error(cause))
--- a/internal/proxy/hotrestart_successor.go
+++ b/internal/proxy/hotrestart_successor.go
@@ -28,7 +28,7 @@
 	refusesTransfers bool // set after more than maxFailedTransfers consecutive failures
 }
 
-// onHeartbeat is part of linkedProcess. Once the successor serves, only the successor accepts clients.
+// onHeartbeat implements linkedProcess. Once the successor serves, only the successor accepts clients.
 func (proc *successorProcess) onHeartbeat(h heartbeat) {
 	r := proc.restart
 	if !h.Serving {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// onLinkClosed is part of linkedProcess. This process accepts clients again and waits for another successor.
+// onLinkClosed implements linkedProcess. This process accepts clients again and waits for another successor.
 func (proc *successorProcess) onLinkClosed(cause error) {
 	r := proc.restart
 	r.log.Debug("hot restart: link to the successor closed", zap.Error(cause))
