--- a/internal/evloop/conn_write.go
+++ b/internal/evloop/conn_write.go
@@ -73,7 +73,7 @@
 	return sent, nil
 }
 
-// transientRetryDelay is the delay before a system call is retried for which the kernel was out of memory.
+// transientRetryDelay is the delay before the retry of a system call that failed because the kernel was out of memory.
 const transientRetryDelay = 10 * time.Millisecond
 
 // scheduleFlush retries sending after transientRetryDelay, because the poller reports free buffer space but not free memory.
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -26,7 +26,7 @@
 	// maxListeners is the largest number of listening sockets in a handover.
 	maxListeners = 64
 	// requestTimeout is how long the new process waits for the whole handover. The running process answers from its event loop
-	// within milliseconds. Without an answer the new process starts without a handover, for which seconds remain.
+	// within milliseconds. If no answer arrives, the new process still has seconds left to start without a handover.
 	requestTimeout = 2 * time.Second
 	// maxSocketPath is the path length in bytes from which a socket is addressed via its directory. The kernel's limit is 108.
 	maxSocketPath = 100
--- a/internal/proxy/idle_conns.go
+++ b/internal/proxy/idle_conns.go
@@ -20,8 +20,8 @@
 	lingeringAllowanceDivisor = 4
 )
 
-// lingerBounds limit how long and how much a peer may send after its last message was sent to it. Tens of megabytes may
-// be in transit.
+// lingerBounds limits how long and how much a client may send after the proxy has sent it the last message. Tens of
+// megabytes may be in transit.
 var lingerBounds = evloop.LingerLimits{IdleTimeout: time.Second, TotalTimeout: 5 * time.Second, MaxBytes: 64 << 20}
 
 // idleConns holds the client connections without a request: those that have not sent one yet, and those that linger
@@ -101,8 +101,8 @@
 	}
 }
 
-// expectsRequest reports whether a request may be in transit. A client that has sent only readiness checks, or nothing
-// for idleBeforeClose, is not waited for.
+// expectsRequest reports whether a request may be in transit. It ignores clients that have sent only readiness checks,
+// and clients that have sent nothing for idleBeforeClose.
 func (c *idleConns) expectsRequest(now time.Duration) bool {
 	for element := c.waiting.Front(); element != nil; element = element.Next() {
 		s := element.Value.(*session)
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -42,7 +42,7 @@
 		p.events.handle(s.pool, balancer.Established{ID: s.id, Endpoint: a.endpoint.id, Attempt: a.number, Latency: latency})
 	}
 	s.request = nil
-	// A connection must not keep a table in memory that is no longer active.
+	// An established connection must not keep an inactive table in memory.
 	s.table = nil
 	wasMigrated := s.downstreamState() != stateRelaying // while the balancer handled the event
 	if s.buffered != nil && !wasMigrated {
