--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -106,7 +106,7 @@
 	return true
 }
 
-// rejoin ends an evacuation. It reports whether the caller must cease to migrate clients. It neither cancels a stop nor makes
+// rejoin ends an evacuation. It reports whether the caller must stop migrating clients. It neither cancels a stop nor makes
 // a stopping process ready.
 func (l *lifecycle) rejoin() bool {
 	if l.phase != phaseEvacuated {
--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -33,7 +33,7 @@
 	// These fields are reused for every request, to avoid allocations.
 	candidate     *session    // the session that isConflicting checks; nil if none
 	isConflicting func() bool // the method value of conflictsWithPrepared
-	fieldBuffers  [2][]string // for the routing lines that decisionsDiffer compares
+	fieldBuffers  [2][]string // for the field values under the two tables that decisionsDiffer compares
 }
 
 // authorizePlacement reports whether a request's connection may be placed now, and if not, when the client may retry.
