--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -28,7 +28,7 @@
 	OnNotice      func(error)   // called with an error that wraps a CallError when a standby has replaced a lost watch; may be nil
 	Times         Times         // the zero value selects DefaultTimes
 	PollInterval  time.Duration // interval at which discovery is polled, from the settings
-	Seed          uint64        // seed of the random delays; 0: derived from the time and the process ID
+	Seed          uint64        // seeds the random delays together with the process ID; 0: the time is used
 
 	watchWanted bool
 	watch       *call          // the current watch; nil: none
@@ -120,7 +120,7 @@
 	if resumed != nil && resumed.addr != addr {
 		resumed = nil
 	}
-	watchBroughtList := !c.awaitingFirstList
+	watchDeliveredList := !c.awaitingFirstList
 	generation := c.Generation
 	c.Addr = addr
 	c.Generation = 0
@@ -134,7 +134,7 @@
 		c.resumePreviousWatch(resumed)
 		return
 	}
-	if watch := c.watch; watch != nil && watch.stage >= streaming && watchBroughtList {
+	if watch := c.watch; watch != nil && watch.stage >= streaming && watchDeliveredList {
 		c.closePreviousWatch()
 		watch.listGeneration = generation
 		c.previousWatch = watch
--- a/internal/discovery/times.go
+++ b/internal/discovery/times.go
@@ -64,7 +64,7 @@
 // change, lostWatches the number of consecutive watches lost before it, and fraction a random number from 0 to below 1. The delay is
 // drawn from the last two thirds of a span of 3/16 of the poll interval. To reduce the load on a discovery server that is down, the span
 // doubles with each lost watch, up to maxBackoffDoublings times. It is limited to the time left until latestCallStart, or to
-// maxRetryDelay if less than that is left.
+// maxRetryDelay if less than that is left, and it is at least minRestartSpan.
 func (t Times) restartDelay(pollInterval, elapsed time.Duration, lostWatches int, fraction float64) time.Duration {
 	if pollInterval <= 0 {
 		pollInterval = t.FreshnessBound
