--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -93,7 +93,8 @@
 
 // misplacedSessions returns the established connections that would not survive the exit of this process under pass-through.
 // The load balancer in front then sends the packets of open connections to another proxy. A connection continues unbroken if
-// that proxy places it on the same endpoint, so a migration would only cost it a reconnect. The returned connections would be reset.
+// that proxy places it on the same endpoint, so a migration would only cost it a reconnect. The returned
+// connections would be reset.
 func (p *Proxy) misplacedSessions() []*session {
 	var misplaced []*session
 	for _, s := range p.sessions.established {
