--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -20,6 +20,6 @@
 // and twice that, drawn from its seed.
 //
 // The set of replicas never changes: it is part of the first snapshot, with which every replica's log begins. Replicas
-// trust one another. A message that no replica sends is rejected, and one that contradicts the log stops this replica, but
-// anyone who can send messages in a replica's name can corrupt the state.
+// trust one another. A message that no replica sends is rejected, and a message that contradicts the log stops this
+// replica, but anyone who can send messages in a replica's name can corrupt the state.
 package consensus
--- a/internal/controlplane/endpoint_watch.go
+++ b/internal/controlplane/endpoint_watch.go
@@ -13,7 +13,7 @@
 	endpointListPath  = "/registry/instances"
 	maxWatches        = 4096
 	keepAliveInterval = 2 * time.Second // between empty lines on an idle watch
-	watchWriteTimeout = 4 * time.Second // for a watcher to read what was sent
+	watchWriteTimeout = 4 * time.Second // maximum duration of one write to a watcher
 	// discoveryCheckInterval is how often a watch checks whether contact with service discovery is lost.
 	discoveryCheckInterval = 500 * time.Millisecond
 )
--- a/internal/fleetconfig/lease.go
+++ b/internal/fleetconfig/lease.go
@@ -16,7 +16,7 @@
 	// FirstUnanswered is the Seq of the first renewal sent after the one that brought the last accepted lease. It equals
 	// Seq if the previous renewal was answered. The leader derives from it which of its leases arrived. 0: unknown.
 	FirstUnanswered uint64 `json:"unanswered,omitempty"`
-	// Rejection is why the proxy cannot prepare RejectedVersion; nil: it can, or has not tried.
+	// Rejection says why the proxy cannot prepare RejectedVersion. It is nil if no version was rejected.
 	RejectedVersion uint64         `json:"refused,omitempty"`
 	Rejection       *Rejection     `json:"refusal,omitempty"`
 	Headroom        MemoryHeadroom `json:"room"`
--- a/internal/fleetconfig/lease_client.go
+++ b/internal/fleetconfig/lease_client.go
@@ -37,7 +37,7 @@
 	knowledgeExpiry time.Duration // until then the latest lease determines which versions can be active
 
 	// Versions.
-	activeVersion    uint64 // the one that this process acts on
+	activeVersion    uint64 // the version that this process acts on
 	preparedVersion  uint64
 	preparingVersion uint64
 	rejections       map[uint64]Rejection // by version
--- a/internal/fleetconfig/lease_client_renewal.go
+++ b/internal/fleetconfig/lease_client_renewal.go
@@ -59,8 +59,8 @@
 }
 
 // handleFailure records a renewal without a valid answer. The next replica is tried at once until immediateAttempts
-// renewals have failed in a row, by when all replicas have presumably been tried. Then one is tried per renewal interval,
-// with exponential backoff while the active version is unknown.
+// renewals have failed in a row, by which time all replicas have presumably been tried. After that, one replica is tried
+// per renewal interval, with exponential backoff while the active version is unknown.
 func (c *LeaseClient) handleFailure(now time.Duration) {
 	c.renewing = false
 	c.failures++
--- a/internal/fleetconfig/lease_manager.go
+++ b/internal/fleetconfig/lease_manager.go
@@ -12,8 +12,8 @@
 // an earlier one may have granted have expired.
 //
 // A decision that skips a node (the activation of a version that the node has not prepared, or the node's removal) is
-// binding from when DueCommands returns it until it applies. The node gets no lease in between, since with one it could
-// rely on the active version for another MemberTimeout.
+// binding from the time DueCommands returns it until it is applied. The node gets no lease in between, since a lease
+// would let it rely on the active version for another MemberTimeout.
 //
 // What a node relies on depends on the leases that it accepted, not on the renewals that it sent. So a node whose renewals
 // arrive but whose leases are lost delays a decision no longer than an unresponsive node. Each renewal reports which lease
--- a/internal/fleetconfig/lease_manager_sessions.go
+++ b/internal/fleetconfig/lease_manager_sessions.go
@@ -107,7 +107,7 @@
 // if the process has neither prepared nor rejected the version, reports that its latest leases did not arrive, and is in
 // the last quarter of the member timeout after the last lease that did. Otherwise some lease might always be in flight,
 // and the process could block the version forever. No lease is granted in that quarter, so that the process has reported
-// the earlier ones as lost when the timeout ends. A lease is tried again once per member timeout, in case the process
+// the earlier ones as lost when the timeout ends. A lease is granted again once per member timeout, in case the process
 // becomes reachable while the version waits for other members.
 func (m *LeaseManager) withholdsLease(now time.Duration, id processID, session *memberSession) bool {
 	proposed, ok := m.state.Proposed()
--- a/internal/fleetconfig/lease_service.go
+++ b/internal/fleetconfig/lease_service.go
@@ -16,7 +16,7 @@
 	HandleRenewal(now time.Duration, r Renewal) (due []Command)
 	// GrantLease answers a renewal that HandleRenewal has recorded. The caller calls it once a quorum has confirmed, after
 	// the renewal arrived, that the replica leads, and the replica has applied all entries committed until then. It
-	// returns false if the process is not a member yet, a later incarnation of the node is, or a decision skips the
+	// returns false if the process is not a member yet, a later process of the node is a member, or a decision skips the
 	// process; the renewal then gets no answer.
 	GrantLease(now time.Duration, r Renewal) (lease Lease, ok bool)
 	// DueCommands returns the commands that are due: to activate or withdraw the proposed version, and to remove members.
