--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -182,7 +182,7 @@
 	if err := deleteRange(log, 0, save.DropThrough); err != nil {
 		return err
 	}
-	if len(save.Entries) > 0 { // they replace all stored entries from the first of them on
+	if len(save.Entries) > 0 { // the new entries replace all stored ones from the first new index on
 		if err := deleteRange(log, save.Entries[0].Index, math.MaxUint64); err != nil {
 			return err
 		}
--- a/internal/fleetconfig/lease_service.go
+++ b/internal/fleetconfig/lease_service.go
@@ -20,9 +20,9 @@
 	// process; the renewal then gets no answer.
 	GrantLease(now time.Duration, r Renewal) (lease Lease, ok bool)
 	// DueCommands returns the commands that are due: to activate or withdraw the proposed version, and to remove members.
-	// It may be called at any time and repeats the commands until they apply. They are valid only in this leader's term:
-	// the caller must propose them in that term at once or drop them, and never forward them to a later leader. From then
-	// on the nodes that a command skips get no lease until it applies.
+	// It may be called at any time and repeats the commands until they are applied. They are valid only in this leader's
+	// term: the caller must propose them in that term at once or drop them, and never forward them to a later leader. From
+	// then on the nodes that a command skips get no lease until the command is applied.
 	DueCommands(now time.Duration) []Command
 	// Status returns the state of each member, and which ones block the proposed version.
 	Status(now time.Duration) []NodeStatus
--- a/internal/fleetconfig/terms.go
+++ b/internal/fleetconfig/terms.go
@@ -92,7 +92,7 @@
 	return t, nil
 }
 
-// expiryWithDrift returns how long a leader must have received no renewal, on its own clock, until the leases that it
+// expiryWithDrift returns the time without a renewal, on the leader's clock, after which the leases that the leader
 // granted under a MemberTimeout of timeout have expired at the node. The node counts KnowledgeDuration, which is shorter
 // than timeout by four drifts, from when it sent the renewal, which is before the leader received it. With a drift of d,
 // that takes less than timeout*(1-4d)/(1-d) of real time, while timeout on a fast leader clock takes more than
