--- a/internal/catalog/bind.go
+++ b/internal/catalog/bind.go
@@ -16,7 +16,7 @@
 	return r.BindFor(set, s, zone, "")
 }
 
-// BindFor replaces the services that the routes and policies of a set name by pools.
+// BindFor returns a copy of a set in which the services that its routes and policies refer to are replaced by pools.
 //
 // Each provider of a service becomes one pool of the set, named NAME.MESH. The pool selects the endpoints of the provider's
 // zones, unless the published pool selects zones itself. A split share that names a service goes to the first provider in the
--- a/internal/catalog/claimants.go
+++ b/internal/catalog/claimants.go
@@ -67,8 +67,8 @@
 }
 
 // status returns the status of a name that the claimant owns, and the end of that status in microseconds of agreed time, or
-// 0 if time alone does not end it. For a qualified name, only the claim of the mesh in qualifier is considered; qualifier is "" for a short
-// name.
+// 0 if time alone does not end it. For a qualified name, only the claim of the mesh in qualifier is considered; qualifier is
+// "" for a short name.
 func (k *claimant) status(qualifier string) (status string, untilUS int64) {
 	var drainUS, lostUS int64 // the latest end of a drain and of a tombstone
 	draining := false
@@ -143,7 +143,8 @@
 	})
 }
 
-// newClaimant allocates a claimant from a block, because there are about as many claimants as names.
+// newClaimant stores a claimant in a block of claimantBlock, which saves allocations: there are about as many claimants as
+// names.
 func (m *mergePass) newClaimant(k claimant) *claimant {
 	if len(m.claimantStorage) == cap(m.claimantStorage) {
 		m.claimantStorage = make([]claimant, 0, claimantBlock)
--- a/internal/catalog/merge.go
+++ b/internal/catalog/merge.go
@@ -20,7 +20,7 @@
 	Merge(previous *State, inputs Inputs, at time.Duration) (*State, []Finding)
 	// Bind returns a copy of the set in which the services that routes and policies name ("service:NAME" instead of a pool)
 	// are replaced by pools, as the state resolves them for proxies of a zone. A name that resolves to no service is an
-	// UnknownService error; one that needs a pool or policy name already in use is a PoolNameConflict error.
+	// UnknownService error; a service whose pool or policy name is already in use is a PoolNameConflict error.
 	Bind(set routing.Set, s *State, zone string) (routing.Set, error)
 	// BindFor is Bind for the proxies of a mesh, which use only the providers visible to their mesh. If mesh is "", all
 	// providers are used.
