--- a/internal/memestimate/allocator.go
+++ b/internal/memestimate/allocator.go
@@ -101,7 +101,7 @@
 }()
 
 // stringBytes returns the bytes that a separately allocated string of length n uses. The runtime does not allocate strings of
-// one byte; it has them as static data.
+// one byte, because it stores them as static data.
 func (c *sizeClasses) stringBytes(n int) uint64 {
 	switch {
 	case n <= 1:
--- a/internal/routing/pool_membership.go
+++ b/internal/routing/pool_membership.go
@@ -9,7 +9,7 @@
 	"example.org/micafront/balancer"
 )
 
-// noPool stands in for a pool position and means no pool.
+// noPool is the value of a pool position that refers to no pool.
 const noPool = -1
 
 // EndpointEntry is an endpoint of a list, with the attributes that only pool selectors use.
