--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -27,7 +27,7 @@
 	MemoryMB int
 }
 
-// Limits of the record. Package fleetconfig defines further limits of its terms.
+// Limits of a fleet record. Package fleetconfig defines further limits of its terms.
 const (
 	maxMillis   = int64(time.Hour / time.Millisecond) // limit on each duration, in milliseconds
 	maxReplicas = 16
@@ -45,7 +45,7 @@
 	MemoryMB         int      `json:"memory_mb"`
 }
 
-// fleetErrors collects all errors in a record.
+// fleetErrors collects all errors in a fleet record.
 type fleetErrors []error
 
 // add adds an error in a member. The name of the member excludes the prefix "fleet.".
@@ -53,7 +53,7 @@
 	*e = append(*e, invalidFleet.New("fleet."+member, format, args...))
 }
 
-// decodeFleet decodes and checks the record, and returns nil if there is none. Node defaults to the name of the proxy.
+// decodeFleet decodes and checks a fleet record, and returns nil if there is none. Node defaults to the name of the proxy.
 func decodeFleet(text jsoniter.RawMessage, proxyName string) (*Fleet, error) {
 	if len(text) == 0 {
 		return nil, nil
