--- a/cmd/micafront/deadline_test.go
+++ b/cmd/micafront/deadline_test.go
@@ -137,7 +137,7 @@
 }
 
 // TestEndpointHangs checks that an attempt times out and its connection is closed if the endpoint reads the request and
-// never answers. If a repeat is harmless the next attempt follows; otherwise the client is told that the request failed.
+// never answers. If a repeat is harmless the next attempt follows; otherwise the client receives an error.
 func TestEndpointHangs(t *testing.T) {
 	for effect, want := range map[string]string{"safe": "again", "keyed": "again", "unsafe": "ERR"} {
 		t.Run(effect, func(t *testing.T) {
--- a/internal/testing/fleettest/faults.go
+++ b/internal/testing/fleettest/faults.go
@@ -32,12 +32,12 @@
 
 // faultKinds lists the kinds of faults for every schedule. The schedule of a seed depends on their order.
 var faultKinds = []faultKind{
-	muteLinks("a proxy is cut off from all replicas", "proxy%d/keeper*", faultinject.Both, affectsProxy),
-	muteLinks("a proxy's renewals are lost", "proxy%d/keeper*", faultinject.Up, affectsProxy),
-	muteLinks("a proxy's leases are lost", "proxy%d/keeper*", faultinject.Down, affectsProxy),
-	muteLinks("a replica is cut off from the others", "keeper%d/keeper*", faultinject.Both, affectsReplicas),
-	muteLinks("a replica's messages to the others are lost", "keeper%d/keeper*", faultinject.Up, affectsReplicas),
-	muteLinks("all proxies are cut off from a replica", "proxy*/keeper%d", faultinject.Both, affectsReplicas),
+	blackholeLinks("a proxy is cut off from all replicas", "proxy%d/keeper*", faultinject.Both, affectsProxy),
+	blackholeLinks("a proxy's renewals are lost", "proxy%d/keeper*", faultinject.Up, affectsProxy),
+	blackholeLinks("a proxy's leases are lost", "proxy%d/keeper*", faultinject.Down, affectsProxy),
+	blackholeLinks("a replica is cut off from the others", "keeper%d/keeper*", faultinject.Both, affectsReplicas),
+	blackholeLinks("a replica's messages to the others are lost", "keeper%d/keeper*", faultinject.Up, affectsReplicas),
+	blackholeLinks("all proxies are cut off from a replica", "proxy*/keeper%d", faultinject.Both, affectsReplicas),
 	{name: "all links to replicas are slow", needsReplicas: true, affects: affectsReplicas, inject: slowReplicaLinks},
 	{name: "a replica is killed", needsReplicas: true, affects: affectsReplicas, inject: killReplica},
 	{name: "the leader is killed", needsReplicas: true, affects: affectsReplicas, inject: killLeader},
@@ -52,7 +52,7 @@
 
 // discoveryFaultKinds lists the additional kinds of faults for a fleet whose replicas follow service discovery.
 var discoveryFaultKinds = []faultKind{
-	muteLinks("a replica is cut off from service discovery", "keeper%d/discovery", faultinject.Both, affectsReplicas),
+	blackholeLinks("a replica is cut off from service discovery", "keeper%d/discovery", faultinject.Both, affectsReplicas),
 	{
 		name: "service discovery refuses replicas", needsReplicas: true, affects: affectsReplicas,
 		inject: func(f *Fleet, _ int) (func() error, error) {
@@ -61,9 +61,9 @@
 	},
 }
 
-// muteLinks returns a fault that drops the traffic of links in one or both directions. The pattern may contain a %d verb for the
-// number of the target, counted from 1.
-func muteLinks(name, pattern string, direction faultinject.Direction, affects resource) faultKind {
+// blackholeLinks returns a fault that drops the traffic of links in one or both directions. The pattern may contain a %d verb
+// for the number of the target, counted from 1.
+func blackholeLinks(name, pattern string, direction faultinject.Direction, affects resource) faultKind {
 	return faultKind{
 		name: name, needsReplicas: true, affects: affects,
 		inject: func(f *Fleet, target int) (func() error, error) {
--- a/internal/testing/fleettest/fleet_test.go
+++ b/internal/testing/fleettest/fleet_test.go
@@ -102,12 +102,12 @@
 }
 
 var (
-	muteBoth = faultinject.Fault{Kind: faultinject.Blackhole}
-	delayed  = faultinject.Fault{Kind: faultinject.Delay, Duration: 5 * time.Millisecond, Jitter: 20 * time.Millisecond}
+	blackholeBoth = faultinject.Fault{Kind: faultinject.Blackhole}
+	delayed       = faultinject.Fault{Kind: faultinject.Delay, Duration: 5 * time.Millisecond, Jitter: 20 * time.Millisecond}
 )
 
-// muteDirection returns a fault that drops the traffic of links in one direction.
-func muteDirection(d faultinject.Direction) faultinject.Fault {
+// blackholeDirection returns a fault that drops the traffic of links in one direction.
+func blackholeDirection(d faultinject.Direction) faultinject.Fault {
 	return faultinject.Fault{Kind: faultinject.Blackhole, Direction: d}
 }
 
@@ -152,8 +152,8 @@
 	halfLine := faultinject.Fault{Kind: faultinject.HalfClose, Direction: faultinject.Down, Offset: 2}
 	for _, test := range []faultCase{
 		{name: "discovery restarts", inject: fleet.RestartDiscovery, repair: noop},
-		linkFaultCase(fleet, "discovery is cut off", "proxy*/discovery", muteBoth, "proxy*/discovery"),
-		linkFaultCase(fleet, "links to endpoints drop", "proxy[1-3]/s-?1", muteBoth, "proxy*/s-*"),
+		linkFaultCase(fleet, "discovery is cut off", "proxy*/discovery", blackholeBoth, "proxy*/discovery"),
+		linkFaultCase(fleet, "links to endpoints drop", "proxy[1-3]/s-?1", blackholeBoth, "proxy*/s-*"),
 		linkFaultCase(fleet, "half a line from endpoints", "proxy*/s-?2", halfLine, "*/*"),
 		{
 			name:   "an endpoint stops",
@@ -225,16 +225,16 @@
 	}
 	return []faultCase{
 		{name: "no fault", inject: noop, repair: noop},
-		linkFaultCase(fleet, "links to one replica drop", "proxy*/keeper1", muteBoth, "*/keeper1"),
-		linkFaultCase(fleet, "links of one proxy drop", "proxy1/keeper*", muteBoth, "proxy1/*", first),
+		linkFaultCase(fleet, "links to one replica drop", "proxy*/keeper1", blackholeBoth, "*/keeper1"),
+		linkFaultCase(fleet, "links of one proxy drop", "proxy1/keeper*", blackholeBoth, "proxy1/*", first),
 		linkFaultCase(fleet, "links to replicas are slow", "*/keeper*", delayed, "*/keeper*"),
-		linkFaultCase(fleet, "renewals are lost one way", "proxy2/keeper*", muteDirection(faultinject.Up), "proxy2/*", second),
+		linkFaultCase(fleet, "renewals are lost one way", "proxy2/keeper*", blackholeDirection(faultinject.Up), "proxy2/*", second),
 		// The replicas still receive the proxy's renewals.
-		linkFaultCase(fleet, "leases are lost one way", "proxy2/keeper*", muteDirection(faultinject.Down), "proxy2/*", second),
+		linkFaultCase(fleet, "leases are lost one way", "proxy2/keeper*", blackholeDirection(faultinject.Down), "proxy2/*", second),
 		{
 			name: "the leader's messages are lost",
 			inject: withLeader(func(replica *Replica) error {
-				return fleet.Network.Set(replica.Name+"/*", muteDirection(faultinject.Up))
+				return fleet.Network.Set(replica.Name+"/*", blackholeDirection(faultinject.Up))
 			}),
 			repair: clearFaults(fleet, "keeper*/*"),
 		},
@@ -258,7 +258,7 @@
 // this proxy, which follows its old lease until that expires. The agreement timeout bounds this overlap.
 func leaseFaults(fleet *Fleet) []faultCase {
 	first, second := fleet.Proxies[0], fleet.Proxies[1]
-	muteAnswers := setFault(fleet, "proxy2/keeper*", muteDirection(faultinject.Down))
+	blackholeResponses := setFault(fleet, "proxy2/keeper*", blackholeDirection(faultinject.Down))
 	// afterAcknowledgments calls do when all proxies but the second have acknowledged the version, and calls then when the version
 	// is active. Until do returns, the second proxy gets no answers and so blocks the version, for at most MemberTimeout. So
 	// MemberTimeout must exceed the time that these steps take on a slow machine.
@@ -295,16 +295,16 @@
 		},
 		{
 			name:     "a proxy is cut off after its acknowledgment",
-			inject:   muteAnswers,
+			inject:   blackholeResponses,
 			repair:   clearFaults(fleet, "proxy1/*"),
 			affected: []*Proxy{first},
 			during: func(version uint64) error {
-				return afterAcknowledgments(version, setFault(fleet, "proxy1/keeper*", muteBoth), func() error { return awaitExpiry(version) })
+				return afterAcknowledgments(version, setFault(fleet, "proxy1/keeper*", blackholeBoth), func() error { return awaitExpiry(version) })
 			},
 		},
 		{
 			name:     "a proxy pauses after its acknowledgment for longer than its lease",
-			inject:   muteAnswers,
+			inject:   blackholeResponses,
 			repair:   first.Resume,
 			affected: []*Proxy{first},
 			during: func(version uint64) error {
--- a/internal/testing/soak/clients.go
+++ b/internal/testing/soak/clients.go
@@ -140,7 +140,7 @@
 }
 
 // readAnswer reads the answer to a request and checks that it arrives in time. ok reports whether the proxy connected the client to
-// an endpoint. The client then goes on with reader.
+// an endpoint. The client reads from reader afterwards.
 func (c *clients) readAnswer(p *proxy, conn net.Conn, r request) (reader *bufio.Reader, ok bool) {
 	latest := r.sentAt.Add(r.timeout + answerGrace + schedulingSlack)
 	_ = conn.SetReadDeadline(latest.Add(p.suspendedSince(r.sentAt) + partialRequestTimeout))
