--- a/internal/testing/fleettest/addresses_test.go
+++ b/internal/testing/fleettest/addresses_test.go
@@ -11,8 +11,8 @@
 	"example.org/micafront/internal/fakes"
 )
 
-// Guards against a client that reaches a replica on the reused port of a stopped proxy: the checker would count three lines of
-// the replica's HTTP response as final answers.
+// TestClientsOfStoppedProxyReachNoOtherProcess guards against a client that reaches a replica on the reused port of a stopped
+// proxy: the checker would count three lines of the replica's HTTP response as final answers.
 func TestClientsOfStoppedProxyReachNoOtherProcess(t *testing.T) {
 	listener, err := net.Listen("tcp", replicaHost+":0")
 	if err != nil {
--- a/internal/testing/fleettest/endpoint_lists_test.go
+++ b/internal/testing/fleettest/endpoint_lists_test.go
@@ -7,8 +7,9 @@
 	"example.org/micafront/internal/testing/testkit"
 )
 
-// Replicas that follow service discovery serve its list to all proxies, and no proxy calls service discovery. While all replicas
-// are down the proxies watch service discovery directly, and they return to the replicas afterwards.
+// TestReplicasServeEndpointLists checks that replicas that follow service discovery serve its list to all proxies, and that no
+// proxy calls service discovery. While all replicas are down the proxies must watch service discovery directly, and they must
+// return to the replicas afterwards.
 func TestReplicasServeEndpointLists(t *testing.T) {
 	fleet := startFleet(t, 20, 3, func(options *Options) { options.ReplicasServeLists = true })
 	calls := func() (proxies, replicas int) {
--- a/internal/testing/fleettest/fleet_test.go
+++ b/internal/testing/fleettest/fleet_test.go
@@ -145,8 +145,9 @@
 	return faultCase{name: name, inject: setFault(fleet, pattern, fault), repair: clearFaults(fleet, cleared), affected: affected}
 }
 
-// In a fleet without a control plane, each request gets exactly one answer under faults of service discovery, links and processes.
-// Nothing bounds how long proxies act on conflicting versions there, so the test ignores overlaps.
+// TestProxiesWithoutControlPlane checks that each request gets exactly one answer under faults of service discovery, links and
+// processes in a fleet without a control plane. Nothing bounds how long proxies act on conflicting versions there, so the test
+// ignores overlaps.
 func TestProxiesWithoutControlPlane(t *testing.T) {
 	fleet := startFleet(t, 10, 0)
 	halfLine := faultinject.Fault{Kind: faultinject.HalfClose, Direction: faultinject.Down, Offset: 2}
@@ -185,8 +186,8 @@
 	}
 }
 
-// A version proposed during a fault becomes active at the unaffected proxies, and at all proxies after the repair. No two proxies
-// act on conflicting versions for longer than the agreement timeout.
+// TestFleetAgreesUnderFaults checks that a version proposed during a fault becomes active at the unaffected proxies, and at all
+// proxies after the repair. No two proxies may act on conflicting versions for longer than the agreement timeout.
 func TestFleetAgreesUnderFaults(t *testing.T) {
 	fleet := startFleet(t, 20, 3)
 	for _, test := range append(controlPlaneFaults(fleet), leaseFaults(fleet)...) {
@@ -299,7 +300,8 @@
 			repair:   clearFaults(fleet, "proxy1/*"),
 			affected: []*Proxy{first},
 			during: func(version uint64) error {
-				return afterAcknowledgments(version, setFault(fleet, "proxy1/keeper*", blackholeBoth), func() error { return awaitExpiry(version) })
+				return afterAcknowledgments(version, setFault(fleet, "proxy1/keeper*", blackholeBoth),
+					func() error { return awaitExpiry(version) })
 			},
 		},
 		{
@@ -322,8 +324,8 @@
 	return GenerateSchedule(ScheduleOptions{Seed: seed, Length: length, Interval: interval, Proxies: 4, Replicas: 3, Endpoints: 8})
 }
 
-// A generated schedule is the same each time and has no concurrent faults of a resource. All proxies of a fleet reach the last
-// version after it.
+// TestGeneratedSchedule checks that a generated schedule is the same each time and contains no concurrent faults of a resource, and
+// that all proxies of a fleet reach the last version after it.
 func TestGeneratedSchedule(t *testing.T) {
 	generate := func(seed uint64) []Event { return generateSchedule(seed, 100*time.Second, time.Second) }
 	testkit.Equal(t, "the same seed generated twice", generate(1), generate(1))
@@ -359,7 +361,8 @@
 	t.Logf("%d events, %d versions", len(schedule), last)
 }
 
-// A proxy that does not receive a version keeps following the old one. FindOverlaps reports this as a violation.
+// TestStaleProxyIsReported checks that FindOverlaps reports a violation if a proxy does not receive a version and keeps following
+// the old one.
 func TestStaleProxyIsReported(t *testing.T) {
 	fleet := startFleet(t, 3, 0)
 	number, err := fleet.Propose(fleet.Proxies[0])
