--- a/internal/testing/fleettest/fleet_test.go
+++ b/internal/testing/fleettest/fleet_test.go
@@ -102,12 +102,12 @@
 }
 
 var (
-	muteBoth = faultinject.Fault{Kind: faultinject.Blackhole}
-	delayed  = faultinject.Fault{Kind: faultinject.Delay, Duration: 5 * time.Millisecond, Jitter: 20 * time.Millisecond}
+	blackholeBoth = faultinject.Fault{Kind: faultinject.Blackhole}
+	delayed       = faultinject.Fault{Kind: faultinject.Delay, Duration: 5 * time.Millisecond, Jitter: 20 * time.Millisecond}
 )
 
-// muteDirection returns a fault that drops the traffic of links in one direction.
-func muteDirection(d faultinject.Direction) faultinject.Fault {
+// blackholeDirection returns a fault that drops the traffic of links in one direction.
+func blackholeDirection(d faultinject.Direction) faultinject.Fault {
 	return faultinject.Fault{Kind: faultinject.Blackhole, Direction: d}
 }
 
@@ -145,15 +145,16 @@
 	return faultCase{name: name, inject: setFault(fleet, pattern, fault), repair: clearFaults(fleet, cleared), affected: affected}
 }
 
-// In a fleet without a control plane, each request gets exactly one answer under faults of service discovery, links and processes.
-// Nothing bounds how long proxies act on conflicting versions there, so the test ignores overlaps.
+// TestProxiesWithoutControlPlane checks that each request gets exactly one answer under faults of service discovery, links and
+// processes in a fleet without a control plane. Nothing bounds how long proxies act on conflicting versions there, so the test
+// ignores overlaps.
 func TestProxiesWithoutControlPlane(t *testing.T) {
 	fleet := startFleet(t, 10, 0)
 	halfLine := faultinject.Fault{Kind: faultinject.HalfClose, Direction: faultinject.Down, Offset: 2}
 	for _, test := range []faultCase{
 		{name: "discovery restarts", inject: fleet.RestartDiscovery, repair: noop},
-		linkFaultCase(fleet, "discovery is cut off", "proxy*/discovery", muteBoth, "proxy*/discovery"),
-		linkFaultCase(fleet, "links to endpoints drop", "proxy[1-3]/s-?1", muteBoth, "proxy*/s-*"),
+		linkFaultCase(fleet, "discovery is cut off", "proxy*/discovery", blackholeBoth, "proxy*/discovery"),
+		linkFaultCase(fleet, "links to endpoints drop", "proxy[1-3]/s-?1", blackholeBoth, "proxy*/s-*"),
 		linkFaultCase(fleet, "half a line from endpoints", "proxy*/s-?2", halfLine, "*/*"),
 		{
 			name:   "an endpoint stops",
@@ -185,8 +186,8 @@
 	}
 }
 
-// A version proposed during a fault becomes active at the unaffected proxies, and at all proxies after the repair. No two proxies
-// act on conflicting versions for longer than the agreement timeout.
+// TestFleetAgreesUnderFaults checks that a version proposed during a fault becomes active at the unaffected proxies, and at all
+// proxies after the repair. No two proxies may act on conflicting versions for longer than the agreement timeout.
 func TestFleetAgreesUnderFaults(t *testing.T) {
 	fleet := startFleet(t, 20, 3)
 	for _, test := range append(controlPlaneFaults(fleet), leaseFaults(fleet)...) {
@@ -225,16 +226,16 @@
 	}
 	return []faultCase{
 		{name: "no fault", inject: noop, repair: noop},
-		linkFaultCase(fleet, "links to one replica drop", "proxy*/keeper1", muteBoth, "*/keeper1"),
-		linkFaultCase(fleet, "links of one proxy drop", "proxy1/keeper*", muteBoth, "proxy1/*", first),
+		linkFaultCase(fleet, "links to one replica drop", "proxy*/keeper1", blackholeBoth, "*/keeper1"),
+		linkFaultCase(fleet, "links of one proxy drop", "proxy1/keeper*", blackholeBoth, "proxy1/*", first),
 		linkFaultCase(fleet, "links to replicas are slow", "*/keeper*", delayed, "*/keeper*"),
-		linkFaultCase(fleet, "renewals are lost one way", "proxy2/keeper*", muteDirection(faultinject.Up), "proxy2/*", second),
+		linkFaultCase(fleet, "renewals are lost one way", "proxy2/keeper*", blackholeDirection(faultinject.Up), "proxy2/*", second),
 		// The replicas still receive the proxy's renewals.
-		linkFaultCase(fleet, "leases are lost one way", "proxy2/keeper*", muteDirection(faultinject.Down), "proxy2/*", second),
+		linkFaultCase(fleet, "leases are lost one way", "proxy2/keeper*", blackholeDirection(faultinject.Down), "proxy2/*", second),
 		{
 			name: "the leader's messages are lost",
 			inject: withLeader(func(replica *Replica) error {
-				return fleet.Network.Set(replica.Name+"/*", muteDirection(faultinject.Up))
+				return fleet.Network.Set(replica.Name+"/*", blackholeDirection(faultinject.Up))
 			}),
 			repair: clearFaults(fleet, "keeper*/*"),
 		},
@@ -258,7 +259,7 @@
 // this proxy, which follows its old lease until that expires. The agreement timeout bounds this overlap.
 func leaseFaults(fleet *Fleet) []faultCase {
 	first, second := fleet.Proxies[0], fleet.Proxies[1]
-	muteAnswers := setFault(fleet, "proxy2/keeper*", muteDirection(faultinject.Down))
+	blackholeResponses := setFault(fleet, "proxy2/keeper*", blackholeDirection(faultinject.Down))
 	// afterAcknowledgments calls do when all proxies but the second have acknowledged the version, and calls then when the version
 	// is active. Until do returns, the second proxy gets no answers and so blocks the version, for at most MemberTimeout. So
 	// MemberTimeout must exceed the time that these steps take on a slow machine.
@@ -295,16 +296,17 @@
 		},
 		{
 			name:     "a proxy is cut off after its acknowledgment",
-			inject:   muteAnswers,
+			inject:   blackholeResponses,
 			repair:   clearFaults(fleet, "proxy1/*"),
 			affected: []*Proxy{first},
 			during: func(version uint64) error {
-				return afterAcknowledgments(version, setFault(fleet, "proxy1/keeper*", muteBoth), func() error { return awaitExpiry(version) })
+				return afterAcknowledgments(version, setFault(fleet, "proxy1/keeper*", blackholeBoth),
+					func() error { return awaitExpiry(version) })
 			},
 		},
 		{
 			name:     "a proxy pauses after its acknowledgment for longer than its lease",
-			inject:   muteAnswers,
+			inject:   blackholeResponses,
 			repair:   first.Resume,
 			affected: []*Proxy{first},
 			during: func(version uint64) error {
@@ -322,8 +324,8 @@
 	return GenerateSchedule(ScheduleOptions{Seed: seed, Length: length, Interval: interval, Proxies: 4, Replicas: 3, Endpoints: 8})
 }
 
-// A generated schedule is the same each time and has no concurrent faults of a resource. All proxies of a fleet reach the last
-// version after it.
+// TestGeneratedSchedule checks that a generated schedule is the same each time and contains no concurrent faults of a resource, and
+// that all proxies of a fleet reach the last version after it.
 func TestGeneratedSchedule(t *testing.T) {
 	generate := func(seed uint64) []Event { return generateSchedule(seed, 100*time.Second, time.Second) }
 	testkit.Equal(t, "the same seed generated twice", generate(1), generate(1))
@@ -359,7 +361,8 @@
 	t.Logf("%d events, %d versions", len(schedule), last)
 }
 
-// A proxy that does not receive a version keeps following the old one. FindOverlaps reports this as a violation.
+// TestStaleProxyIsReported checks that FindOverlaps reports a violation if a proxy does not receive a version and keeps following
+// the old one.
 func TestStaleProxyIsReported(t *testing.T) {
 	fleet := startFleet(t, 3, 0)
 	number, err := fleet.Propose(fleet.Proxies[0])
